--- a/bench/experts/players.py
+++ b/bench/experts/choosers.py
@@ -10,7 +10,7 @@
 from snipebend.experts.model import ExpertMap
 from snipebend.experts.moves import align_slots, replay
 from snipebend.experts.placement import place_from_scratch
-from snipebend.experts.policy import Change, Facts, Policy
+from snipebend.experts.policy import Change, DecisionContext, Policy
 from snipebend.experts.search import SearchLimits, search
 from snipebend.experts.skew import relative_loads
 
@@ -22,12 +22,12 @@
     from snipebend.experts.planner import PolicySettings
     from snipebend.fleet.model import Weights
 
-POLISH_ROUNDS = 256
+SEARCH_ROUNDS = 256
 #: A change so long ago that it holds nothing up.
 NEVER_CHANGED = -1_000_000
 
 
-class Moment(NamedTuple):
+class IntervalEnd(NamedTuple):
     """The end of an interval: what is known, and the next one's truth."""
 
     step: int
@@ -36,14 +36,16 @@
     following: NDArray[np.float64]
 
 
-class Player(Protocol):
+class MapChooser(Protocol):
     """Chooses the map for the next interval."""
 
-    def turn(self, moment: Moment, current: ExpertMap) -> ExpertMap:
+    def choose_map(
+        self, interval: IntervalEnd, current: ExpertMap
+    ) -> ExpertMap:
         """Return the map to use next."""
 
 
-def polished(
+def place_and_search(
     shape: GroupShape,
     shares: NDArray[np.float64],
     version: int,
@@ -51,33 +53,39 @@
     """Return the best map we know for the shares, at any cost."""
     loads = relative_loads(shares, shape.ranks)
     scratch = place_from_scratch(shape, loads, version)
-    trail = search(scratch.placement, loads, SearchLimits(0, POLISH_ROUNDS))
-    last = np.full(shape.layers, len(trail.slots))
-    return ExpertMap(version, replay(scratch.placement, trail, last))
+    trace = search(scratch.placement, loads, SearchLimits(0, SEARCH_ROUNDS))
+    last = np.full(shape.layers, len(trace.slots))
+    return ExpertMap(version, replay(scratch.placement, trace, last))
 
 
-class StaticPlayer:
+class StaticChooser:
     """Never changes the map."""
 
-    def turn(self, moment: Moment, current: ExpertMap) -> ExpertMap:
+    def choose_map(
+        self, interval: IntervalEnd, current: ExpertMap
+    ) -> ExpertMap:
         """Keep the map."""
         return current
 
 
-class OraclePlayer:
+class OracleChooser:
     """Knows the next interval, and moves at no cost."""
 
     def __init__(self, shape: GroupShape) -> None:
         self._shape = shape
 
-    def turn(self, moment: Moment, current: ExpertMap) -> ExpertMap:
+    def choose_map(
+        self, interval: IntervalEnd, current: ExpertMap
+    ) -> ExpertMap:
         """Place for the next interval's true shares."""
-        target = polished(self._shape, moment.following, current.version + 1)
+        target = place_and_search(
+            self._shape, interval.following, current.version + 1
+        )
         aligned = align_slots(current.placement, target.placement)
         return ExpertMap(target.version, aligned)
 
 
-class ScratchPlayer:
+class ScratchChooser:
     """Greedy from scratch on the same estimate, every so many intervals."""
 
     def __init__(self, shape: GroupShape, every: int = 1) -> None:
@@ -85,18 +93,20 @@
         self._every = every
         self._turn = 0
 
-    def turn(self, moment: Moment, current: ExpertMap) -> ExpertMap:
+    def choose_map(
+        self, interval: IntervalEnd, current: ExpertMap
+    ) -> ExpertMap:
         """Place for the estimate."""
         self._turn += 1
         if self._turn % self._every:
             return current
-        loads = relative_loads(moment.estimate.shares, self._shape.ranks)
+        loads = relative_loads(interval.estimate.shares, self._shape.ranks)
         target = place_from_scratch(self._shape, loads, current.version + 1)
         aligned = align_slots(current.placement, target.placement)
         return ExpertMap(target.version, aligned)
 
 
-class PolicyPlayer:
+class PolicyChooser:
     """Our policy with one deployment's weights."""
 
     def __init__(
@@ -121,23 +131,25 @@
         self._utilisation = utilisation
         self.reasons: list[str] = []
 
-    def turn(self, moment: Moment, current: ExpertMap) -> ExpertMap:
+    def choose_map(
+        self, interval: IntervalEnd, current: ExpertMap
+    ) -> ExpertMap:
         """Ask the policy."""
-        facts = Facts(
-            moment.step,
+        context = DecisionContext(
+            interval.step,
             self._changed_at,
             self._utilisation,
             self._store,
         )
         decision = self._policy.decide(
-            moment.estimate,
+            interval.estimate,
             current,
-            facts,
-            moment.now,
+            context,
+            interval.now,
         )
         self.reasons.append(decision.reason)
         if not isinstance(decision, Change):
             return current
         self._store = decision.store
-        self._changed_at = moment.step
+        self._changed_at = interval.step
         return decision.expert_map
--- a/bench/experts/run.py
+++ b/bench/experts/run.py
@@ -6,13 +6,13 @@
 
 import numpy as np
 
-from bench.experts.players import Moment, polished
+from bench.experts.choosers import IntervalEnd, place_and_search
 from bench.experts.workloads import draw_reports
 from snipebend.experts.estimate import LoadEstimator
 from snipebend.experts.skew import relative_loads, step_skew
 
 if TYPE_CHECKING:
-    from bench.experts.players import Player
+    from bench.experts.choosers import MapChooser
     from bench.experts.workloads import Traffic, Workload
     from snipebend.experts.model import GroupShape
 
@@ -32,7 +32,7 @@
 def run(
     shape: GroupShape,
     workload: Workload,
-    players: dict[str, Player],
+    choosers: dict[str, MapChooser],
     traffic: Traffic,
     seed: int,
 ) -> dict[str, Outcome]:
@@ -44,10 +44,10 @@
     """
     rng = np.random.default_rng(seed)
     estimator = LoadEstimator(shape, traffic.interval_steps)
-    first = polished(shape, workload.shares[0], 1)
-    maps = dict.fromkeys(players, first)
-    skews: dict[str, list[float]] = {name: [] for name in players}
-    loads: dict[str, list[int]] = {name: [] for name in players}
+    first = place_and_search(shape, workload.shares[0], 1)
+    maps = dict.fromkeys(choosers, first)
+    skews: dict[str, list[float]] = {name: [] for name in choosers}
+    loads: dict[str, list[int]] = {name: [] for name in choosers}
     for turn, shares in enumerate(workload.shares[:-1]):
         step = (turn + 1) * traffic.interval_steps
         following = workload.shares[turn + 1]
@@ -55,17 +55,17 @@
         for report in reports:
             estimator.record(report).unwrap()
         estimate = estimator.estimate()
-        moment = Moment(step, step * STEP_S, estimate, following)
+        interval = IntervalEnd(step, step * STEP_S, estimate, following)
         truth = relative_loads(following, shape.ranks)
-        for name, player in players.items():
-            chosen = player.turn(moment, maps[name])
+        for name, chooser in choosers.items():
+            chosen = chooser.choose_map(interval, maps[name])
             changed = int((chosen.placement != maps[name].placement).sum())
             loads[name].append(changed)
             maps[name] = chosen
             skews[name].append(step_skew(chosen.placement, truth))
     return {
         key: _summarise(skews[key], loads[key], shape.expert_bytes)
-        for key in players
+        for key in choosers
     }
 
 
--- a/bench/experts/workloads.py
+++ b/bench/experts/workloads.py
@@ -159,8 +159,8 @@
     traffic: Traffic,
     rng: np.random.Generator,
 ) -> ExpertReport:
-    heard = rng.random(shape.layers) >= traffic.layers_lost
-    layers = np.flatnonzero(heard)
+    reported = rng.random(shape.layers) >= traffic.layers_lost
+    layers = np.flatnonzero(reported)
     bursts = traffic.tokens // traffic.burst
     counts = rng.multinomial(bursts, shares[layers]) * traffic.burst
     return ExpertReport(rank, step, layers, counts)
--- a/bench/experts_large.py
+++ b/bench/experts_large.py
@@ -14,13 +14,13 @@
 
 import numpy as np
 
-from bench.experts.players import (
+from bench.experts.choosers import (
     NEVER_CHANGED,
-    OraclePlayer,
-    PolicyPlayer,
-    ScratchPlayer,
-    StaticPlayer,
-    polished,
+    OracleChooser,
+    PolicyChooser,
+    ScratchChooser,
+    StaticChooser,
+    place_and_search,
 )
 from bench.experts.run import run
 from bench.experts.workloads import (
@@ -35,14 +35,14 @@
 from snipebend.experts.estimate import LoadEstimator
 from snipebend.experts.model import GroupShape
 from snipebend.experts.planner import PolicySettings
-from snipebend.experts.policy import Change, Facts, Policy
+from snipebend.experts.policy import Change, DecisionContext, Policy
 
 if TYPE_CHECKING:
-    from bench.experts.players import Player
+    from bench.experts.choosers import MapChooser
     from bench.experts.run import Outcome
     from snipebend.fleet.model import Weights
 
-TODAY = GroupShape(
+CURRENT = GroupShape(
     ranks=16,
     experts=64,
     layers=24,
@@ -56,18 +56,18 @@
     slots=2,
     expert_bytes=22_020_096,
 )
-TODAY_BYTES_PER_S = 2_000_000_000
+CURRENT_BYTES_PER_S = 2_000_000_000
 #: As many bytes a second for each rank as today.
 TARGET_BYTES_PER_S = 32_000_000_000
 #: Each rank tells of as many tokens in an interval as today, in one report.
-ONE_REPORT = Traffic(reports=1, tokens=160_000)
+ONE_REPORT_PER_INTERVAL = Traffic(reports=1, tokens=160_000)
 #: Tokens on other experts when a decision is timed.
-DRIFTED_PART = 0.1
+DRIFTED_SHARE = 0.1
 TIMED_RUNS = 5
 MEBI = 2**20
 #: Maps decided every five minutes, and every minute.
-COARSE = ONE_REPORT
-FINE = Traffic(reports=1, tokens=32_000, interval_steps=1200)
+FIVE_MINUTE_DECISIONS = ONE_REPORT_PER_INTERVAL
+ONE_MINUTE_DECISIONS = Traffic(reports=1, tokens=32_000, interval_steps=1200)
 DRIFT_STEPS = 48 * INTERVAL_STEPS
 #: How long the run at the target size is.
 RUN_STEPS = 4 * INTERVAL_STEPS
@@ -92,27 +92,31 @@
     rng = np.random.default_rng(SEED)
     before = draw_shares(shape, rng)
     after = draw_shares(shape, rng)
-    mixed = before * (1 - DRIFTED_PART) + after * DRIFTED_PART
-    current = polished(shape, before, 1)
+    mixed = before * (1 - DRIFTED_SHARE) + after * DRIFTED_SHARE
+    current = place_and_search(shape, before, 1)
     estimator = LoadEstimator(shape, INTERVAL_STEPS)
-    reports = draw_reports(shape, mixed, INTERVAL_STEPS, ONE_REPORT, rng)
+    reports = draw_reports(
+        shape, mixed, INTERVAL_STEPS, ONE_REPORT_PER_INTERVAL, rng
+    )
     started = time.perf_counter()
     for report in reports:
         estimator.record(report).unwrap()
-    report_ms = _since(started) / len(reports)
+    report_ms = _elapsed_ms(started) / len(reports)
     started = time.perf_counter()
     estimate = estimator.estimate()
-    estimate_ms = _since(started)
-    facts = Facts(INTERVAL_STEPS, NEVER_CHANGED, 0.6, StoreBudget(bytes_per_s))
+    estimate_ms = _elapsed_ms(started)
+    context = DecisionContext(
+        INTERVAL_STEPS, NEVER_CHANGED, 0.6, StoreBudget(bytes_per_s)
+    )
     times = []
     for _ in range(TIMED_RUNS):
         policy = _fresh_policy(shape)
         started = time.perf_counter()
-        decision = policy.decide(estimate, current, facts, 0)
-        times.append(_since(started))
+        decision = policy.decide(estimate, current, context, 0)
+        times.append(_elapsed_ms(started))
     policy = _fresh_policy(shape)
     tracemalloc.start()
-    policy.decide(estimate, current, facts, 0)
+    policy.decide(estimate, current, context, 0)
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     return DecisionFigures(
@@ -131,24 +135,24 @@
     whole = morning_drift(TARGET, SEED, DRIFT_STEPS // every)
     part = whole.shares[: RUN_STEPS // every + 1]
     settings = PolicySettings(horizon_steps=5 * every)
-    players: dict[str, Player] = {
-        'static': StaticPlayer(),
-        'scratch': ScratchPlayer(TARGET),
-        'oracle': OraclePlayer(TARGET),
-        'maengelwerk': _target_player(MAENGELWERK, settings),
-        'chanthavong': _target_player(CHANTHAVONG, settings),
+    choosers: dict[str, MapChooser] = {
+        'static': StaticChooser(),
+        'scratch': ScratchChooser(TARGET),
+        'oracle': OracleChooser(TARGET),
+        'maengelwerk': _target_chooser(MAENGELWERK, settings),
+        'chanthavong': _target_chooser(CHANTHAVONG, settings),
     }
-    return run(TARGET, whole._replace(shares=part), players, traffic, SEED)
+    return run(TARGET, whole._replace(shares=part), choosers, traffic, SEED)
 
 
 def main() -> None:
     """Print all figures."""
     for shape, rate in (
-        (TODAY, TODAY_BYTES_PER_S),
+        (CURRENT, CURRENT_BYTES_PER_S),
         (TARGET, TARGET_BYTES_PER_S),
     ):
         sys.stdout.write(f'{shape}\n  {measure_decision(shape, rate)}\n')
-    for traffic in (COARSE, FINE):
+    for traffic in (FIVE_MINUTE_DECISIONS, ONE_MINUTE_DECISIONS):
         _print_run(traffic)
 
 
@@ -167,8 +171,10 @@
         )
 
 
-def _target_player(weights: Weights, settings: PolicySettings) -> PolicyPlayer:
-    return PolicyPlayer(
+def _target_chooser(
+    weights: Weights, settings: PolicySettings
+) -> PolicyChooser:
+    return PolicyChooser(
         TARGET,
         weights,
         TARGET_BYTES_PER_S,
@@ -180,7 +186,7 @@
     return Policy(shape, MAENGELWERK, CostModel())
 
 
-def _since(started: float) -> float:
+def _elapsed_ms(started: float) -> float:
     return (time.perf_counter() - started) * 1000
 
 
--- a/bench/experts_plot.py
+++ b/bench/experts_plot.py
@@ -8,11 +8,11 @@
 
 from matplotlib.figure import Figure
 
-from bench.experts.players import (
-    OraclePlayer,
-    PolicyPlayer,
-    ScratchPlayer,
-    StaticPlayer,
+from bench.experts.choosers import (
+    OracleChooser,
+    PolicyChooser,
+    ScratchChooser,
+    StaticChooser,
 )
 from bench.experts.run import run
 from bench.experts.workloads import (
@@ -36,7 +36,7 @@
 
     from matplotlib.axes import Axes
 
-    from bench.experts.players import Player
+    from bench.experts.choosers import MapChooser
     from bench.experts.run import Outcome
     from bench.experts.workloads import Workload
     from snipebend.experts.model import GroupShape
@@ -59,21 +59,21 @@
 def measure_curves(make: Callable[[GroupShape, int], Workload]) -> Curves:
     """Run one workload with all players."""
     workload = make(SHAPE, SEED)
-    players: dict[str, Player] = {
-        'static': StaticPlayer(),
-        'oracle': OraclePlayer(SHAPE),
-        'Mängelwerk': _player(MAENGELWERK),
-        'Chanthavong': _player(CHANTHAVONG),
+    choosers: dict[str, MapChooser] = {
+        'static': StaticChooser(),
+        'oracle': OracleChooser(SHAPE),
+        'Mängelwerk': _policy_chooser(MAENGELWERK),
+        'Chanthavong': _policy_chooser(CHANTHAVONG),
     }
-    players |= {
-        f'scratch {every}': ScratchPlayer(SHAPE, every)
+    choosers |= {
+        f'scratch {every}': ScratchChooser(SHAPE, every)
         for every in SCRATCH_EVERY
     }
-    players |= {
-        f'policy {cost}': _player(Weights(skew=1, cost=cost))
+    choosers |= {
+        f'policy {cost}': _policy_chooser(Weights(skew=1, cost=cost))
         for cost in COST_WEIGHTS
     }
-    outcomes = run(SHAPE, workload, players, Traffic(), SEED)
+    outcomes = run(SHAPE, workload, choosers, Traffic(), SEED)
     return Curves(workload.name, outcomes)
 
 
@@ -95,8 +95,8 @@
     figure.savefig(IMAGE, dpi=80)
 
 
-def _player(weights: Weights) -> PolicyPlayer:
-    return PolicyPlayer(SHAPE, weights, STORE_BYTES_PER_S)
+def _policy_chooser(weights: Weights) -> PolicyChooser:
+    return PolicyChooser(SHAPE, weights, STORE_BYTES_PER_S)
 
 
 def _terabytes(outcome: Outcome) -> float:
--- a/bench/quick_experts.py
+++ b/bench/quick_experts.py
@@ -9,11 +9,11 @@
 
 from typing import TYPE_CHECKING
 
-from bench.experts.players import (
-    OraclePlayer,
-    PolicyPlayer,
-    ScratchPlayer,
-    StaticPlayer,
+from bench.experts.choosers import (
+    OracleChooser,
+    PolicyChooser,
+    ScratchChooser,
+    StaticChooser,
 )
 from bench.experts.run import run
 from bench.experts.workloads import WORKLOADS, Traffic
@@ -21,7 +21,7 @@
 from snipebend.fleet.model import Weights
 
 if TYPE_CHECKING:
-    from bench.experts.players import Player
+    from bench.experts.choosers import MapChooser
     from bench.experts.run import Outcome
 
 #: Both deployments' sizes of today, with fewer layers to be quick.
@@ -39,14 +39,14 @@
 CHANTHAVONG = Weights(skew=0.3, cost=0.7)
 
 
-def make_players() -> dict[str, Player]:
+def make_choosers() -> dict[str, MapChooser]:
     """Return the baselines and our policy under both deployments' weights."""
     return {
-        'static': StaticPlayer(),
-        'scratch': ScratchPlayer(SHAPE),
-        'oracle': OraclePlayer(SHAPE),
-        'maengelwerk': PolicyPlayer(SHAPE, MAENGELWERK, STORE_BYTES_PER_S),
-        'chanthavong': PolicyPlayer(SHAPE, CHANTHAVONG, STORE_BYTES_PER_S),
+        'static': StaticChooser(),
+        'scratch': ScratchChooser(SHAPE),
+        'oracle': OracleChooser(SHAPE),
+        'maengelwerk': PolicyChooser(SHAPE, MAENGELWERK, STORE_BYTES_PER_S),
+        'chanthavong': PolicyChooser(SHAPE, CHANTHAVONG, STORE_BYTES_PER_S),
     }
 
 
@@ -55,13 +55,13 @@
     figures: dict[str, float] = {}
     for make in WORKLOADS:
         workload = make(SHAPE, SEED)
-        players = make_players()
-        outcomes = run(SHAPE, workload, players, Traffic(), SEED)
-        figures |= _ratios(workload.name, outcomes)
+        choosers = make_choosers()
+        outcomes = run(SHAPE, workload, choosers, Traffic(), SEED)
+        figures |= _ratios_to_baselines(workload.name, outcomes)
     return figures
 
 
-def _ratios(
+def _ratios_to_baselines(
     workload: str,
     outcomes: dict[str, Outcome],
 ) -> dict[str, float]:
--- a/bench/quick_search.py
+++ b/bench/quick_search.py
@@ -19,8 +19,8 @@
 import numpy as np
 
 from snipebend.experts.layer_state import layer_skew
-from snipebend.experts.map_search import Bounds, MapSearch
-from snipebend.experts.sizes import ExpertSizes, first_map
+from snipebend.experts.map_search import ChangeLimits, MapSearch
+from snipebend.experts.sizes import ExpertSizes, initial_map
 
 if TYPE_CHECKING:
     from numpy.typing import NDArray
@@ -43,7 +43,7 @@
 SCANS = 500
 
 
-class Found(NamedTuple):
+class SearchResult(NamedTuple):
     """A change of a map."""
 
     skew: float
@@ -54,14 +54,14 @@
     scans: float
 
 
-def search_change(ranks: int, layers: int, experts: int) -> Found:
+def search_change(ranks: int, layers: int, experts: int) -> SearchResult:
     """Change the map of a group that has just formed."""
     rng = np.random.default_rng(SEED)
     weights = rng.lognormal(0, SPREAD, (layers, experts))
     shares = weights / weights.sum(axis=1, keepdims=True)
     loads = (shares * ranks).tolist()
-    before = first_map(ExpertSizes(layers, experts, PLACES, SPARE, 1), ranks)
-    bounds = Bounds(PLACES, SPARE, most_fetched=MOST_FETCHED)
+    before = initial_map(ExpertSizes(layers, experts, PLACES, SPARE, 1), ranks)
+    bounds = ChangeLimits(PLACES, SPARE, max_fetches=MOST_FETCHED)
     after: tuple[LayerMap, ...] = ()
     took_s = math.inf
     for _ in range(RUNS):
@@ -69,41 +69,41 @@
         began = time.process_time()
         after = search.run()
         took_s = min(took_s, time.process_time() - began)
-    fetched = _loads(before, after)
+    fetched = _count_fetches(before, after)
     skews = map(layer_skew, after, loads)
-    scan_s = fetched * _scan_s(rng.random((ranks, experts)), weights[0])
-    weighed = _ranks_weighed(MapSearch(before, loads, bounds))
-    return Found(fmean(skews), fetched, weighed, took_s / scan_s)
+    scan_s = fetched * _time_scan(rng.random((ranks, experts)), weights[0])
+    weighed = _count_ranks_weighed(MapSearch(before, loads, bounds))
+    return SearchResult(fmean(skews), fetched, weighed, took_s / scan_s)
 
 
 def measure() -> dict[str, float]:
     """Return the figures of each group."""
     figures: dict[str, float] = {}
     for ranks, layers, experts in GROUPS:
-        found = search_change(ranks, layers, experts)
-        figures[f'skew_{ranks}'] = found.skew
-        figures[f'loads_{ranks}'] = found.loads
-        figures[f'ranks_weighed_{ranks}'] = found.ranks_weighed
-        figures[f'scans_{ranks}'] = found.scans
+        result = search_change(ranks, layers, experts)
+        figures[f'skew_{ranks}'] = result.skew
+        figures[f'loads_{ranks}'] = result.loads
+        figures[f'ranks_weighed_{ranks}'] = result.ranks_weighed
+        figures[f'scans_{ranks}'] = result.scans
     return figures
 
 
-def _ranks_weighed(search: MapSearch) -> float:
+def _count_ranks_weighed(search: MapSearch) -> float:
     """Run a search; return how many ranks it looked at for each step."""
     counted: list[int] = []
 
-    def sharpen(heat: NDArray[np.float64]) -> NDArray[np.float64]:
+    def norm_terms(heat: NDArray[np.float64]) -> NDArray[np.float64]:
         # All ranks' loads have one axis, those of the options have more.
         if heat.ndim > 1:
             counted.append(heat.shape[-1])
         return heat**8
 
-    with mock.patch('snipebend.experts.layer_steps._sharpened', sharpen):
+    with mock.patch('snipebend.experts.layer_steps._norm_terms', norm_terms):
         search.run()
     return fmean(counted)
 
 
-def _scan_s(drawn: NDArray[np.float64], loads: NDArray[np.float64]) -> float:
+def _time_scan(drawn: NDArray[np.float64], loads: NDArray[np.float64]) -> float:
     """Return the seconds in which all ranks' loads are added up once."""
     held = drawn < PLACES / len(loads)
     least_s = math.inf
@@ -115,7 +115,9 @@
     return least_s / SCANS
 
 
-def _loads(before: tuple[LayerMap, ...], after: tuple[LayerMap, ...]) -> int:
+def _count_fetches(
+    before: tuple[LayerMap, ...], after: tuple[LayerMap, ...]
+) -> int:
     return sum(
         len(set(new) - set(old))
         for old_layer, new_layer in zip(before, after, strict=True)
--- a/src/snipebend/balancing/count_reader.py
+++ b/src/snipebend/balancing/count_reader.py
@@ -41,12 +41,12 @@
         seen: Seen,
         reading: Reading,
         *,
-        is_new: bool = True,
+        is_unmixed: bool = True,
     ) -> bool:
         """Begin or end a span; tell whether the epoch holds."""
-        number = FIRST_SAMPLE if watch.age.is_unknown else SAMPLE
+        number = FIRST_SAMPLE if watch.age.is_unset else SAMPLE
         ranks = _spread(seen.upstreams, number)
-        if reading is Reading.GLANCE:
+        if reading is Reading.SPOT_CHECK:
             ranks = ranks[:1]
         found = await asyncio.gather(
             *(self._link.counts(seen.upstreams[rank]) for rank in ranks)
@@ -61,7 +61,7 @@
         if reading is Reading.BEGIN:
             watch.begin_span(read, self._clock.now())
         else:
-            watch.end_span(read, self._clock.now(), is_new=is_new)
+            watch.end_span(read, self._clock.now(), is_unmixed=is_unmixed)
         return True
 
 
--- a/src/snipebend/balancing/demand_follower.py
+++ b/src/snipebend/balancing/demand_follower.py
@@ -56,7 +56,7 @@
 
     def begin(self, sizes: ExpertSizes) -> None:
         """Begin anew with an epoch."""
-        self.plan = ReadingPlan(sizes.pause_s)
+        self.plan = ReadingPlan(sizes.max_pause_s)
 
     def hear(self, watch: GroupWatch) -> None:
         """Take over what entries tell of the group's passes."""
@@ -102,21 +102,23 @@
         if reading is Reading.NOTHING:
             return False
         self._note_reading(reading, watch)
-        is_new = self.plan.is_new and reading is Reading.END
-        if not await self._counts.read(watch, seen, reading, is_new=is_new):
+        is_unmixed = self.plan.is_unmixed and reading is Reading.END
+        if not await self._counts.read(
+            watch, seen, reading, is_unmixed=is_unmixed
+        ):
             self.plan.note_failed(now)
             return False
-        if reading is Reading.GLANCE:
+        if reading is Reading.SPOT_CHECK:
             if watch.turning:
                 await self._begin(watch, seen)
             else:
-                self.plan.note_glanced(now)
+                self.plan.note_spot_check(now)
             return False
         if reading is Reading.BEGIN:
             self.plan.note_begun(now)
             return False
-        if not watch.demand.told:
-            self.plan.note_short(now)
+        if not watch.demand.is_conclusive:
+            self.plan.note_inconclusive(now)
             return False
         if watch.turning:
             self.plan.note_begun(now)
@@ -129,7 +131,7 @@
             + 'pass_ms={:.0f}',
             self._group,
             reading.value,
-            self.plan.is_new,
+            self.plan.is_unmixed,
             not watch.turning,
             1000 * (watch.told_pass_s or 0),
         )
--- a/src/snipebend/balancing/group_care.py
+++ b/src/snipebend/balancing/group_care.py
@@ -158,7 +158,7 @@
     async def _wait(self, seen: Seen) -> None:
         """Orders must wait; the look at the demand need not."""
         self._eyes.forget(self.key)
-        if self.watch is not None and not self._follower.plan.spans:
+        if self.watch is not None and not self._follower.plan.is_counting:
             await self._follower.read(self.watch, seen)
 
     async def _answer(
--- a/src/snipebend/balancing/group_eyes.py
+++ b/src/snipebend/balancing/group_eyes.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from snipebend.experts.group_roll import GroupRoll, whole_group
-from snipebend.experts.sizes import first_map, fits
+from snipebend.experts.sizes import initial_map, is_complete_map
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
@@ -195,11 +195,11 @@
         if len(seen.map_versions) > 1:
             return None
         if seen.map_versions == {0}:
-            return first_map(sizes, seen.any_report.size)
+            return initial_map(sizes, seen.any_report.size)
         if seen.map_versions == {plan.version}:
             return plan.layers
         layers = await self._read_map(seen)
-        return layers if layers and fits(sizes, layers) else None
+        return layers if layers and is_complete_map(sizes, layers) else None
 
     def _roll(self, service: str) -> GroupRoll:
         return self._rolls.setdefault(service, GroupRoll())
--- a/src/snipebend/balancing/switch_driver.py
+++ b/src/snipebend/balancing/switch_driver.py
@@ -9,7 +9,7 @@
 
 from snipebend.experts.direct_orders import Reply
 from snipebend.experts.direct_switch import DirectSwitch, unsure_ranks
-from snipebend.experts.hold_aim import HoldAim
+from snipebend.experts.hold_planner import HoldPlanner
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -58,7 +58,7 @@
             fetch_s,
         )
         if pace is not None and pace.pass_s is not None:
-            self._switch.aim = HoldAim(pace.step, pace.at, pace.pass_s)
+            self._switch.aim = HoldPlanner(pace.step, pace.at, pace.pass_s)
         for report in seen.reports.values():
             self._switch.note_report(report)
 
--- a/src/snipebend/experts/__init__.py
+++ b/src/snipebend/experts/__init__.py
@@ -1,1 +1,1 @@
-"""Expert load estimate, placement, cost, switch protocol (pure)."""
+"""Expert load estimation, placement, cost and switch protocol (pure)."""
--- a/src/snipebend/experts/change_value.py
+++ b/src/snipebend/experts/change_value.py
@@ -1,81 +1,90 @@
-"""What a change of map gains and costs the streams of its group (pure).
+"""Relative saving that a change of the expert map must bring (pure).
 
-The load: a demand that stays, while the map in force was planned from the few
-counts after a turn. Each pass is longer than it need be by a tenth or two: what
-a look finds is too little for the next second, and much for the next ten.
+Right after a shift of demand, a map is planned from few counts, and passes stay
+10 to 20% longer than with the best map. If the same demand lasts, a later
+refinement of the map saves too little to pay off within the next second, but
+much over the next ten seconds. So the required saving falls as the expected
+remaining lifetime of the demand grows.
 """
 
 from __future__ import annotations
 
-#: Seconds that a demand is taken to last from now on, beside the seconds for
-#: which it has lasted already, where none turned yet.
-FIRST_LASTS_S = 1.0
+#: Seconds that a demand is expected to last from now on, in addition to its
+#: age, if no shift of demand has been observed yet.
+BASE_REMAINING_S = 1.0
 
-#: Least seconds that a demand is taken to last.
-LEAST_LASTS_S = 0.1
+#: Lower bound of the expected remaining lifetime, in seconds.
+MIN_REMAINING_S = 0.1
 
-#: A demand that has lasted so many times as long as the last one stays.
-STAYS_AFTER = 2
+#: A demand that has lasted this many times as long as the previous one is
+#: expected to stay.
+STABLE_AGE_RATIO = 2
 
-#: Seconds that it is taken to last at most: it may turn at any moment.
-MOST_LASTS_S = 10.0
+#: Upper bound of the expected remaining lifetime, in seconds, since demand may
+#: shift at any moment.
+MAX_REMAINING_S = 10.0
 
-#: Share by which passes are longer while ranks fetch experts.
-FETCH_DRAG = 0.15
+#: Relative increase of the pass time while ranks fetch experts.
+FETCH_SLOWDOWN = 0.15
 
-#: Seconds of passes that a switch itself costs: the pass that it holds back,
-#: and the streams under way that this makes late.
-SWITCH_S = 0.4
+#: Seconds of pass time that a switch itself costs: the delayed pass, and the
+#: active streams that become late because of it.
+SWITCH_COST_S = 0.4
 
-#: A saving that pays for a change whatever the age of the demand: passes are as
-#: long as they are because it has turned.
-ENOUGH_SAVING = 0.2
+#: Saving that is always sufficient, whatever the age of the demand: passes that
+#: can be shortened by this much have become long because demand has shifted.
+MAX_REQUIRED_SAVING = 0.2
 
 
 class DemandAge:
-    """Since when a demand is known, and how long the one before it lasted.
+    """Age of the current demand, and lifetime of the previous one.
 
     Times are monotonic seconds.
     """
 
     def __init__(self) -> None:
-        """Start without a demand that is known."""
+        """Start without a known demand."""
         self._since: float | None = None
-        #: Seconds; 0: there was none.
-        self.last_lasted_s: float = 0
+        #: Lifetime of the previous demand in seconds; 0 if there was none.
+        self.previous_lifetime_s: float = 0
 
     @property
-    def is_unknown(self) -> bool:
-        """Tell whether no demand was ever known."""
+    def is_unset(self) -> bool:
+        """Return whether no demand has been determined yet."""
         return self._since is None
 
-    def note_turn(self, since: float) -> None:
-        """Take note that another demand is known since then."""
+    def note_shift(self, since: float) -> None:
+        """Record that a different demand has been in effect since then."""
         if self._since is not None:
-            self.last_lasted_s = since - self._since
+            self.previous_lifetime_s = since - self._since
         self._since = since
 
-    def known_s(self, now: float) -> float:
-        """Return the seconds for which it has lasted."""
+    def age_s(self, now: float) -> float:
+        """Return the age of the current demand in seconds."""
         return 0 if self._since is None else now - self._since
 
 
-def lasts_s(known_s: float, last_lasted_s: float) -> float:
-    """Return how long a demand lasts that was the same for so many seconds.
+def expected_remaining_s(age_s: float, previous_lifetime_s: float) -> float:
+    """Return the seconds that the current demand is expected to last.
 
-    ``last_lasted_s`` are the seconds of the demand before it; 0: none. Where
-    demand turns each two seconds, a change that isn't urgent would stand in
-    the way of the answer to the next turn.
+    ``age_s`` is its age, ``previous_lifetime_s`` the lifetime of the demand
+    before it (0: none). Where demand shifts every two seconds, a change that
+    isn't urgent would delay the response to the next shift.
     """
-    if known_s < STAYS_AFTER * last_lasted_s:
-        return max(LEAST_LASTS_S, last_lasted_s - known_s)
-    return min(MOST_LASTS_S, FIRST_LASTS_S + known_s)
+    if age_s < STABLE_AGE_RATIO * previous_lifetime_s:
+        return max(MIN_REMAINING_S, previous_lifetime_s - age_s)
+    return min(MAX_REMAINING_S, BASE_REMAINING_S + age_s)
 
 
-def least_saving(known_s: float, last_lasted_s: float, fetch_s: float) -> float:
-    """Return the relative fall of a pass's length that pays for a change.
+def required_saving(
+    age_s: float, previous_lifetime_s: float, fetch_s: float
+) -> float:
+    """Return the relative reduction of the pass time that pays off.
 
-    ``fetch_s`` is how long the rank fetches that fetches most.
+    ``fetch_s`` is the fetch time of the rank that fetches most.
     """
-    cost_s = SWITCH_S + FETCH_DRAG * fetch_s
-    return min(ENOUGH_SAVING, cost_s / lasts_s(known_s, last_lasted_s))
+    cost_s = SWITCH_COST_S + FETCH_SLOWDOWN * fetch_s
+    return min(
+        MAX_REQUIRED_SAVING,
+        cost_s / expected_remaining_s(age_s, previous_lifetime_s),
+    )
--- a/src/snipebend/experts/cost.py
+++ b/src/snipebend/experts/cost.py
@@ -1,9 +1,9 @@
-"""What a change of map costs, and the limits it must keep.
+"""Cost model of map changes and the budget of the weight store.
 
-Costs are in steps of the group's time, so that they compare with skew, whose
-gain is a share of each later step. A load is charged for all the time that
-the store spends on it: ranks advance in lock-step, so in the worst case the
-rank that loads holds back all others for as long.
+Costs are in steps of the group, so that they compare with skew, whose gain is a
+fraction of each later step. A change is charged for the whole time that the
+store spends on it: ranks advance in lock-step, so in the worst case the rank
+that loads experts delays all others for as long.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 
 
 class CostModel(NamedTuple):
-    """How a group pays for a change.
+    """Parameters of the cost of a change.
 
-    ``step_s`` is the length of a step, ``stall_steps`` what the switch of
-    maps itself stalls, ``capacity_share`` the share of serving capacity that
-    loading at the store's full rate takes, ``reserve`` the share of capacity
-    that serving keeps beyond its utilisation.
+    ``step_s`` is the length of a step, ``stall_steps`` the number of steps for
+    which the switch itself stalls the group, ``capacity_share`` the share of
+    serving capacity that loading at the store's full rate takes, ``reserve``
+    the share of capacity that is kept free for serving beyond its current
+    utilisation.
     """
 
     step_s: float = 0.05
@@ -26,15 +27,15 @@
     reserve: float = 0.1
 
     def change_steps(self, load_bytes: int, bytes_per_s: float) -> float:
-        """Return the cost of loading so many bytes and switching, in steps."""
-        return self.stall_steps + self.load_steps(load_bytes, bytes_per_s)
+        """Return the cost of loading the bytes and switching, in steps."""
+        return self.stall_steps + self.loading_steps(load_bytes, bytes_per_s)
 
-    def load_steps(self, load_bytes: int, bytes_per_s: float) -> float:
-        """Return the steps that pass while the store sends the bytes."""
+    def loading_steps(self, load_bytes: int, bytes_per_s: float) -> float:
+        """Return how many steps the store needs to send the bytes."""
         return load_bytes / bytes_per_s / self.step_s
 
-    def pace(self, utilisation: float) -> float:
-        """Return the share of the store's rate that serving can bear.
+    def rate_share(self, utilisation: float) -> float:
+        """Return the share of the store's rate that loading may use.
 
         ``utilisation`` is the share of capacity that serving uses now.
         """
@@ -43,16 +44,16 @@
 
 
 class StoreBudget(NamedTuple):
-    """The weight store's rate, which all groups share, one load at a time.
+    """Rate of the weight store, which serves all groups one load at a time.
 
-    ``free_at`` is when the loads promised so far end; new ones start there.
+    ``free_at`` is when the reserved loads end; new ones start then.
     """
 
     bytes_per_s: float
     free_at: float = 0
 
     def allowance(self, now: float, until: float) -> int:
-        """Return the bytes that can still be sent by ``until``."""
+        """Return the bytes that the store can still send by ``until``."""
         start = max(now, self.free_at)
         return int(max(until - start, 0) * self.bytes_per_s)
 
@@ -60,9 +61,9 @@
         self,
         load_bytes: int,
         now: float,
-        pace: float = 1.0,
+        rate_share: float = 1.0,
     ) -> StoreBudget:
-        """Return the budget with a load promised at a share of the rate."""
+        """Return the budget with a load reserved at a share of the rate."""
         start = max(now, self.free_at)
-        rate = pace * self.bytes_per_s
+        rate = rate_share * self.bytes_per_s
         return self._replace(free_at=start + load_bytes / rate)
--- a/src/snipebend/experts/demand.py
+++ b/src/snipebend/experts/demand.py
@@ -1,4 +1,9 @@
-"""The demand for experts, told from how counts grow (pure)."""
+"""Estimation of the demand for experts from growing counts (pure).
+
+Each rank counts how often its requests chose each expert. The choices between
+two readings of the counts form a span. A span that differs from the earlier
+ones by more than chance shows that demand has shifted.
+"""
 
 from __future__ import annotations
 
@@ -15,115 +20,125 @@
 
     Counts = NDArray[np.float64]
 
-#: Choices of one layer below which a span of counts says nothing. A rank that
-#: only writes makes some 1,700 in 0.3 s, and spans of as many differed by 6%
-#: while the demand was the same.
-LEAST_CHOICES = 600
+#: Choices of one layer below which a span is inconclusive. A rank that only
+#: decodes makes some 1,700 in 0.3 s, and spans with this many choices differed
+#: by 6% while the demand was the same.
+MIN_CHOICES = 600
 
-#: Share of the choices that moves at the least when demand turns, beside what
-#: chance moves. On two days of a group of 192 ranks 16 spans after a turn moved
-#: 0.13 to 0.19, 13 others up to 0.085, since requests of one time are alike;
-#: half of all choices, or a fifth, on other deployments. Told by one and a half
-#: times of what chance moves, one turn was missed where choices were few, and
-#: five other spans were taken for turns where they were many.
-LEAST_TURN = 0.1
+#: Smallest difference between two spans that counts as a shift of demand, as a
+#: share of the choices, in addition to the difference that chance explains. On
+#: two days of a group of 192 ranks, 16 spans after a shift differed by 0.13 to
+#: 0.19, and 13 others by up to 0.085, since requests of one period are alike;
+#: on other deployments a shift moved half or a fifth of all choices. With a
+#: threshold of 1.5 times the difference by chance, one shift was missed where
+#: choices were few, and five other spans were taken for shifts where choices
+#: were many.
+MIN_SHIFT = 0.1
 
-#: Weight of earlier spans when one is added.
-KEEP = 0.9
+#: Weight of the earlier spans when a span is added.
+HISTORY_WEIGHT = 0.9
 
 
 class Demand:
-    """The shares of choices that fall on each expert, layer by layer."""
+    """Estimate of the share of choices of each expert, by layer."""
 
     def __init__(self, layers: int, experts: int) -> None:
-        """Start without knowing any."""
+        """Start without an estimate."""
         self._shape = (layers, experts)
-        #: The counts at which the present span began, by rank.
-        self._begun: dict[int, RankCounts] = {}
-        #: Choices since the demand last turned; none: it isn't known.
-        self._chosen: Counts | None = None
-        #: Whether the last span had enough choices to tell something.
-        self.told = False
-        #: Whether what is known began with the last span that told something.
-        self.is_fresh = False
+        #: Counts at the start of the current span, by rank.
+        self._baseline: dict[int, RankCounts] = {}
+        #: Choices since the last shift of demand; None if the demand is
+        #: unknown.
+        self._choices: Counts | None = None
+        #: Whether the last span had enough choices to be conclusive.
+        self.is_conclusive = False
+        #: Whether the estimate was restarted with the last conclusive span.
+        self.is_restarted = False
 
     @property
     def shares(self) -> Counts | None:
-        """Return the shares by layer and expert; none: not known."""
-        return None if self._chosen is None else _shares(self._chosen)
+        """Return the shares by layer and expert; None if unknown."""
+        return None if self._choices is None else _shares(self._choices)
 
     @property
-    def chosen(self) -> Counts | None:
-        """Return the choices that tell the demand; none: not known."""
-        return self._chosen
-
-    def begin(self, read: Mapping[int, RankCounts]) -> None:
-        """Begin a span on the ranks that were read."""
-        self._begun = dict(read)
-
-    def end(self, read: Mapping[int, RankCounts], *, is_new: bool) -> None:
-        """Take over what was chosen since the span began; begin another.
-
-        ``is_new`` tells that demand may have turned before the span, but not
-        within it. Otherwise a span that differs holds some of both demands and
-        tells neither; the next one is taken as it is.
-
-        A span with too few choices goes on, and tells nothing yet: begun anew,
-        it would have as few each time, and groups of many ranks, whose single
-        ranks have few requests, would keep their map whatever is in demand.
+    def choices(self) -> Counts | None:
+        """Return the choices behind the estimate; None if unknown."""
+        return self._choices
+
+    def begin(self, counts_by_rank: Mapping[int, RankCounts]) -> None:
+        """Begin a span with the current counts of some ranks."""
+        self._baseline = dict(counts_by_rank)
+
+    def end(
+        self, counts_by_rank: Mapping[int, RankCounts], *, is_unmixed: bool
+    ) -> None:
+        """Add the choices of the span that ends; begin another one.
+
+        ``is_unmixed`` states that demand may have shifted before the span, but
+        not within it. Otherwise a span that differs is a mix of the old and the
+        new demand and is representative of neither; it is discarded, and the
+        next span restarts the estimate.
+
+        A span with too few choices is continued instead of restarted. Otherwise
+        each new span would have as few choices again, and groups of many ranks,
+        whose single ranks have few requests, would keep their map however
+        demand changes.
         """
-        spans = {
-            rank: grown
-            for rank, counts in read.items()
-            if (grown := self._growth(rank, counts)) is not None
+        growths = {
+            rank: growth
+            for rank, counts in counts_by_rank.items()
+            if (growth := self._count_growth(rank, counts)) is not None
         }
-        chosen = sum(spans.values(), np.zeros(self._shape))
-        self.told = chosen.sum(axis=1).min() >= LEAST_CHOICES
-        if self.told:
-            self._note_span(chosen, is_new=is_new)
-            self.begin(read)
+        span_choices = sum(growths.values(), np.zeros(self._shape))
+        self.is_conclusive = span_choices.sum(axis=1).min() >= MIN_CHOICES
+        if self.is_conclusive:
+            self._record_span(span_choices, is_unmixed=is_unmixed)
+            self.begin(counts_by_rank)
         else:
-            begun = {rank: self._begun[rank] for rank in spans}
-            self.begin({**read, **begun})
+            baseline = {rank: self._baseline[rank] for rank in growths}
+            self.begin({**counts_by_rank, **baseline})
 
-    def _growth(self, rank: int, counts: RankCounts) -> Counts | None:
-        """Return a rank's choices in the span; none: it made no pass."""
-        begun = self._begun.get(rank)
-        if begun is None or counts.epoch != begun.epoch:
+    def _count_growth(self, rank: int, counts: RankCounts) -> Counts | None:
+        """Return a rank's choices in the span; None if it made no pass."""
+        baseline = self._baseline.get(rank)
+        if baseline is None or counts.epoch != baseline.epoch:
             return None
         layers, experts = self._shape
-        if not len(counts.counts) == len(begun.counts) == layers * experts:
-            # Not what the document declares: it tells nothing.
+        if not len(counts.counts) == len(baseline.counts) == layers * experts:
+            # The counts don't match the sizes that the configuration declares.
             return None
-        grown = np.array(counts.counts, dtype=float) - np.array(begun.counts)
-        if counts.step <= begun.step or grown.min() < 0:
+        growth = np.array(counts.counts, dtype=float) - np.array(
+            baseline.counts
+        )
+        if counts.step <= baseline.step or growth.min() < 0:
             return None
-        by_layer: Counts = grown.reshape(self._shape)
+        by_layer: Counts = growth.reshape(self._shape)
         return by_layer
 
-    def _note_span(self, span: Counts, *, is_new: bool) -> None:
-        self.is_fresh = self._chosen is None
-        if self._chosen is None:
-            self._chosen = span
+    def _record_span(self, span: Counts, *, is_unmixed: bool) -> None:
+        self.is_restarted = self._choices is None
+        if self._choices is None:
+            self._choices = span
             return
-        if _has_turned(self._chosen, span):
-            self._chosen = span if is_new else None
-            self.is_fresh = True
+        if _has_shifted(self._choices, span):
+            self._choices = span if is_unmixed else None
+            self.is_restarted = True
         else:
-            self._chosen = KEEP * self._chosen + span
+            self._choices = HISTORY_WEIGHT * self._choices + span
 
 
-def _has_turned(before: Counts, span: Counts) -> bool:
-    """Tell whether two spans differ by more than chance has them differ.
+def _has_shifted(before: Counts, span: Counts) -> bool:
+    """Return whether two spans differ by more than chance explains.
 
-    Half of the summed differences of shares moves by either; what a turn and
-    chance move adds up by its squares, as variances do.
+    The difference is half of the summed absolute differences of the shares. The
+    differences by a shift and by chance add up in quadrature, as standard
+    deviations do.
     """
     moved = np.abs(_shares(before) - _shares(span)).sum(axis=1).mean() / 2
     shares = _shares(before + span)
     rate = (1 / before.sum(axis=1) + 1 / span.sum(axis=1)).mean()
     chance = np.sqrt(shares).sum(axis=1).mean() * np.sqrt(rate / (2 * np.pi))
-    return bool(np.hypot(chance, LEAST_TURN) < moved)
+    return bool(np.hypot(chance, MIN_SHIFT) < moved)
 
 
 def _shares(counts: Counts) -> Counts:
--- a/src/snipebend/experts/direct_switch.py
+++ b/src/snipebend/experts/direct_switch.py
@@ -26,7 +26,7 @@
 from typing import TYPE_CHECKING
 
 from snipebend.experts.direct_orders import Arm, Go, Hold, Prepare, Reply
-from snipebend.experts.hold_aim import RETRY_S, HoldAim
+from snipebend.experts.hold_planner import RETRY_S, HoldPlanner
 from snipebend.experts.rank_states import RankStates
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
     #: Seconds that the slowest rank needs to fetch its experts.
     fetch_s: float = 0
     #: Which pass to hold before.
-    aim: HoldAim = field(default_factory=HoldAim)
+    aim: HoldPlanner = field(default_factory=HoldPlanner)
     hold_step: int | None = None
     phase: Phase = Phase.PREPARING
     _go_again_at: float = -1
@@ -224,7 +224,7 @@
             return []
         if not self.aim.is_due(now):
             return []
-        step = self.aim.take(now, self.ranks.losses_s)
+        step = self.aim.choose_step(now, self.ranks.losses_s)
         return [Hold(0, self.epoch, step)]
 
     def _arm(self, now: float) -> list[RankOrder]:
--- a/src/snipebend/experts/drift.py
+++ b/src/snipebend/experts/drift.py
@@ -1,4 +1,4 @@
-"""Drift of popularity told apart from noise, layer by layer."""
+"""Detection of drift in expert popularity, layer by layer."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
     from snipebend.experts.estimate import LoadEstimate
 
-#: A variance that says nothing was reported.
-_UNKNOWN = 1
+#: Variance of the shares of a layer without reports.
+_UNKNOWN_VARIANCE = 1
 
 
-class DriftGate:
+class DriftDetector:
     """Compares each layer with the shares that its placement was made for.
 
-    The statistic is Pearson's: squared differences over their variances,
-    summed over experts (E. L. Lehmann, J. P. Romano, "Testing statistical
-    hypotheses", 3rd ed., section 14.3). Without drift it has a mean of the
-    number of experts e and a variance of 2e; ``limit`` is the number of
-    standard deviations beyond the mean that count as drift.
+    The statistic is Pearson's: squared differences over their variances, summed
+    over experts (E. L. Lehmann, J. P. Romano, "Testing statistical hypotheses",
+    3rd ed., section 14.3). Without drift, its mean is the number of experts e
+    and its variance 2e; ``limit`` is the number of standard deviations above
+    the mean that count as drift.
     """
 
     def __init__(self, limit: float) -> None:
@@ -31,15 +31,16 @@
         self._shares: NDArray[np.float64] | None = None
         self._variances: NDArray[np.float64] | None = None
 
-    def drifted(self, estimate: LoadEstimate) -> NDArray[np.bool_]:
-        """Return the layers that drifted since their reference.
+    def find_drifted_layers(self, estimate: LoadEstimate) -> NDArray[np.bool_]:
+        """Return a mask of the layers that drifted since their reference.
 
-        Layers heard of for the first time get the estimate as reference.
+        Layers that are reported for the first time get the estimate as their
+        reference.
         """
         if self._shares is None or self._variances is None:
             self._shares = estimate.shares.copy()
             self._variances = estimate.variances.copy()
-        unknown = np.equal(self._variances.min(axis=1), _UNKNOWN)
+        unknown = np.equal(self._variances.min(axis=1), _UNKNOWN_VARIANCE)
         self.rebase(unknown, estimate)
         squares = (estimate.shares - self._shares) ** 2
         spread = estimate.variances + self._variances
@@ -59,7 +60,7 @@
         layers: NDArray[np.bool_],
         estimate: LoadEstimate,
     ) -> None:
-        """Make the estimate the reference of some layers."""
+        """Make the estimate the reference of the given layers."""
         if self._shares is None or self._variances is None:
             return
         self._shares[layers] = estimate.shares[layers]
--- a/src/snipebend/experts/estimate.py
+++ b/src/snipebend/experts/estimate.py
@@ -1,11 +1,11 @@
-"""Experts' load, estimated from the ranks' late and gappy reports.
-
-Each rank counts which experts the tokens that start on it chose, so any
-subset of ranks is a fair sample of the group's traffic: missing ranks and
-layers widen the variance and bias nothing. Reports are weighted by the age of
-their step (forward decay: G. Cormode, V. Shkapenyuk, D. Srivastava, B. Xu,
-"Forward decay: a practical time decay model for streaming systems", ICDE
-2009), so the estimate does not depend on the order in which they come.
+"""Estimation of expert load from late and incomplete reports of ranks.
+
+Each rank counts which experts the tokens that start on it chose, so any subset
+of ranks is an unbiased sample of the group's traffic: missing ranks and layers
+widen the variance and add no bias. Reports are weighted by the age of their
+step (forward decay: G. Cormode, V. Shkapenyuk, D. Srivastava, B. Xu, "Forward
+decay: a practical time decay model for streaming systems", ICDE 2009), so the
+estimate does not depend on the order in which they arrive.
 """
 
 from __future__ import annotations
@@ -23,19 +23,20 @@
 
     from snipebend.experts.model import GroupShape
 
-#: Reports older than this many half-lives weigh under 1/256 and are dropped.
-_OLDEST_HALF_LIVES = 8
-#: The recent mean forgets this many times faster than the estimate, and the
-#: long run's this many times slower.
+#: Reports older than this many half-lives have a weight below 1/256 and are
+#: dropped.
+_MAX_AGE_HALF_LIVES = 8
+#: The half-life of the recent shares is shorter than the estimate's by the
+#: first factor, that of the long-run shares longer by the second.
 _RECENT_FACTOR = 4
 _LONG_FACTOR = 32
 
 
 class ExpertReport(NamedTuple):
-    """Choices that one rank's tokens made since its last report.
+    """Expert choices of one rank's tokens since its last report.
 
-    ``step`` stamps the last step counted. ``counts`` has one row for each
-    entry of ``layers``; layers that are missing were not counted.
+    ``step`` is the last step counted. ``counts`` has one row for each entry of
+    ``layers``; layers that are missing were not counted.
     """
 
     rank: int
@@ -45,12 +46,12 @@
 
 
 class LoadEstimate(NamedTuple):
-    """Each expert's share of its layer's tokens, with variances.
+    """Share of each expert in the tokens of its layer, with variances.
 
-    ``shares``, ``variances`` and ``recent`` are layers by experts; ``recent``
-    holds the shares over a shorter span, the ``long`` ones those over a
-    longer one, ``step`` is the newest step heard of (-1: none). Layers
-    without a report are even, with variance 1.
+    ``shares``, ``variances`` and ``recent`` have the axes layers and experts;
+    ``recent`` holds the shares over a shorter period, ``long_shares`` and
+    ``long_variances`` those over a longer one. ``step`` is the newest reported
+    step (-1: none). Layers without a report have equal shares with variance 1.
     """
 
     shares: NDArray[np.float64]
@@ -61,7 +62,7 @@
     step: int
 
     def long_run(self) -> LoadEstimate:
-        """Return the same with the long run's shares and variances."""
+        """Return the estimate with the long-run shares and variances."""
         return self._replace(
             shares=self.long_shares,
             variances=self.long_variances,
@@ -74,40 +75,41 @@
     def __init__(self, shape: GroupShape, half_life_steps: float) -> None:
         """Start without reports; weights halve every ``half_life_steps``."""
         self._shape = shape
-        self._oldest = _OLDEST_HALF_LIVES * half_life_steps
+        self._max_age = _MAX_AGE_HALF_LIVES * half_life_steps
         self._slow = _DecayedSums(shape, half_life_steps)
         self._recent = _DecayedSums(shape, half_life_steps / _RECENT_FACTOR)
         self._long = _DecayedSums(shape, half_life_steps * _LONG_FACTOR)
-        self._seen: dict[tuple[int, int], NDArray[np.bool_]] = {}
+        self._recorded_layers: dict[tuple[int, int], NDArray[np.bool_]] = {}
         self._step = -1
 
     def record(self, report: ExpertReport) -> Result[bool, InvalidInputError]:
-        """Take a report in; ``Ok(False)`` if it is too old or a duplicate.
+        """Add a report; ``Ok(False)`` if it is too old or a duplicate.
 
-        Layers heard before for the same rank and step are passed over.
+        Layers that were already recorded for the same rank and step are
+        ignored.
         """
         fault = _find_fault(self._shape, report)
         if fault:
             return Err(InvalidInputError(fault, step='record expert load'))
         self._advance(report.step)
-        if report.step < self._step - self._oldest:
+        if report.step < self._step - self._max_age:
             return Ok(False)
-        fresh = self._take_unseen(report)
+        is_new = self._mark_recorded(report)
         age = self._step - report.step
         for sums in (self._slow, self._recent, self._long):
-            sums.add(report.layers[fresh], report.counts[fresh], age)
-        return Ok(bool(fresh.any()))
+            sums.add(report.layers[is_new], report.counts[is_new], age)
+        return Ok(bool(is_new.any()))
 
     def estimate(self) -> LoadEstimate:
         """Return the estimate as of the newest step."""
-        slow = _measure(self._slow)
-        recent = _measure(self._recent)
-        blend = _blend(slow, recent)
+        slow = _estimate_shares(self._slow)
+        recent = _estimate_shares(self._recent)
+        blend = _shrink_to_slow(slow, recent)
         return LoadEstimate(
             blend.shares,
             blend.variances,
             recent.shares,
-            *_measure(self._long),
+            *_estimate_shares(self._long),
             self._step,
         )
 
@@ -118,40 +120,42 @@
         for sums in (self._slow, self._recent, self._long):
             sums.decay(elapsed)
         self._step = step
-        oldest = step - self._oldest
-        self._seen = {
+        oldest = step - self._max_age
+        self._recorded_layers = {
             key: layers
-            for key, layers in self._seen.items()
+            for key, layers in self._recorded_layers.items()
             if key[1] >= oldest
         }
 
-    def _take_unseen(self, report: ExpertReport) -> NDArray[np.bool_]:
+    def _mark_recorded(self, report: ExpertReport) -> NDArray[np.bool_]:
         key = (report.rank, report.step)
-        unseen = np.zeros(self._shape.layers, dtype=np.bool_)
-        seen = self._seen.setdefault(key, unseen)
-        fresh = ~seen[report.layers]
-        seen[report.layers] = True
-        return fresh
+        none_recorded = np.zeros(self._shape.layers, dtype=np.bool_)
+        recorded = self._recorded_layers.setdefault(key, none_recorded)
+        is_new = ~recorded[report.layers]
+        recorded[report.layers] = True
+        return is_new
 
 
-class _Measured(NamedTuple):
+class _ShareEstimate(NamedTuple):
     shares: NDArray[np.float64]
     variances: NDArray[np.float64]
 
 
-def _measure(sums: _DecayedSums) -> _Measured:
+def _estimate_shares(sums: _DecayedSums) -> _ShareEstimate:
     shares = sums.shares()
-    return _Measured(shares, sums.variances(shares))
+    return _ShareEstimate(shares, sums.variances(shares))
 
 
-def _blend(slow: _Measured, recent: _Measured) -> _Measured:
-    """Follow the recent shares as far as drift, not noise, moved them.
+def _shrink_to_slow(
+    slow: _ShareEstimate, recent: _ShareEstimate
+) -> _ShareEstimate:
+    """Move the slow shares towards the recent ones as far as they drifted.
 
-    Each layer's distance between the two is compared with what noise alone
-    makes of it, and the recent shares are shrunk towards the slow ones by the
-    positive-part rule of W. James and C. Stein, "Estimation with quadratic
-    loss", 4th Berkeley Symposium, 1961. The variance is an upper bound, for
-    both come from the same reports.
+    The distance between the two in each layer is compared with the distance
+    that noise alone explains, and the recent shares are shrunk towards the slow
+    ones by the positive-part rule of W. James and C. Stein, "Estimation with
+    quadratic loss", 4th Berkeley Symposium, 1961. The variance is an upper
+    bound, since both come from the same reports.
     """
     distance = ((recent.shares - slow.shares) ** 2).sum(axis=1, keepdims=True)
     noise = recent.variances.sum(axis=1, keepdims=True)
@@ -164,24 +168,29 @@
     weight = 1 - ratio
     shares = slow.shares + weight * (recent.shares - slow.shares)
     variances = slow.variances + weight * (recent.variances - slow.variances)
-    return _Measured(shares, variances)
+    return _ShareEstimate(shares, variances)
 
 
 def _find_fault(shape: GroupShape, report: ExpertReport) -> str:
     layers = report.layers
     if not 0 <= report.rank < shape.ranks or report.step < 0:
-        return 'unknown rank or step'
-    if report.counts.shape != (len(layers), shape.experts):
-        return 'counts do not fit layers and experts'
+        return f'rank {report.rank} or step {report.step} out of range'
+    expected = (len(layers), shape.experts)
+    if report.counts.shape != expected:
+        return f'counts have shape {report.counts.shape}, not {expected}'
     if len(np.unique(layers)) != len(layers):
-        return 'layer twice in one report'
+        return f'layers are not distinct: {layers.tolist()}'
     if ((layers < 0) | (layers >= shape.layers)).any():
-        return 'unknown layer'
+        return f'layers out of range: {layers.tolist()}, of {shape.layers}'
     return 'negative count' if (report.counts < 0).any() else ''
 
 
 class _DecayedSums:
-    """Weighted sums of counts c and totals t, with the squares' weights."""
+    """Decayed sums of counts and of layer totals.
+
+    Besides the sums themselves it keeps the sums of squares and products, with
+    squared weights, which the variances are computed from.
+    """
 
     def __init__(self, shape: GroupShape, half_life_steps: float) -> None:
         axes = (shape.layers, shape.experts)
@@ -194,7 +203,7 @@
         self._totals_by_weight = np.zeros((shape.layers, 1))
 
     def decay(self, steps: int) -> None:
-        """Let all weights age by some steps."""
+        """Decay all sums by a number of steps."""
         factor = self._weight(steps)
         self._counts *= factor
         self._totals *= factor
@@ -209,7 +218,7 @@
         counts: NDArray[np.int64],
         age: int,
     ) -> None:
-        """Add one report's rows of distinct layers at the given age."""
+        """Add a report's rows, of distinct layers, at the given age."""
         weight = self._weight(age)
         totals = counts.sum(axis=1, keepdims=True)
         weighted = counts * weight
@@ -222,7 +231,7 @@
         self._totals_by_weight[layers] += weighted_totals * weight
 
     def shares(self) -> NDArray[np.float64]:
-        """Return the experts' shares; even where nothing was reported."""
+        """Return the shares of the experts; equal shares without reports."""
         even = np.full_like(self._counts, 1 / self._counts.shape[1])
         known = self._totals > 0
         return np.divide(self._counts, self._totals, out=even, where=known)
@@ -230,9 +239,10 @@
     def variances(self, shares: NDArray[np.float64]) -> NDArray[np.float64]:
         """Return the variance of each share.
 
-        The scatter between reports gives that of a ratio of sums (W. G.
-        Cochran, "Sampling techniques", 3rd ed., section 6.4), which sees
-        tokens that choose alike; independent tokens give the least.
+        The scatter between reports gives the variance of a ratio of sums (W. G.
+        Cochran, "Sampling techniques", 3rd ed., section 6.4), which accounts
+        for tokens whose choices are correlated. The variance of independent
+        tokens is the lower bound.
         """
         scatter = (
             self._counts_squared
--- a/src/snipebend/experts/group_watch.py
+++ b/src/snipebend/experts/group_watch.py
@@ -5,12 +5,12 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from snipebend.experts.change_value import DemandAge, least_saving
+from snipebend.experts.change_value import DemandAge, required_saving
 from snipebend.experts.demand import Demand
-from snipebend.experts.hold_aim import LEAST_PASS_S
+from snipebend.experts.hold_planner import MIN_PASS_S
 from snipebend.experts.layer_state import LayerMap
-from snipebend.experts.map_search import Bounds, MapSearch
-from snipebend.experts.reading_plan import CALM_SHARE
+from snipebend.experts.map_search import ChangeLimits, MapSearch
+from snipebend.experts.reading_plan import ON_TIME_SHARE
 from snipebend.experts.uncertain_skew import expected_skew
 
 if TYPE_CHECKING:
@@ -93,13 +93,17 @@
         self.demand.begin(read)
 
     def end_span(
-        self, read: Mapping[int, RankCounts], now: float, *, is_new: bool
+        self, read: Mapping[int, RankCounts], now: float, *, is_unmixed: bool
     ) -> None:
         """Take over what was chosen since the span began; begin another."""
         self._note_steps(read, now)
-        self.demand.end(read, is_new=is_new)
-        if self.demand.told and self.demand.is_fresh and not self.turning:
-            self.age.note_turn(self._read_at)
+        self.demand.end(read, is_unmixed=is_unmixed)
+        if (
+            self.demand.is_conclusive
+            and self.demand.is_restarted
+            and not self.turning
+        ):
+            self.age.note_shift(self._read_at)
         self._read_at = now
 
     @property
@@ -108,7 +112,7 @@
         pace = self._pace
         if pace is None or self.told_pass_s is None:
             return pace
-        return pace._replace(pass_s=max(LEAST_PASS_S, self.told_pass_s))
+        return pace._replace(pass_s=max(MIN_PASS_S, self.told_pass_s))
 
     def renew_pace(self) -> None:
         """Measure passes anew: the map in force has changed."""
@@ -123,7 +127,7 @@
         passes = step - last.step if last else 0
         if last and passes > 0:
             self._pace = Pace(
-                step, now, max(LEAST_PASS_S, (now - last.at) / passes)
+                step, now, max(MIN_PASS_S, (now - last.at) / passes)
             )
         elif last is None:
             self._pace = Pace(step, now)
@@ -132,7 +136,7 @@
     def look(self, layers: tuple[LayerMap, ...]) -> Outlook | Kept:
         """Return a map that is worth its loads, or why there is none."""
         shares = self.demand.shares
-        chosen = self.demand.chosen
+        chosen = self.demand.choices
         if shares is None or chosen is None:
             return Kept('turning')
         loads: list[list[float]] = (shares * self.size).tolist()
@@ -150,9 +154,9 @@
         )
 
     def _least_saving(self, most_loads: int) -> float:
-        known_s = self.age.known_s(self._read_at)
+        age_s = self.age.age_s(self._read_at)
         fetch_s = most_loads * self._sizes.fetch_s
-        return least_saving(known_s, self.age.last_lasted_s, fetch_s)
+        return required_saving(age_s, self.age.previous_lifetime_s, fetch_s)
 
     def _is_calm(self, saving: float) -> bool:
         """Tell whether streams are on time without this change, too.
@@ -164,27 +168,29 @@
         pass_s = self.told_pass_s
         if pass_s is None and self._pace is not None:
             pass_s = self._pace.pass_s
-        return pass_s is None or pass_s < CALM_SHARE * self._sizes.pause_s
+        return (
+            pass_s is None or pass_s < ON_TIME_SHARE * self._sizes.max_pause_s
+        )
 
     def _search(
         self, layers: tuple[LayerMap, ...], loads: list[list[float]]
     ) -> tuple[LayerMap, ...]:
-        bounds = Bounds(
-            self._sizes.places,
-            self._sizes.spare,
-            most_fetched=self._most_fetched(),
+        limits = ChangeLimits(
+            self._sizes.slots,
+            self._sizes.max_new,
+            max_fetches=self._max_fetches(),
         )
-        return MapSearch(layers, loads, bounds, self.slowness).run()
+        return MapSearch(layers, loads, limits, self.slowness).run()
 
-    def _most_fetched(self) -> float:
+    def _max_fetches(self) -> float:
         if not self._sizes.fetch_s:
             return math.inf
         return max(1, MOST_FETCH_S // self._sizes.fetch_s)
 
     def _saving(self, before: float, after: float) -> float:
-        share = self._sizes.share
-        length = (1 - share) + share * before
-        return share * (before - after) / length
+        work_share = self._sizes.work_share
+        length = (1 - work_share) + work_share * before
+        return work_share * (before - after) / length
 
 
 def _loads_by_rank(
--- a/src/snipebend/experts/layer_state.py
+++ b/src/snipebend/experts/layer_state.py
@@ -1,4 +1,4 @@
-"""One layer of a map, and how evenly it spreads a load (pure)."""
+"""Map of one layer, and the skew of its load (pure)."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-#: Experts by rank: one layer of a map.
+#: The experts that each rank holds in one layer.
 LayerMap = tuple[tuple[int, ...], ...]
 
 
 def layer_skew(
-    layer: LayerMap, loads: Sequence[float], paces: Sequence[float] = ()
+    layer: LayerMap, loads: Sequence[float], slowness: Sequence[float] = ()
 ) -> float:
-    """Return the load of the hottest rank; the mean is 1.
+    """Return the load of the hottest rank; the mean load is 1.
 
-    Replicas of an expert share its load evenly. A rank that works slowly
-    counts its load as many times over as ``paces`` tells.
+    Replicas of an expert share its load evenly. ``slowness`` gives by rank how
+    many times as long it takes for its work; its load is multiplied by it.
     """
     copies = Counter(chain.from_iterable(layer))
     heat = [sum(loads[one] / copies[one] for one in held) for held in layer]
-    slowed = zip(paces or (1,) * len(heat), heat, strict=True)
+    slowed = zip(slowness or (1,) * len(heat), heat, strict=True)
     return max(pace * load for pace, load in slowed)
--- a/src/snipebend/experts/layer_steps.py
+++ b/src/snipebend/experts/layer_steps.py
@@ -1,4 +1,7 @@
-"""All single steps on one layer of a map, weighed at once (pure)."""
+"""Single steps of the map search on one layer, evaluated together (pure).
+
+The heat of a rank is its load, multiplied by its slowness.
+"""
 
 from __future__ import annotations
 
@@ -15,29 +18,31 @@
 
     Floats = NDArray[np.float64]
     Flags = NDArray[np.bool_]
-    Places = NDArray[np.intp]
+    Indices = NDArray[np.intp]
 
-#: The coldest ranks that a step may use as its target. Trials on random loads
-#: of 16 ranks gained under 0.01 of skew from looking at all of them.
-TARGETS = 6
+#: Number of least loaded ranks that are considered as the target of a step. In
+#: trials on random loads of 16 ranks, considering all of them reduced the skew
+#: by less than 0.01 more.
+MAX_TARGETS = 6
 
-#: Exponent of the objective, a norm of the ranks' loads: high enough that the
-#: hottest ranks count, low enough that a step on one of two equally hot ranks
-#: is a gain.
-_SHARPNESS = 8
+#: Exponent of the objective, a norm of the ranks' heat: high enough that the
+#: hottest ranks dominate, low enough that relieving one of two equally hot
+#: ranks is a gain.
+_NORM_EXPONENT = 8
 
-#: Loads that a step counts at the least: steps that fetch nothing go first.
-_LEAST_COST = 0.5
+#: Lower bound of the loads that a step is charged for, so that steps without a
+#: fetch come first.
+_MIN_COST = 0.5
 
-#: The gain of a step that isn't allowed.
-_FORBIDDEN = -1e9
+#: Gain of a step that isn't allowed.
+_DISALLOWED_GAIN = -1e9
 
 
-class FoundStep(NamedTuple):
-    """Give the hot rank's expert to a target, which may drop one for it.
+class CandidateStep(NamedTuple):
+    """A step that gives an expert of the hottest rank to a target rank.
 
-    After a move the hot rank no longer holds the expert; in a swap it gets the
-    dropped one as well.
+    The target may drop another expert for it. After a move the hottest rank no
+    longer holds the expert; in a swap it also gets the dropped one.
     """
 
     hot: int
@@ -46,54 +51,55 @@
     dropped: int | None
     moves: bool
     swaps: bool
-    #: Fall of the layer's heat for each expert that is fetched, if only one
-    #: rank is as hot as the hottest.
+    #: Reduction of the layer's norm for each expert that is fetched, scaled as
+    #: if only one rank were as hot as the hottest.
     gain: float
 
 
 class LayerSteps:
-    """Who holds what in one layer, and each rank's load; the mean is 1.
+    """Holders of each expert in one layer, and the heat of each rank.
 
-    A step concerns a few ranks and two experts, and only these are weighed
-    again: a search of 600 steps in a group of 192 ranks takes 0.11 s of a core,
-    0.34 s when each step looks at the whole layer.
+    The mean load of a rank is 1. A step affects a few ranks and two experts,
+    and only these are evaluated again: a search of 600 steps in a group of 192
+    ranks takes 0.11 s of a core, instead of 0.34 s when each step evaluates the
+    whole layer.
     """
 
     def __init__(
         self,
         layer: LayerMap,
         loads: Sequence[float],
-        paces: Sequence[float],
-        places: int,
+        slowness: Sequence[float],
+        slots: int,
     ) -> None:
-        """Start with a map, the experts' loads and the ranks' slowness."""
+        """Start with a map, the loads of experts and the slowness of ranks."""
         self._loads: Floats = np.asarray(loads, dtype=float)
-        self._paces: Floats = np.asarray(paces, dtype=float)
-        self._places = places
+        self._slowness: Floats = np.asarray(slowness, dtype=float)
+        self._slots = slots
         self._held: Flags = np.zeros((len(layer), len(loads)), dtype=bool)
         for rank, held in enumerate(layer):
             self._held[rank, list(held)] = True
         self._before: Flags = self._held.copy()
-        self._copies: Places = self._held.sum(axis=0)
-        #: The load of each rank, slow ones' as often as they are.
+        self._copies: Indices = self._held.sum(axis=0)
+        #: Load of each rank, multiplied by its slowness.
         self.heat: Floats = self._heat_of(slice(None))
-        #: How many experts each rank fetches.
-        self.fetched: Places = np.zeros(len(layer), dtype=np.intp)
+        #: Number of experts that each rank fetches.
+        self.fetched: Indices = np.zeros(len(layer), dtype=np.intp)
 
     @property
     def skew(self) -> float:
-        """Return the load of the hottest rank."""
+        """Return the heat of the hottest rank."""
         return float(self.heat.max())
 
     @property
     def layer(self) -> LayerMap:
-        """Return the map."""
+        """Return the map of the layer after the steps applied so far."""
         return tuple(
             tuple(np.flatnonzero(held).tolist()) for held in self._held
         )
 
-    def fetching_ranks(self, step: FoundStep) -> list[int]:
-        """Return the ranks that a step has fetch an expert."""
+    def fetching_ranks(self, step: CandidateStep) -> list[int]:
+        """Return the ranks that have to fetch an expert for a step."""
         ranks = []
         if not self._before[step.target, step.expert]:
             ranks.append(step.target)
@@ -101,32 +107,33 @@
             ranks.append(step.hot)
         return ranks
 
-    def apply(self, step: FoundStep) -> None:
-        """Carry a step out."""
-        concerned = [step.expert]
+    def apply(self, step: CandidateStep) -> None:
+        """Apply a step."""
+        affected = [step.expert]
         self._held[step.target, step.expert] = True
         if step.moves:
             self._held[step.hot, step.expert] = False
         if step.dropped is not None:
-            concerned.append(step.dropped)
+            affected.append(step.dropped)
             self._held[step.target, step.dropped] = False
         if step.swaps:
             self._held[step.hot, step.dropped] = True
-        self._copies[concerned] = self._held[:, concerned].sum(axis=0)
-        ends = [step.hot, step.target]
-        new = self._held[ends] & ~self._before[ends]
-        self.fetched[ends] = new.sum(axis=1)
-        ranks: Flags = np.any(self._held[:, concerned], axis=1)
-        ranks[ends] = True
+        self._copies[affected] = self._held[:, affected].sum(axis=0)
+        changed_ranks = [step.hot, step.target]
+        new = self._held[changed_ranks] & ~self._before[changed_ranks]
+        self.fetched[changed_ranks] = new.sum(axis=1)
+        ranks: Flags = np.any(self._held[:, affected], axis=1)
+        ranks[changed_ranks] = True
         self.heat[ranks] = self._heat_of(ranks)
 
     def best_step(
-        self, may_fetch: Flags, spare: int, least_gain: float
-    ) -> FoundStep | None:
-        """Return the step that gains most; none gains ``least_gain``.
+        self, can_fetch: Flags, max_new: int, min_gain: float
+    ) -> CandidateStep | None:
+        """Return the step that gains most; None if none gains ``min_gain``.
 
-        ``may_fetch`` tells by rank whether it may fetch one more in this
-        change, ``spare`` how many of this layer it may.
+        ``can_fetch`` states for each rank whether it may fetch another expert
+        in this change, ``max_new`` is how many experts of this layer each rank
+        may fetch.
         """
         heat = self.heat
         hot = int(heat.argmax())
@@ -135,27 +142,28 @@
             self._held,
             self._before,
             self._loads,
-            self._paces,
+            self._slowness,
             self._copies,
             hot,
-            by_heat[by_heat != hot][:TARGETS],
+            by_heat[by_heat != hot][:MAX_TARGETS],
         )
-        free = may_fetch & (self.fetched < spare)
-        step = options.best(heat, free, self._places)
-        return step if step.gain > least_gain else None
+        may_fetch_more = can_fetch & (self.fetched < max_new)
+        step = options.best(heat, may_fetch_more, self._slots)
+        return step if step.gain > min_gain else None
 
     def _heat_of(self, ranks: Flags | slice) -> Floats:
         parts: Floats = self._loads / self._copies
-        heat: Floats = self._paces[ranks] * (self._held[ranks] @ parts)
+        heat: Floats = self._slowness[ranks] * (self._held[ranks] @ parts)
         return heat
 
 
 class _Options:
-    """The steps from one hot rank to some targets.
+    """The candidate steps from the hottest rank to some targets.
 
-    Arrays have the axes: the hot rank's experts, targets, what a target drops
-    (nothing first) and the ranks that any of the steps concerns, of which some
-    may be missing: 11 in the mean of 192 ranks, 34 at the most.
+    Arrays have the axes: experts of the hottest rank, targets, experts that a
+    target drops (the first entry: none) and the ranks that any of the steps
+    affects. Some axes may be missing. In a group of 192 ranks the steps affect
+    11 ranks on average and at most 34.
     """
 
     def __init__(
@@ -163,10 +171,10 @@
         held: Flags,
         before: Flags,
         loads: Floats,
-        paces: Floats,
-        copies: Places,
+        slowness: Floats,
+        copies: Indices,
         hot: int,
-        targets: Places,
+        targets: Indices,
     ) -> None:
         self._held = held
         self._before = before
@@ -175,75 +183,87 @@
         self._hot = hot
         self._targets = targets
         self._experts = np.flatnonzero(held[hot])
-        #: What each target may drop; padded with 0 where it holds less.
+        #: The experts that each target holds and could drop; shorter rows are
+        #: padded with experts that the target lacks.
         self._drops = self._list_drops()
         self._is_drop = held[self._targets[:, None], self._drops]
-        self._ranks = self._concerned_ranks()
-        self._near_held: Flags = held[self._ranks]
-        self._near_paces: Floats = paces[self._ranks]
-        #: Where the hot rank and the targets stand among these ranks.
-        self._near_hot = int(np.searchsorted(self._ranks, hot))
-        self._near_targets = np.searchsorted(self._ranks, targets)
-
-    def best(self, heat: Floats, free: Flags, places: int) -> FoundStep:
-        """Return the best step; ``free`` are the ranks that may fetch."""
+        self._ranks = self._find_affected_ranks()
+        self._affected_held: Flags = held[self._ranks]
+        self._affected_slowness: Floats = slowness[self._ranks]
+        #: Positions of the hottest rank and of the targets among the affected
+        #: ranks.
+        self._affected_hot = int(np.searchsorted(self._ranks, hot))
+        self._affected_targets = np.searchsorted(self._ranks, targets)
+
+    def best(
+        self, heat: Floats, may_fetch_more: Flags, slots: int
+    ) -> CandidateStep:
+        """Return the best step.
+
+        ``may_fetch_more`` states for each rank whether it may fetch another
+        expert.
+        """
         gain = np.where(
-            self._allowed(free, places),
-            self._falls(heat) / self._costs(),
-            _FORBIDDEN,
+            self._allowed(may_fetch_more, slots),
+            self._norm_reductions(heat) / self._costs(),
+            _DISALLOWED_GAIN,
         )
-        way, expert, target, drop = np.unravel_index(gain.argmax(), gain.shape)
-        return FoundStep(
+        kind, expert, target, drop = np.unravel_index(gain.argmax(), gain.shape)
+        return CandidateStep(
             self._hot,
             int(self._experts[expert]),
             int(self._targets[target]),
             int(self._drops[target, drop - 1]) if drop else None,
-            moves=bool(way),
-            swaps=way == 2,
-            gain=float(gain[way, expert, target, drop]),
+            moves=bool(kind),
+            swaps=kind == 2,
+            gain=float(gain[kind, expert, target, drop]),
         )
 
-    def _falls(self, heat: Floats) -> Floats:
-        """Return by how much each step lowers the norm of the ranks' loads.
+    def _norm_reductions(self, heat: Floats) -> Floats:
+        """Return by how much each step reduces the norm of the ranks' heat.
 
-        Times the ranks that are as hot as the hottest, in parts: a step takes
-        load off one of them. Weighed by what it brings to all, the last of many
-        hot ranks were left as they were: at 72 ranks a search ended at a skew
-        of 1.57 with 109 loads a turn, where 1.19 can be had with 332.
+        The reduction is multiplied by the effective number of ranks that are as
+        hot as the hottest, since a step relieves only one of them. Without this
+        factor the last of many hot ranks were not improved: at 72 ranks a
+        search ended at a skew of 1.57 with 109 loads per shift of demand, where
+        1.19 can be reached with 332.
         """
-        sharp = _sharpened(heat)
-        total = sharp.sum()
-        apart = max(0, total - sharp[self._ranks].sum())
-        near = heat[self._ranks] + self._near_paces * self._changes()
-        after = _sharpened(np.maximum(0, near)).sum(axis=-1)
-        root = 1 / _SHARPNESS
-        falls: Floats = total**root - (apart + after) ** root
-        falls *= total / sharp.max()
-        return falls
-
-    def _concerned_ranks(self) -> Places:
-        """Return the hot rank, the targets and who shares their experts."""
+        terms = _norm_terms(heat)
+        total = terms.sum()
+        unaffected = max(0, total - terms[self._ranks].sum())
+        changed_heat = (
+            heat[self._ranks] + self._affected_slowness * self._changes()
+        )
+        after = _norm_terms(np.maximum(0, changed_heat)).sum(axis=-1)
+        root = 1 / _NORM_EXPONENT
+        reductions: Floats = total**root - (unaffected + after) ** root
+        reductions *= total / terms.max()
+        return reductions
+
+    def _find_affected_ranks(self) -> Indices:
+        """Return the hottest rank, the targets and co-holders of experts."""
         shared = np.concatenate([self._experts, self._drops.ravel()])
-        concerned: Flags = np.any(self._held[:, shared], axis=1)
-        concerned[self._hot] = True
-        concerned[self._targets] = True
-        ranks: Places = np.flatnonzero(concerned)
+        affected: Flags = np.any(self._held[:, shared], axis=1)
+        affected[self._hot] = True
+        affected[self._targets] = True
+        ranks: Indices = np.flatnonzero(affected)
         return ranks
 
-    def _list_drops(self) -> Places:
-        """Return what targets hold; shorter lists repeat what they lack."""
+    def _list_drops(self) -> Indices:
+        """Return each target's experts, padded with others that it lacks."""
         held = self._held[self._targets]
         most = int(held.sum(axis=1).max())
-        drops: Places = np.argsort(~held, axis=1, kind='stable')[:, :most]
+        drops: Indices = np.argsort(~held, axis=1, kind='stable')[:, :most]
         return drops
 
     def _changes(self) -> Floats:
-        """Return by how much each rank's load changes, by way of the step.
+        """Return the change of each rank's load by kind of step.
 
-        The ways are: copy or move, and drop; and exchange.
+        The kinds are: copy (with or without a drop), move (with or without a
+        drop), and swap.
         """
-        copied, moved = self._given()
-        left, swapped = self._dropped()
+        copied, moved = self._transfer_changes()
+        left, swapped = self._drop_changes()
         return np.stack(
             [
                 copied[:, :, None] + left[None],
@@ -252,69 +272,74 @@
             ]
         )
 
-    def _given(self) -> tuple[Floats, Floats]:
-        """Return what a copy or a move changes."""
+    def _transfer_changes(self) -> tuple[Floats, Floats]:
+        """Return the changes of load by a copy and by a move of an expert."""
         loads = self._loads[self._experts]
         copies = self._copies[self._experts]
         rows = np.arange(len(self._targets))
         fewer = loads / (copies + 1) - loads / copies
-        holders = self._near_held[:, self._experts].T * fewer[:, None]
+        holders = self._affected_held[:, self._experts].T * fewer[:, None]
         copied = np.repeat(holders[:, None], len(rows), axis=1)
-        copied[:, rows, self._near_targets] = (loads / (copies + 1))[:, None]
+        copied[:, rows, self._affected_targets] = (loads / (copies + 1))[
+            :, None
+        ]
         moved = np.zeros_like(copied)
-        moved[:, :, self._near_hot] = -(loads / copies)[:, None]
-        moved[:, rows, self._near_targets] = (loads / copies)[:, None]
+        moved[:, :, self._affected_hot] = -(loads / copies)[:, None]
+        moved[:, rows, self._affected_targets] = (loads / copies)[:, None]
         return copied, moved
 
-    def _dropped(self) -> tuple[Floats, Floats]:
-        """Return what a drop changes, to nobody and to the hot rank."""
+    def _drop_changes(self) -> tuple[Floats, Floats]:
+        """Return the changes of load by a drop and by the return in a swap."""
         copies = self._copies[self._drops]
         loads = self._loads[self._drops]
         rows = np.arange(len(self._targets))
         shared = loads / np.maximum(1, copies - 1) - loads / copies
-        holders = np.moveaxis(self._near_held[:, self._drops], 0, -1)
+        holders = np.moveaxis(self._affected_held[:, self._drops], 0, -1)
         left = holders * shared[..., None]
-        left[rows, :, self._near_targets] = -(loads / copies)
+        left[rows, :, self._affected_targets] = -(loads / copies)
         swapped = np.zeros_like(left)
-        swapped[rows, :, self._near_targets] = -(loads / copies)
-        swapped[:, :, self._near_hot] = loads / copies
-        return _after_nothing(left), _after_nothing(swapped)
+        swapped[rows, :, self._affected_targets] = -(loads / copies)
+        swapped[:, :, self._affected_hot] = loads / copies
+        return _prepend_no_drop(left), _prepend_no_drop(swapped)
 
-    def _allowed(self, free: Flags, places: int) -> Flags:
-        takes = self._before | free[:, None]
+    def _allowed(self, may_fetch_more: Flags, slots: int) -> Flags:
+        takes = self._before | may_fetch_more[:, None]
         new = takes[self._targets] & ~self._held[self._targets]
         given = new[:, self._experts].T[:, :, None]
-        allowed: Flags = given & self._droppable(takes, places)[:, None]
+        allowed: Flags = given & self._droppable(takes, slots)[:, None]
         return allowed
 
-    def _droppable(self, takes: Flags, places: int) -> Flags:
-        """Return by way what each target may drop."""
+    def _droppable(self, takes: Flags, slots: int) -> Flags:
+        """Return by kind of step which experts each target may drop."""
         counts = self._held[self._targets].sum(axis=1)
-        has_room = (counts < places)[:, None]
-        spares = self._is_drop & (self._copies[self._drops] > 1)
+        has_room = (counts < slots)[:, None]
+        droppable = self._is_drop & (self._copies[self._drops] > 1)
         back = takes[self._hot] & ~self._held[self._hot]
         swaps = self._is_drop & back[self._drops]
-        dropping = np.concatenate([has_room, spares], axis=1)
-        swapping = _after_nothing(swaps)
+        dropping = np.concatenate([has_room, droppable], axis=1)
+        swapping = _prepend_no_drop(swaps)
         return np.stack([dropping, dropping, swapping])
 
     def _costs(self) -> Floats:
-        """Return the loads of each step."""
+        """Return the number of experts that each step loads, bounded below."""
         fetched = ~self._before[self._targets][:, self._experts].T
         returned = ~self._before[self._hot][self._drops]
-        back = _after_nothing(returned).astype(float)
-        ways = np.stack([np.zeros_like(back), np.zeros_like(back), back])
-        costs: Floats = fetched[None, :, :, None] + ways[:, None]
-        return costs.clip(min=_LEAST_COST)
+        back = _prepend_no_drop(returned).astype(float)
+        kinds = np.stack([np.zeros_like(back), np.zeros_like(back), back])
+        costs: Floats = fetched[None, :, :, None] + kinds[:, None]
+        return costs.clip(min=_MIN_COST)
 
 
-def _sharpened(heat: Floats) -> Floats:
-    """Return the eighth powers, by squares: 3 us, where a power takes 8."""
+def _norm_terms(heat: Floats) -> Floats:
+    """Return the eighth powers of the heat.
+
+    Repeated squaring takes 3 us; the power operator takes 8 us.
+    """
     squares = heat * heat
     fourths = squares * squares
     return fourths * fourths
 
 
-def _after_nothing(changes: NDArray[Any]) -> NDArray[Any]:
-    """Put the step that drops nothing first."""
+def _prepend_no_drop(changes: NDArray[Any]) -> NDArray[Any]:
+    """Insert an entry of zeros for the step that drops nothing."""
     return np.concatenate([np.zeros_like(changes[:, :1]), changes], axis=1)
--- a/src/snipebend/experts/map_search.py
+++ b/src/snipebend/experts/map_search.py
@@ -1,15 +1,16 @@
-"""A better map within what one change may bring to each rank (pure).
-
-Engines bound how many experts of a layer may be new to a rank in one change,
-and a change takes as long as the rank needs that fetches most. The search
-starts from the map in force and takes single steps, each in the layer in which
-it gains most for each expert that is fetched: copy an expert from the hottest
-rank to another one, move it, or exchange two. Replicas of an expert share its
-load evenly.
-
-Layer by layer, each to its end, the first layers took up all that the ranks may
-fetch: with 32 ranks of twelve layers, three experts a rank and change, one
-change came to a skew of 1.63; in the order of their gain it comes to 1.32.
+"""Search for a better map within the limits of one change (pure).
+
+Engines limit how many experts of a layer may be new to a rank in one change,
+and a change takes as long as the rank with the most fetches. The search starts
+from the map in force and takes single steps, each in the layer with the largest
+gain for each expert that is fetched: copy an expert from the hottest rank to
+another one, move it, or swap two experts. Replicas of an expert share its load
+evenly.
+
+When layers were improved one after the other, the first layers used up all
+fetches of the ranks: with 32 ranks, twelve layers and three fetches for each
+rank, one change reached a skew of 1.63; choosing steps by gain over all layers
+reaches 1.32.
 """
 
 from __future__ import annotations
@@ -25,66 +26,72 @@
     from collections.abc import Sequence
 
     from snipebend.experts.layer_state import LayerMap
-    from snipebend.experts.layer_steps import FoundStep
-
-#: Steps that one layer may take on the average, or one a rank where that is
-#: more; each costs at most two loads. Groups of 192 ranks take some 80: stopped
-#: at 60, one change came to a skew of 1.27 to 1.38 with 600 loads, in place of
-#: 1.21 to 1.22 with 734 to 965. It bounds the search's time only.
-LEAST_STEPS = 60
-
-
-class Bounds(NamedTuple):
-    """What a map may hold, and what one change may bring."""
-
-    #: Experts of one layer on a rank at most.
-    places: int
-    #: Experts of one layer new to a rank in one change at most.
-    spare: int
-    #: Least gain of a step for each expert that it loads: by how much it
-    #: lowers a layer's heat, if only one rank is that hot; the mean load of a
-    #: rank is 1. Over turns of half of a demand, groups of 8, 16, 32 and 72
-    #: ranks, 0.05 came to skews of 1.15, 1.13, 1.32 and 1.35 after one change
-    #: and 1.09, 1.12, 1.17 and 1.19 after two, with 31 to 332 loads a turn;
-    #: 0.03 to 0.03 less with 34 to 338, 0.06 to 0.02 more with 27 to 322.
-    least_gain: float = 0.05
-    #: Experts that one rank fetches in one change at most, over all layers.
-    most_fetched: float = math.inf
+    from snipebend.experts.layer_steps import CandidateStep
+
+#: Steps per layer to which the search is limited on average; the number of
+#: ranks if that is larger. Each step costs at most two loads. Groups of 192
+#: ranks take some 80 steps: limited to 60, one change reached a skew of 1.27 to
+#: 1.38 with 600 loads, instead of 1.21 to 1.22 with 734 to 965. The limit only
+#: bounds the time of the search.
+MIN_STEP_LIMIT = 60
+
+
+class ChangeLimits(NamedTuple):
+    """Limits of a map and of one change."""
+
+    #: Largest number of experts of one layer on a rank.
+    slots: int
+    #: Largest number of experts of one layer that are new to a rank in one
+    #: change.
+    max_new: int
+    #: Smallest gain of a step for each expert that it loads: the reduction of a
+    #: layer's norm, scaled as if only one rank were that hot; the mean load of
+    #: a rank is 1. With shifts of half of the demand in groups of 8, 16, 32 and
+    #: 72 ranks, 0.05 reached skews of 1.15, 1.13, 1.32 and 1.35 after one
+    #: change and 1.09, 1.12, 1.17 and 1.19 after two, with 31 to 332 loads per
+    #: shift; 0.03 reached skews lower by up to 0.03 with 34 to 338 loads, and
+    #: 0.06 skews higher by up to 0.02 with 27 to 322.
+    min_gain: float = 0.05
+    #: Largest number of experts that one rank fetches in one change, over all
+    #: layers.
+    max_fetches: float = math.inf
 
 
 class MapSearch:
-    """The search for one change of a map."""
+    """Search for one change of a map."""
 
     def __init__(
         self,
         before: Sequence[LayerMap],
         loads: Sequence[Sequence[float]],
-        bounds: Bounds,
-        paces: Sequence[float] = (),
+        limits: ChangeLimits,
+        slowness: Sequence[float] = (),
     ) -> None:
-        """Start from the map in force; loads by layer and expert.
+        """Start from the map in force; loads are by layer and expert.
 
-        The mean load of a rank is 1. ``paces`` tells how many times as long
+        The mean load of a rank is 1. ``slowness`` gives how many times as long
         each rank takes for its work.
         """
         ranks = len(before[0])
-        self._bounds = bounds
-        #: What each rank fetches so far.
+        self._limits = limits
+        #: Number of experts that each rank fetches with the steps so far.
         self._fetching = np.zeros(ranks, dtype=np.intp)
         self._layers = [
-            LayerSteps(layer, load, paces or (1.0,) * ranks, bounds.places)
+            LayerSteps(layer, load, slowness or (1.0,) * ranks, limits.slots)
             for layer, load in zip(before, loads, strict=True)
         ]
 
     @property
     def skews(self) -> tuple[float, ...]:
-        """Return the load of each layer's hottest rank; the mean is 1."""
+        """Return the heat of each layer's hottest rank; the mean load is 1."""
         return tuple(layer.skew for layer in self._layers)
 
     def run(self) -> tuple[LayerMap, ...]:
-        """Improve the map until no step is worth its loads."""
+        """Improve the map until no step gains enough for its loads."""
         found = [self._best(layer) for layer in self._layers]
-        most_steps = max(LEAST_STEPS, len(self._fetching)) * len(self._layers)
+        most_steps = max(MIN_STEP_LIMIT, len(self._fetching)) * len(
+            self._layers
+        )
         for _ in range(most_steps):
             gains = [-math.inf if one is None else one.gain for one in found]
             at = gains.index(max(gains))
@@ -93,26 +100,26 @@
                 break
             layer = self._layers[at]
             if self._still_fits(layer, step):
-                self._take(layer, step)
+                self._apply(layer, step)
             found[at] = self._best(layer)
         return tuple(layer.layer for layer in self._layers)
 
-    def _best(self, layer: LayerSteps) -> FoundStep | None:
+    def _best(self, layer: LayerSteps) -> CandidateStep | None:
         return layer.best_step(
-            self._fetching < self._bounds.most_fetched,
-            self._bounds.spare,
-            self._bounds.least_gain,
+            self._fetching < self._limits.max_fetches,
+            self._limits.max_new,
+            self._limits.min_gain,
         )
 
-    def _still_fits(self, layer: LayerSteps, step: FoundStep) -> bool:
-        """Tell whether other layers left its ranks room to fetch."""
+    def _still_fits(self, layer: LayerSteps, step: CandidateStep) -> bool:
+        """Return whether the ranks may still fetch after other steps."""
         return all(
-            self._fetching[rank] < self._bounds.most_fetched
+            self._fetching[rank] < self._limits.max_fetches
             for rank in layer.fetching_ranks(step)
         )
 
-    def _take(self, layer: LayerSteps, step: FoundStep) -> None:
-        ends = [step.hot, step.target]
-        self._fetching[ends] -= layer.fetched[ends]
+    def _apply(self, layer: LayerSteps, step: CandidateStep) -> None:
+        changed_ranks = [step.hot, step.target]
+        self._fetching[changed_ranks] -= layer.fetched[changed_ranks]
         layer.apply(step)
-        self._fetching[ends] += layer.fetched[ends]
+        self._fetching[changed_ranks] += layer.fetched[changed_ranks]
--- a/src/snipebend/experts/model.py
+++ b/src/snipebend/experts/model.py
@@ -18,14 +18,14 @@
     from numpy.typing import NDArray
     from result import Result
 
-#: Little-endian: map version, layers, ranks, slots; expert ids follow.
+#: Little-endian map version, layers, ranks and slots; expert ids follow.
 _HEADER = struct.Struct('<QIII')
 _EXPERT_TYPE = np.dtype('<i2')
 _DECODE_STEP = 'decode expert map'
 
 
 class GroupShape(NamedTuple):
-    """The sizes of a group; ``slots`` is per rank and layer.
+    """Sizes of a group; ``slots`` is the number per rank and layer.
 
     ``expert_bytes`` is the size of one expert's weights in one layer.
     """
@@ -38,12 +38,12 @@
 
     @property
     def placement_shape(self) -> tuple[int, int, int]:
-        """Layers, ranks and slots: the axes of a placement."""
+        """Return the axes of a placement: layers, ranks and slots."""
         return (self.layers, self.ranks, self.slots)
 
 
 class Move(NamedTuple):
-    """Load ``expert`` into one slot; what the slot held is dropped."""
+    """Load of ``expert`` into one slot, replacing what the slot held."""
 
     layer: int
     rank: int
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True, eq=False)
 class ExpertMap:
-    """One version of a group's placement, never changed once made.
+    """One immutable version of a group's placement.
 
-    ``placement`` holds expert ids and has the axes layers, ranks and slots.
-    Two maps are equal if version and placement are.
+    ``placement`` holds expert ids and has the axes layers, ranks and slots. Two
+    maps are equal if both version and placement are equal.
     """
 
     version: int
@@ -83,7 +83,7 @@
         return xxh64_intdigest(self.encode())
 
     def encode(self) -> bytes:
-        """Return the map as bytes, the same on every machine."""
+        """Return the map as bytes, independent of the machine's byte order."""
         header = _HEADER.pack(self.version, *self.placement.shape)
         return header + self.placement.tobytes()
 
@@ -106,12 +106,22 @@
 def decode_map(encoded: bytes) -> Result[ExpertMap, CorruptionError]:
     """Read a map that ``ExpertMap.encode`` wrote."""
     if len(encoded) < _HEADER.size:
-        return Err(CorruptionError('header too short', step=_DECODE_STEP))
+        return Err(
+            CorruptionError(
+                f'header truncated: got {len(encoded)} of {_HEADER.size} bytes',
+                step=_DECODE_STEP,
+            )
+        )
     version, layers, ranks, slots = _HEADER.unpack_from(encoded)
     expected = layers * ranks * slots * _EXPERT_TYPE.itemsize
     body = encoded[_HEADER.size :]
     if len(body) != expected:
-        return Err(CorruptionError('wrong length', step=_DECODE_STEP))
+        return Err(
+            CorruptionError(
+                f'placement has {len(body)} bytes, expected {expected}',
+                step=_DECODE_STEP,
+            )
+        )
     flat = np.frombuffer(body, dtype=_EXPERT_TYPE)
     return Ok(ExpertMap(version, flat.reshape(layers, ranks, slots)))
 
@@ -120,11 +130,11 @@
     shape: GroupShape,
     expert_map: ExpertMap,
 ) -> Result[ExpertMap, InvalidInputError]:
-    """Return the map if the group can serve on it.
+    """Return the map if the group can serve with it.
 
-    The placement must have the group's axes, name known experts only, hold
-    each expert on at least one rank of each layer, and hold no expert twice
-    on one rank, where a second copy could take no load off the first.
+    The placement must have the group's axes, contain only known experts, hold
+    each expert on at least one rank of each layer, and hold no expert twice on
+    one rank, where a second copy would not relieve the first.
     """
     fault = _find_fault(shape, expert_map.placement)
     if fault:
@@ -153,7 +163,7 @@
     placement: NDArray[np.int16],
     experts: int,
 ) -> NDArray[np.int64]:
-    """Return how many slots hold each expert, layers by experts."""
+    """Return the number of slots that hold each expert, layers by experts."""
     layers = placement.shape[0]
     offsets = np.arange(0, layers * experts, experts).reshape(layers, 1)
     keys = placement.reshape(layers, -1) + offsets
--- a/src/snipebend/experts/moves.py
+++ b/src/snipebend/experts/moves.py
@@ -1,10 +1,10 @@
-"""The moves that gain most for each byte, from the trails of a search.
+"""Selection of the changes that gain most per byte from a search trace.
 
-Within a layer, prefixes of the trail on the lower convex hull of skew over
-loads are the ones worth stopping at. The hull's segments of all layers are
-taken steepest first, the greedy rule for the multiple-choice knapsack (P.
-Sinha, A. A. Zoltners, "The multiple-choice knapsack problem", Operations
-Research 27(3), 1979).
+Within a layer, only prefixes of the trace on the lower convex hull of skew over
+loads are worth stopping at. The hull segments of all layers are taken in order
+of decreasing slope, the greedy rule for the multiple-choice knapsack (P. Sinha,
+A. A. Zoltners, "The multiple-choice knapsack problem", Operations Research
+27(3), 1979).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from numpy.typing import NDArray
 
-    from snipebend.experts.search import Trail
+    from snipebend.experts.search import SearchTrace
 
 
 class _Segment(NamedTuple):
@@ -27,22 +27,23 @@
 
 
 def choose_rounds(
-    trail: Trail,
+    trace: SearchTrace,
     min_gain: float,
     max_loads: int,
 ) -> NDArray[np.int64]:
-    """Return for each layer how many rounds of its trail to keep.
+    """Return how many rounds of the trace to keep in each layer.
 
-    Each load kept takes at least ``min_gain`` off its layer's skew on average
-    of its segment; the loads together are at most ``max_loads``.
+    Each load kept reduces the skew of its layer by at least ``min_gain``, as an
+    average over its segment; the total number of loads is at most
+    ``max_loads``.
     """
-    layers = trail.skews.shape[1]
+    layers = trace.skews.shape[1]
     kept = np.zeros(layers, dtype=np.int64)
     closed = np.zeros(layers, dtype=np.bool_)
     segments = [
         segment
         for layer in range(layers)
-        for segment in _hull(trail, layer)
+        for segment in _hull(trace, layer)
         if segment.gain_per_load > min_gain
     ]
     segments.sort(key=_steepest_first)
@@ -57,16 +58,16 @@
 
 def replay(
     placement: NDArray[np.int16],
-    trail: Trail,
+    trace: SearchTrace,
     rounds: NDArray[np.int64],
 ) -> NDArray[np.int16]:
-    """Return the placement after each layer's first ``rounds`` changes."""
+    """Return the placement after the first ``rounds`` changes of each layer."""
     layers = placement.shape[0]
     flat = placement.reshape(layers, -1).copy()
-    for turn, slots in enumerate(trail.slots):
-        running = (rounds > turn).reshape(-1, 1) & (slots >= 0)
+    for number, slots in enumerate(trace.slots):
+        running = (rounds > number).reshape(-1, 1) & (slots >= 0)
         rows, columns = np.nonzero(running)
-        flat[rows, slots[rows, columns]] = trail.experts[turn, rows, columns]
+        flat[rows, slots[rows, columns]] = trace.experts[number, rows, columns]
     return align_slots(placement, flat.reshape(placement.shape))
 
 
@@ -74,7 +75,7 @@
     before: NDArray[np.int16],
     after: NDArray[np.int16],
 ) -> NDArray[np.int16]:
-    """Return ``after`` with what a rank held before kept in its old slot."""
+    """Return ``after`` with experts that a rank keeps in their old slots."""
     aligned = after.copy()
     layers, ranks = np.nonzero((before != after).any(axis=2))
     for layer, rank in zip(layers.tolist(), ranks.tolist(), strict=True):
@@ -94,14 +95,14 @@
     return (-segment.gain_per_load, segment.layer, segment.rounds)
 
 
-def _hull(trail: Trail, layer: int) -> list[_Segment]:
-    """Return the falling segments of one layer's lower convex hull.
+def _hull(trace: SearchTrace, layer: int) -> list[_Segment]:
+    """Return the descending segments of one layer's lower convex hull.
 
-    The hull is walked from the start, each time to the point of steepest
+    The hull is traversed from the start, each time to the point of steepest
     descent (R. A. Jarvis's march, Inf. Process. Lett. 2(1), 1973).
     """
-    skews = trail.skews[:, layer]
-    loads = trail.loads_used[:, layer]
+    skews = trace.skews[:, layer]
+    loads = trace.loads_used[:, layer]
     segments = []
     at = 0
     while at < len(skews) - 1:
--- a/src/snipebend/experts/neighbours.py
+++ b/src/snipebend/experts/neighbours.py
@@ -1,8 +1,8 @@
-"""Single changes of a map that may take load off the hottest rank.
+"""Neighbourhood of a placement: single changes that relieve a hot rank.
 
-Each function returns the best change of its kind in each layer. The score of
-a change is the load of the hottest rank that it touches, an upper bound where
-other holders of a copied expert lose load as well.
+Each function returns the best change of its kind in each layer. The score of a
+change is the load of the hottest rank that it affects; it is an upper bound
+where other holders of a copied expert are relieved as well.
 """
 
 from __future__ import annotations
@@ -11,20 +11,21 @@
 
 import numpy as np
 
-from snipebend.experts.view import BARRED
+from snipebend.experts.placement_view import DISALLOWED
 
 if TYPE_CHECKING:
     from numpy.typing import NDArray
 
-    from snipebend.experts.view import View
+    from snipebend.experts.placement_view import PlacementView
 
 _UNUSED = -1
 
 
 class MapChange(NamedTuple):
-    """One change a layer: what is written to up to two flat slots.
+    """One change per layer: the experts written to up to two flat slots.
 
-    ``slots`` and ``experts`` are layers by 2; unused slots are negative.
+    ``slots`` and ``experts`` have the shape layers by 2; unused slots are
+    negative.
     """
 
     scores: NDArray[np.float64]
@@ -32,26 +33,26 @@
     experts: NDArray[np.int64]
 
     def count_loads(self) -> NDArray[np.int64]:
-        """Return how many slots each layer loads."""
+        """Return how many slots are loaded in each layer."""
         counts: NDArray[np.int64] = (self.slots >= 0).sum(axis=1)
         return counts
 
-    def only(self, layers: NDArray[np.bool_]) -> MapChange:
-        """Return the change with the slots of other layers unused."""
+    def restrict_to(self, layers: NDArray[np.bool_]) -> MapChange:
+        """Return the change with the slots of all other layers unused."""
         slots = np.where(layers.reshape(-1, 1), self.slots, _UNUSED)
         return self._replace(slots=slots)
 
 
-def best_swap(view: View) -> MapChange:
+def best_swap(view: PlacementView) -> MapChange:
     """Swap an expert of the hottest rank with one of another rank."""
-    hot_units = view.unit[view.column, view.hot.experts]
-    shift = hot_units[:, :, None] - view.slot_load[:, None, :]
+    hot_loads = view.replica_load[view.column, view.hot.experts]
+    shift = hot_loads[:, :, None] - view.slot_load[:, None, :]
     scores = np.maximum(
         view.hot.load[:, None, None] - shift,
         view.rank_load[:, None, :] + shift,
     )
-    barred = view.hot.shared[:, None, :] | view.hot.elsewhere
-    best = _pick(np.where(barred, BARRED, scores))
+    disallowed = view.hot.shared[:, None, :] | view.hot.elsewhere
+    best = _find_best_pair(np.where(disallowed, DISALLOWED, scores))
     mine = view.hot.slots[view.rows, best.mine]
     outgoing = view.hot.experts[view.rows, best.mine]
     incoming = view.flat[view.rows, best.other]
@@ -62,8 +63,8 @@
     )
 
 
-def best_copy(view: View) -> MapChange:
-    """Copy an expert of the hottest rank over a replica elsewhere."""
+def best_copy(view: PlacementView) -> MapChange:
+    """Copy an expert of the hottest rank over a replica on another rank."""
     total = view.loads[view.column, view.hot.experts]
     count = view.replicas[view.column, view.hot.experts]
     after = total / (count + 1)
@@ -74,48 +75,48 @@
         np.maximum(target, relieved[:, :, None]),
         view.after_drop[:, None, :],
     )
-    barred = view.hot.shared[:, None, :] | view.hot.elsewhere
-    best = _pick(np.where(barred, BARRED, scores))
+    disallowed = view.hot.shared[:, None, :] | view.hot.elsewhere
+    best = _find_best_pair(np.where(disallowed, DISALLOWED, scores))
     expert = view.hot.experts[view.rows, best.mine]
-    return _single(best.scores, best.other, expert)
+    return _write_one_slot(best.scores, best.other, expert)
 
 
-def best_overwrite(view: View) -> MapChange:
-    """Overwrite a replica on the hottest rank by a cooler expert."""
-    hot_units = view.unit[view.column, view.hot.experts]
-    coming = view.loads / (view.replicas + 1)
-    without = view.hot.load[:, None] - hot_units
-    after = without[:, :, None] + coming[:, None, :]
+def best_overwrite(view: PlacementView) -> MapChange:
+    """Overwrite a replica on the hottest rank by a less loaded expert."""
+    hot_loads = view.replica_load[view.column, view.hot.experts]
+    added_load = view.loads / (view.replicas + 1)
+    without = view.hot.load[:, None] - hot_loads
+    after = without[:, :, None] + added_load[:, None, :]
     drops = view.after_drop[view.column, view.hot.slots]
     scores = np.maximum(after, drops[:, :, None])
-    barred = view.hot.holds[:, None, :]
-    best = _pick(np.where(barred, BARRED, scores))
+    disallowed = view.hot.holds[:, None, :]
+    best = _find_best_pair(np.where(disallowed, DISALLOWED, scores))
     slot = view.hot.slots[view.rows, best.mine]
-    return _single(best.scores, slot, best.other)
+    return _write_one_slot(best.scores, slot, best.other)
 
 
-def detour_copy(view: View) -> MapChange:
-    """Copy the hottest rank's largest expert where it hurts least.
+def detour_copy(view: PlacementView) -> MapChange:
+    """Copy the hottest rank's largest expert where it adds the least load.
 
-    The rank that takes it may become the hottest; later changes can then
-    gain where none could before.
+    The target may become the hottest rank. This lets the search leave a local
+    minimum, since later changes can gain where none could before.
     """
-    mine = view.unit[view.column, view.hot.experts].argmax(axis=1)
+    mine = view.replica_load[view.column, view.hot.experts].argmax(axis=1)
     expert = view.hot.experts[view.rows, mine]
     total = view.loads[view.rows, expert]
     after = total / (view.replicas[view.rows, expert] + 1)
     target = view.rank_load - view.slot_load + after[:, None]
     scores = np.maximum(target, view.after_drop)
-    barred = view.hot.shared | view.hot.elsewhere[view.rows, mine]
-    best = _pick(np.where(barred, BARRED, scores)[:, None, :])
-    return _single(best.scores, best.other, expert)
+    disallowed = view.hot.shared | view.hot.elsewhere[view.rows, mine]
+    best = _find_best_pair(np.where(disallowed, DISALLOWED, scores)[:, None, :])
+    return _write_one_slot(best.scores, best.other, expert)
 
 
-def choose(
+def select_changes(
     changes: list[MapChange],
     choice: NDArray[np.int64],
 ) -> MapChange:
-    """Return for each layer the change that ``choice`` names."""
+    """Return for each layer the change with the index in ``choice``."""
     rows = np.arange(len(choice))
     scores = np.array([change.scores for change in changes])
     slots = np.array([change.slots for change in changes])
@@ -127,21 +128,21 @@
     )
 
 
-class _Best(NamedTuple):
+class _BestPair(NamedTuple):
     scores: NDArray[np.float64]
     mine: NDArray[np.int64]
     other: NDArray[np.int64]
 
 
-def _pick(scores: NDArray[np.float64]) -> _Best:
-    """Return each layer's best pair of the last two axes."""
+def _find_best_pair(scores: NDArray[np.float64]) -> _BestPair:
+    """Return the pair of the last two axes with the lowest score per layer."""
     rows = scores.reshape(len(scores), -1)
     position = rows.argmin(axis=1)
     mine, other = np.divmod(position, scores.shape[2])
-    return _Best(rows[np.arange(len(rows)), position], mine, other)
+    return _BestPair(rows[np.arange(len(rows)), position], mine, other)
 
 
-def _single(
+def _write_one_slot(
     scores: NDArray[np.float64],
     slots: NDArray[np.int64],
     experts: NDArray[np.int64],
--- a/src/snipebend/experts/placement.py
+++ b/src/snipebend/experts/placement.py
@@ -1,10 +1,10 @@
-"""Placement from scratch: replicas of hot experts, packed over the ranks.
+"""Placement from scratch: replication and packing of experts.
 
-Spare slots go one by one to the expert whose replicas are the hottest. The
-replicas are then packed hottest first onto the least loaded rank that has a
-free slot and not the same expert yet: the longest-processing-time rule of
-R. L. Graham, "Bounds on multiprocessing timing anomalies", SIAM J. Appl.
-Math. 17(2), 1969, under a cardinality limit per rank.
+Spare slots are assigned one by one to the expert with the largest load per
+replica. The replicas are then packed in order of decreasing load onto the least
+loaded rank that has a free slot and doesn't hold the same expert yet: the
+longest-processing-time rule of R. L. Graham, "Bounds on multiprocessing timing
+anomalies", SIAM J. Appl. Math. 17(2), 1969, with a cardinality limit per rank.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 ) -> ExpertMap:
     """Return a balanced map for the loads, layers by experts.
 
-    Raises ``InvalidInputError`` if the slots can't hold every expert once,
-    or are so many that a rank would have to hold one expert twice.
+    Raises ``InvalidInputError`` if there are too few slots to hold every expert
+    once, or so many that a rank would have to hold one expert twice.
     """
     check_shape(shape)
     replicas = choose_replicas(shape, loads)
@@ -43,26 +43,33 @@
 
 
 def check_shape(shape: GroupShape) -> None:
-    """Raise ``InvalidInputError`` unless a valid map of the shape exists."""
-    if shape.ranks * shape.slots < shape.experts:
-        raise InvalidInputError('too few slots', step='place experts')
+    """Raise ``InvalidInputError`` unless the shape permits a valid map."""
+    capacity = shape.ranks * shape.slots
+    if capacity < shape.experts:
+        raise InvalidInputError(
+            f'{capacity} slots cannot hold {shape.experts} experts',
+            step='place experts',
+        )
     if shape.slots > shape.experts:
-        raise InvalidInputError('more slots than experts', step='place experts')
+        raise InvalidInputError(
+            f'{shape.slots} slots on a rank exceed {shape.experts} experts',
+            step='place experts',
+        )
 
 
 def choose_replicas(
     shape: GroupShape,
     loads: NDArray[np.float64],
 ) -> NDArray[np.int64]:
-    """Return how many replicas each expert gets, layers by experts.
+    """Return the number of replicas of each expert, layers by experts.
 
     All slots are used; no expert gets more replicas than there are ranks.
     """
     replicas = np.ones(loads.shape, dtype=np.int64)
     layers = np.arange(shape.layers)
     for _ in range(shape.ranks * shape.slots - shape.experts):
-        open_ones = replicas < shape.ranks
-        heat = np.where(open_ones, loads / replicas, _EMPTY)
+        can_grow = replicas < shape.ranks
+        heat = np.where(can_grow, loads / replicas, _EMPTY)
         replicas[layers, heat.argmax(axis=1)] += 1
     return replicas
 
@@ -71,7 +78,10 @@
     replicas: NDArray[np.int64],
     loads: NDArray[np.float64],
 ) -> list[tuple[NDArray[np.int64], NDArray[np.float64]]]:
-    """Return for each turn one expert of every layer with its load."""
+    """Return the replicas in order of decreasing load, with their loads.
+
+    Each entry has one expert per layer.
+    """
     experts = np.arange(loads.shape[1])
     per_replica = loads / replicas
     order = np.argsort(-per_replica, axis=1, kind='stable')
@@ -85,7 +95,7 @@
 
 
 class _Packing:
-    """The ranks of all layers, filled one replica a layer at a time."""
+    """Packs the ranks of all layers, one replica per layer at a time."""
 
     def __init__(self, shape: GroupShape) -> None:
         """Start with empty slots."""
@@ -102,7 +112,7 @@
         experts: NDArray[np.int64],
         weights: NDArray[np.float64],
     ) -> None:
-        """Put one expert a layer on its coolest rank with room for it."""
+        """Add one expert per layer to the least loaded rank with room."""
         has_room = self._filled < self._slots
         holds = self._held[self._layers, :, experts]
         scores = np.where(has_room & ~holds, self._loads, np.inf)
@@ -117,11 +127,12 @@
         self._held[self._layers, ranks, experts] = True
 
     def _make_room(self, layer: int, expert: int) -> int:
-        """Free a slot on a full rank that lacks the expert.
+        """Free a slot on a full rank that doesn't hold the expert.
 
-        One of that rank's experts moves to a rank with room, all of which
-        hold ``expert`` already. The load of the moved replica stays booked
-        where it was: it is among the coolest, and a search follows.
+        One of that rank's experts moves to a rank with room, since all ranks
+        with room already hold ``expert``. The load of the moved replica stays
+        accounted to its old rank: it is one of the smallest loads, and a search
+        follows.
         """
         with_room = int((self._filled[layer] < self._slots).argmax())
         lacking = np.flatnonzero(~self._held[layer, :, expert])
--- a/src/snipebend/experts/policy.py
+++ b/src/snipebend/experts/policy.py
@@ -1,10 +1,11 @@
-"""Whether to change a group's expert map, and how far.
-
-One objective with the fleet file's two weights, in steps of group time:
-``skew * (skew gained * steps it lasts) - cost * (steps that loading takes)``.
-A change is made only if the objective gains, and only in layers where the
-gain stands clear of the noise of the load estimate. Plans follow the current
-load; while that proves not to last, the load of the long run competes.
+"""Decision whether and how far to change a group's expert map.
+
+The objective uses the two weights of the fleet file, in steps of the group:
+``skew * (skew gained * steps it lasts) - cost * (steps that loading takes)``. A
+change is made only if the objective gains, and only in layers where the gain is
+significant given the noise of the load estimate. Plans follow the current load;
+while gains for the current load turn out not to last, a plan for the long-run
+load is made as well, and the better one is used.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from typing import TYPE_CHECKING, NamedTuple, TypeAlias
 
 from snipebend.experts.model import ExpertMap, Move
-from snipebend.experts.planner import Plan, Planner, PolicySettings, Prices
+from snipebend.experts.planner import Plan, PlanLimits, Planner, PolicySettings
 
 if TYPE_CHECKING:
     import numpy as np
@@ -23,12 +24,13 @@
     from snipebend.experts.model import GroupShape
     from snipebend.fleet.model import Weights
 
-#: Below this trust in the current load, the long run is planned for as well.
+#: Trust in the current load below which a plan for the long-run load is made as
+#: well.
 _LOW_TRUST = 0.35
 
 
-class Facts(NamedTuple):
-    """What a decision must heed beside the load.
+class DecisionContext(NamedTuple):
+    """Inputs of a decision in addition to the load estimate.
 
     ``step`` is the group's step, ``changed_at_step`` that of the last change,
     ``utilisation`` the share of capacity that serving uses now.
@@ -41,7 +43,7 @@
 
 
 class Keep(NamedTuple):
-    """Stay on the map in force."""
+    """Keep the map in force."""
 
     reason: str
 
@@ -49,8 +51,8 @@
 class Change(NamedTuple):
     """Load the moves at ``bytes_per_s``, then switch to the new map.
 
-    ``gain`` is the step skew expected to be gained, ``store`` the weight
-    store's budget with the loads booked.
+    ``gain`` is the expected gain in step skew, ``store`` the budget of the
+    weight store with the loads reserved.
     """
 
     expert_map: ExpertMap
@@ -68,7 +70,7 @@
 class Policy:
     """Decides about the map of one incarnation of a group.
 
-    Steps must only grow, so a new incarnation takes a new policy and a new
+    Steps must not decrease, so a new incarnation needs a new policy and a new
     estimator.
     """
 
@@ -81,7 +83,7 @@
         hold_steps: int = 0,
         settings: PolicySettings | None = None,
     ) -> None:
-        """Start without experience of how long gains last."""
+        """Start without scored predictions."""
         self._shape = shape
         self._weights = weights
         self._costs = costs
@@ -92,62 +94,62 @@
 
     @property
     def trust(self) -> float:
-        """The share of the gains predicted for the current load that came."""
+        """Return the realised share of gains predicted for the current load."""
         return self._current.trust
 
     def decide(
         self,
         estimate: LoadEstimate,
         expert_map: ExpertMap,
-        facts: Facts,
+        context: DecisionContext,
         now: float,
     ) -> Decision:
-        """Return the change to make now, or why there is none."""
+        """Return the change to make now, or the reason to keep the map."""
         self._current.learn(estimate)
         self._long_run.learn(estimate)
-        obstacle = self._find_obstacle(estimate, facts, now)
+        obstacle = self._find_obstacle(estimate, context, now)
         if obstacle:
             return Keep(obstacle)
-        prices = self._prices(facts, now)
-        plan = self._best_plan(estimate, expert_map.placement, prices, facts)
+        limits = self._plan_limits(context, now)
+        plan = self._best_plan(estimate, expert_map.placement, limits, context)
         if plan.loads == 0:
             return Keep('no-significant-gain')
-        if self._net_gain(plan, facts) <= 0:
+        if self._net_gain(plan, context) <= 0:
             return Keep('will-not-pay-back')
         self._rebase(estimate, expert_map.placement != plan.placement)
-        return self._change(plan, expert_map, facts, now)
+        return self._change(plan, expert_map, context, now)
 
     def _find_obstacle(
         self,
         estimate: LoadEstimate,
-        facts: Facts,
+        context: DecisionContext,
         now: float,
     ) -> str:
         if estimate.step < 0:
             return 'no-reports'
-        if facts.step - estimate.step > self._settings.stale_steps:
+        if context.step - estimate.step > self._settings.stale_steps:
             return 'stale-reports'
-        if facts.step - facts.changed_at_step < self._hold_steps:
+        if context.step - context.changed_at_step < self._hold_steps:
             return 'hold-steps'
-        if self._costs.pace(facts.utilisation) == 0:
+        if self._costs.rate_share(context.utilisation) == 0:
             return 'serving-needs-capacity'
         if self._weights.skew <= 0:
             return 'skew-has-no-weight'
-        return '' if self._max_loads(facts, now) else 'store-budget'
+        return '' if self._max_loads(context, now) else 'store-budget'
 
     def _best_plan(
         self,
         estimate: LoadEstimate,
         placement: NDArray[np.int16],
-        prices: Prices,
-        facts: Facts,
+        limits: PlanLimits,
+        context: DecisionContext,
     ) -> Plan:
-        plan = self._current.plan(estimate, placement, prices)
+        plan = self._current.plan(estimate, placement, limits)
         if self._current.trust >= _LOW_TRUST:
             return plan
-        lasting = self._long_run.plan(estimate.long_run(), placement, prices)
-        gain = self._net_gain(lasting, facts)
-        return lasting if gain > self._net_gain(plan, facts) else plan
+        lasting = self._long_run.plan(estimate.long_run(), placement, limits)
+        gain = self._net_gain(lasting, context)
+        return lasting if gain > self._net_gain(plan, context) else plan
 
     def _rebase(
         self,
@@ -158,22 +160,22 @@
         self._current.rebase(layers, estimate)
         self._long_run.rebase(layers, estimate.long_run())
 
-    def _max_loads(self, facts: Facts, now: float) -> int:
+    def _max_loads(self, context: DecisionContext, now: float) -> int:
         until = now + self._settings.load_window_s
-        pace = self._costs.pace(facts.utilisation)
-        allowance = pace * facts.store.allowance(now, until)
+        rate_share = self._costs.rate_share(context.utilisation)
+        allowance = rate_share * context.store.allowance(now, until)
         return int(allowance / self._shape.expert_bytes)
 
-    def _prices(self, facts: Facts, now: float) -> Prices:
-        rate = facts.store.bytes_per_s
-        steps = self._costs.load_steps(self._shape.expert_bytes, rate)
+    def _plan_limits(self, context: DecisionContext, now: float) -> PlanLimits:
+        rate = context.store.bytes_per_s
+        steps = self._costs.loading_steps(self._shape.expert_bytes, rate)
         relative = self._weights.cost / self._weights.skew
-        return Prices(relative * steps, self._max_loads(facts, now))
+        return PlanLimits(relative * steps, self._max_loads(context, now))
 
-    def _net_gain(self, plan: Plan, facts: Facts) -> float:
+    def _net_gain(self, plan: Plan, context: DecisionContext) -> float:
         """Return the objective's gain, in steps."""
         load_bytes = plan.loads * self._shape.expert_bytes
-        price = self._costs.change_steps(load_bytes, facts.store.bytes_per_s)
+        price = self._costs.change_steps(load_bytes, context.store.bytes_per_s)
         saved = plan.gain * plan.lifetime
         return self._weights.skew * saved - self._weights.cost * price
 
@@ -181,18 +183,18 @@
         self,
         plan: Plan,
         expert_map: ExpertMap,
-        facts: Facts,
+        context: DecisionContext,
         now: float,
     ) -> Change:
         target = ExpertMap(expert_map.version + 1, plan.placement)
         load_bytes = plan.loads * self._shape.expert_bytes
-        pace = self._costs.pace(facts.utilisation)
+        rate_share = self._costs.rate_share(context.utilisation)
         return Change(
             target,
             expert_map.moves_to(target),
             plan.gain,
             load_bytes,
-            pace * facts.store.bytes_per_s,
-            facts.store.reserve(load_bytes, now, pace),
+            rate_share * context.store.bytes_per_s,
+            context.store.reserve(load_bytes, now, rate_share),
             'pays-back',
         )
--- a/src/snipebend/experts/rank_states.py
+++ b/src/snipebend/experts/rank_states.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from snipebend.experts.hold_aim import RETRY_S
+from snipebend.experts.hold_planner import RETRY_S
 
 #: Seconds before a rank that refused to be armed is asked again: the group may
 #: stand still meanwhile. Doubled with each refusal up to the second figure:
--- a/src/snipebend/experts/reading_plan.py
+++ b/src/snipebend/experts/reading_plan.py
@@ -1,9 +1,9 @@
-"""When a group's counts are worth what reading them costs (pure).
+"""Schedule of the readings of a group's expert counts (pure).
 
-Each reading is paid for, lets the group rest, and a change of its map lengthens
-passes for a while. Entries see for nothing how long passes take: as long as
-streams are on time, nobody gains from another map, and when demand turns away
-from the one in force, passes lengthen at once.
+Each reading is charged for and makes the group idle, and each change of its map
+lengthens passes for a while. Entries measure the pass time without extra cost:
+while streams are on time, a better map benefits nobody, and when demand shifts
+away from the map in force, passes lengthen at once.
 """
 
 from __future__ import annotations
@@ -11,156 +11,166 @@
 import math
 from enum import Enum
 
-#: Passes are short below this share of what a stream may pause: single passes
-#: take twice the mean.
-CALM_SHARE = 0.5
-
-#: How much longer passes must have become since a look that changed nothing, or
-#: since a change, for demand to have turned.
-LONGER = 1.25
-
-#: Seconds between two glances at one rank after a look that changed nothing,
-#: while passes are long all the same. They are so after an outage or in a
-#: burst, and a turn of demand hardly shows then: two turns were answered
-#: 0.8 s late when looks were repeated every second. A glance costs a sixth of a
-#: look.
-GLANCE_EVERY_S = 0.3
-
-#: Seconds after a look that changed nothing until the next one, while passes
-#: stay long, whatever a glance tells: it bounds how long a map that doesn't fit
-#: stays in force. One rank of 72 has two or three streams, and shows a turn
-#: after seconds or not at all: on a calm day maps didn't fit for 6 s and half
-#: of the streams were late. The looks cost 0.0013 of worth there.
-AGAIN_S = 1.0
-
-#: Seconds between two looks while no entry tells how long passes take.
-BLIND_EVERY_S = 0.5
-
-#: Seconds over which choices are counted: two or three passes.
+#: Share of the pause that a stream may make, below which the mean pass time
+#: leaves streams on time: single passes take twice the mean.
+ON_TIME_SHARE = 0.5
+
+#: Factor by which passes must have lengthened, since a check that kept the map
+#: or since a change of the map, to indicate a shift of demand.
+SHIFT_GROWTH = 1.25
+
+#: Seconds between two spot checks of one rank after a check that kept the map,
+#: while passes stay long. They do so after an outage or in a burst, and a shift
+#: of demand hardly shows in the pass time then: when all checks were repeated
+#: every second, the response to two shifts was 0.8 s late. A spot check costs a
+#: sixth of a full check.
+SPOT_CHECK_INTERVAL_S = 0.3
+
+#: Seconds after a check that kept the map until the next full check, while
+#: passes stay long, whatever spot checks find. This bounds how long an outdated
+#: map stays in force. One rank of 72 has two or three streams, and shows a
+#: shift only after seconds or not at all: on a calm day maps were outdated for
+#: 6 s and half of the streams were late. The additional checks cost 0.0013 of
+#: worth there.
+RECHECK_AFTER_S = 1.0
+
+#: Seconds between two checks while no entry reports pass times.
+NO_REPORT_INTERVAL_S = 0.5
+
+#: Length of a span, over which choices are counted, in seconds: two or three
+#: passes.
 SPAN_S = 0.15
 
-#: Seconds by which a span with too few choices is drawn out at most: each
-#: time it is twice as long, since each reading is paid for.
-MOST_SPAN_S = 1.2
+#: Upper limit in seconds by which a span with too few choices is extended. The
+#: extension doubles each time, since each reading is charged for.
+MAX_SPAN_S = 1.2
 
-#: Seconds after a change at which the same counts are read once more, if passes
-#: are long still: they then tell of the demand four times as well.
-REFINE_S = 0.8
+#: Seconds after a change of the map until the same ranks are read again, if
+#: passes are still long: the estimate of demand is four times as accurate then.
+REFINE_AFTER_S = 0.8
 
 
 class Reading(Enum):
-    """What to read now."""
+    """The counts to read now."""
 
     NOTHING = 'nothing'
-    #: The counts at which a span begins.
+    #: Counts at the start of a span.
     BEGIN = 'begin'
-    #: The counts at which it ends.
+    #: Counts at the end of a span.
     END = 'end'
-    #: The counts of one rank: has demand turned since the last reading?
-    GLANCE = 'glance'
+    #: Counts of one rank, to check whether demand has shifted since the last
+    #: reading. Its value is the name in logs and metrics.
+    SPOT_CHECK = 'glance'
 
 
 class ReadingPlan:
-    """The readings of one group."""
+    """Schedules the readings of one group."""
 
-    def __init__(self, allowed_s: float) -> None:
-        """Keep how long a stream may pause in seconds; 0: not told."""
-        self._allowed_s = allowed_s
+    def __init__(self, max_pause_s: float) -> None:
+        """Start with the longest pause of a stream in seconds; 0: unknown."""
+        self._max_pause_s = max_pause_s
         self._end_at: float | None = None
         self._span_s = SPAN_S
-        #: Whether demand may have turned before the span, but not within it.
-        self.is_new = True
-        self._look_at: float = 0
-        #: When to glance at one rank; none: no look has changed nothing.
-        self._glance_at: float | None = None
-        #: When to look in any case while passes stay long.
-        self._again_at: float = 0
-        #: The pace of a look that changed nothing.
-        self._accepted_s: float = 0
-        #: The shortest passes since the last change.
+        #: Whether the span contains a single demand: demand may have shifted
+        #: before the span, but not within it.
+        self.is_unmixed = True
+        self._check_at: float = 0
+        #: Time of the next spot check; None unless the last check kept the map.
+        self._spot_check_at: float | None = None
+        #: Time of the next full check while passes stay long.
+        self._recheck_at: float = 0
+        #: Pass time at the last check that kept the map.
+        self._kept_pass_s: float = 0
+        #: Shortest pass time since the last change of the map.
         self._shortest_s = math.inf
 
     @property
-    def spans(self) -> bool:
-        """Tell whether a span has begun and not ended."""
+    def is_counting(self) -> bool:
+        """Return whether a span is in progress."""
         return self._end_at is not None
 
     def next_reading(self, now: float, pass_s: float | None) -> Reading:
-        """Return what to read; ``pass_s`` are the seconds of a pass."""
+        """Return what to read; ``pass_s`` is the pass time in seconds."""
         if self._end_at is None:
-            return self._look_or_glance(now, pass_s)
-        if not self.is_new:
+            return self._next_check(now, pass_s)
+        if not self.is_unmixed:
             return self._refine(now, self._end_at, pass_s)
         return Reading.END if now >= self._end_at else Reading.NOTHING
 
     def note_begun(self, now: float) -> None:
-        """Take note that a span has begun."""
+        """Record that a span has begun."""
         self._span_s = SPAN_S
         self._end_at = now + self._span_s
-        self._glance_at = None
-        self.is_new = True
+        self._spot_check_at = None
+        self.is_unmixed = True
 
-    def note_short(self, now: float) -> None:
-        """Take note that a span that has ended tells too little yet."""
-        self._span_s = min(MOST_SPAN_S, 2 * self._span_s)
+    def note_inconclusive(self, now: float) -> None:
+        """Record that a span had too few choices, and extend it."""
+        self._span_s = min(MAX_SPAN_S, 2 * self._span_s)
         self._end_at = now + self._span_s
 
     def note_failed(self, now: float) -> None:
-        """Take note that a reading brought nothing."""
+        """Record that a reading failed."""
         self._end_at = None
-        self._glance_at = None
-        self._look_at = now + BLIND_EVERY_S
+        self._spot_check_at = None
+        self._check_at = now + NO_REPORT_INTERVAL_S
 
     def note_kept(self, now: float, pass_s: float | None) -> None:
-        """Take note that no other map is worth its loads."""
+        """Record that no other map gains enough for its loads."""
         self._end_at = None
-        self._accepted_s = pass_s or 0
-        is_told = pass_s is not None and self._allowed_s > 0
-        self._look_at = now + BLIND_EVERY_S
-        self._glance_at = now + GLANCE_EVERY_S if is_told else None
-        self._again_at = now + AGAIN_S
+        self._kept_pass_s = pass_s or 0
+        is_reported = pass_s is not None and self._max_pause_s > 0
+        self._check_at = now + NO_REPORT_INTERVAL_S
+        self._spot_check_at = (
+            now + SPOT_CHECK_INTERVAL_S if is_reported else None
+        )
+        self._recheck_at = now + RECHECK_AFTER_S
 
     def note_changed(self, now: float) -> None:
-        """Take note that the group has got another map."""
-        self._end_at = now + REFINE_S
-        self._glance_at = None
-        self.is_new = False
-        self._accepted_s = 0
+        """Record that the map of the group has changed."""
+        self._end_at = now + REFINE_AFTER_S
+        self._spot_check_at = None
+        self.is_unmixed = False
+        self._kept_pass_s = 0
         self._shortest_s = math.inf
 
-    def note_glanced(self, now: float) -> None:
-        """Take note that demand hasn't turned."""
-        self._glance_at = now + GLANCE_EVERY_S
+    def note_spot_check(self, now: float) -> None:
+        """Record that a spot check found no shift of demand."""
+        self._spot_check_at = now + SPOT_CHECK_INTERVAL_S
 
     def _refine(
         self, now: float, end_at: float, pass_s: float | None
     ) -> Reading:
-        """Return what to read after a change.
+        """Return what to read after a change of the map.
 
-        Passes that lengthen tell of a turn within the span, which would tell
-        neither demand: another one begins at once.
+        Passes that lengthen indicate a shift within the span, which is then
+        representative of neither demand: another span begins at once.
         """
-        if self._is_calm(pass_s):
-            # Nobody needs a better map.
+        if self._is_on_time(pass_s):
+            # Streams are on time, so a better map benefits nobody.
             if now >= end_at:
                 self._end_at = None
             return Reading.NOTHING
         if pass_s is not None:
-            if pass_s > LONGER * self._shortest_s:
+            if pass_s > SHIFT_GROWTH * self._shortest_s:
                 return Reading.BEGIN
             self._shortest_s = min(self._shortest_s, pass_s)
         return Reading.END if now >= end_at else Reading.NOTHING
 
-    def _is_calm(self, pass_s: float | None) -> bool:
-        return pass_s is not None and pass_s < CALM_SHARE * self._allowed_s
+    def _is_on_time(self, pass_s: float | None) -> bool:
+        return pass_s is not None and pass_s < ON_TIME_SHARE * self._max_pause_s
 
-    def _look_or_glance(self, now: float, pass_s: float | None) -> Reading:
-        if pass_s is None or not self._allowed_s:
-            return Reading.BEGIN if now >= self._look_at else Reading.NOTHING
-        if self._is_calm(pass_s):
+    def _next_check(self, now: float, pass_s: float | None) -> Reading:
+        if pass_s is None or not self._max_pause_s:
+            return Reading.BEGIN if now >= self._check_at else Reading.NOTHING
+        if self._is_on_time(pass_s):
             return Reading.NOTHING
-        if self._glance_at is None:
-            return Reading.BEGIN if now >= self._look_at else Reading.NOTHING
-        if pass_s > LONGER * self._accepted_s or now >= self._again_at:
+        if self._spot_check_at is None:
+            return Reading.BEGIN if now >= self._check_at else Reading.NOTHING
+        if pass_s > SHIFT_GROWTH * self._kept_pass_s or now >= self._recheck_at:
             return Reading.BEGIN
-        return Reading.GLANCE if now >= self._glance_at else Reading.NOTHING
+        return (
+            Reading.SPOT_CHECK
+            if now >= self._spot_check_at
+            else Reading.NOTHING
+        )
--- a/src/snipebend/experts/significance.py
+++ b/src/snipebend/experts/significance.py
@@ -1,4 +1,4 @@
-"""Gains in skew told apart from the noise of the load estimate."""
+"""Significance of gains in skew, given the noise of the load estimate."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 ) -> NDArray[np.float64]:
     """Return each layer's gain in skew; 0 where it may be noise.
 
-    A gain must exceed its layer's entry of ``limits`` in standard deviations
-    (a one-sided z-test). Its variance follows from those of the experts'
-    shares by the delta method (L. Wasserman, "All of statistics", section
-    9.9): near the estimate, a layer's skew is the sum of the shares on its
-    hottest rank. Both skews count as independent: where the hottest rank stays
+    A gain must exceed its layer's entry of ``limits`` in standard deviations (a
+    one-sided z-test). Its variance follows from the variances of the experts'
+    shares by the delta method (L. Wasserman, "All of statistics", section 9.9):
+    near the estimate, a layer's skew is the sum of the shares on its hottest
+    rank. Both skews are treated as independent: where the hottest rank stays
     the same, noise would cancel out only until another rank is the hottest.
     """
     ranks = before.shape[1]
@@ -43,7 +43,7 @@
     placement: NDArray[np.int16],
     loads: NDArray[np.float64],
 ) -> NDArray[np.float64]:
-    """Return how a layer's skew follows each expert's load."""
+    """Return the derivative of a layer's skew by each expert's load."""
     layers = np.arange(len(loads))
     hottest = rank_loads(placement, loads).argmax(axis=1)
     held = placement[layers, hottest].astype(np.int64)
--- a/src/snipebend/experts/sizes.py
+++ b/src/snipebend/experts/sizes.py
@@ -1,4 +1,4 @@
-"""What a service's engines declare of their experts, and maps of that size."""
+"""Expert configuration of a service's engines, and initial maps."""
 
 from __future__ import annotations
 
@@ -10,43 +10,44 @@
 
     from snipebend.experts.layer_state import LayerMap
 
-#: Seconds in which an order that is obeyed at once is, and its reply is back:
-#: some round trips within a region.
-ORDER_MARGIN_S = 0.1
+#: Seconds from sending an order that is executed at once to its reply: a few
+#: round trips within a region.
+ORDER_ROUND_TRIP_S = 0.1
 
 
 class ExpertSizes(NamedTuple):
-    """What a service's engines declare of their experts."""
+    """Expert configuration that a service's engines declare."""
 
     layers: int
     experts: int
-    places: int
-    spare: int
-    #: Share of a token's work that its experts do.
-    share: float
+    slots: int
+    max_new: int
+    #: Share of the work for a token that its experts do.
+    work_share: float
     #: Seconds to fetch one expert.
     fetch_s: float = 0
-    #: Seconds that a stream may pause and still be on time; 0: not told.
-    pause_s: float = 0
-    #: Seconds by which reports are old.
+    #: Longest pause in seconds after which a stream is still on time; 0: not
+    #: declared.
+    max_pause_s: float = 0
+    #: Age of reports in seconds.
     report_lag_s: float = 0.5
 
     @property
     def settle_s(self) -> float:
-        """Return seconds after which reports show an order that was given."""
-        return self.report_lag_s + ORDER_MARGIN_S
+        """Return the seconds until reports show the effect of an order."""
+        return self.report_lag_s + ORDER_ROUND_TRIP_S
 
 
-def first_map(sizes: ExpertSizes, ranks: int) -> tuple[LayerMap, ...]:
-    """Return the map of a group that has just formed: experts in turn."""
+def initial_map(sizes: ExpertSizes, ranks: int) -> tuple[LayerMap, ...]:
+    """Return the map of a newly formed group: experts dealt round-robin."""
     layer = tuple(
         tuple(range(rank, sizes.experts, ranks)) for rank in range(ranks)
     )
     return (layer,) * sizes.layers
 
 
-def fits(sizes: ExpertSizes, layers: Sequence[LayerMap]) -> bool:
-    """Tell whether a map has all layers, and each of them all experts."""
+def is_complete_map(sizes: ExpertSizes, layers: Sequence[LayerMap]) -> bool:
+    """Return whether a map has all layers, each with all experts."""
     experts = set(range(sizes.experts))
     return len(layers) == sizes.layers and all(
         set(chain.from_iterable(layer)) == experts for layer in layers
--- a/src/snipebend/experts/skew.py
+++ b/src/snipebend/experts/skew.py
@@ -1,10 +1,10 @@
-"""Step skew: the slowest rank's load over the mean of all ranks.
+"""Step skew: the load of the slowest rank over the mean of all ranks.
 
-Loads are relative: the experts' loads of one layer add up to the number of
-ranks, so that a rank's mean load is one and the hottest rank's load is the
-skew of that layer. Ranks meet at each layer's exchange, so a step takes the
-sum of its layers' slowest ranks, and the skew of a step is the mean over
-layers. Tokens of an expert are split equally over its replicas.
+Loads are relative: the loads of one layer's experts add up to the number of
+ranks, so that a rank's mean load is one and the hottest rank's load is the skew
+of that layer. Ranks synchronise at each layer's exchange, so a step takes the
+sum of the slowest ranks' times over all layers, and the skew of a step is the
+mean over layers. Tokens of an expert are split equally over its replicas.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 ) -> NDArray[np.float64]:
     """Scale each layer's shares (layers by experts) to a mean rank load of 1.
 
-    A layer without any token counts as evenly loaded.
+    A layer without tokens is treated as evenly loaded.
     """
     totals = shares.sum(axis=1, keepdims=True)
     even = np.full_like(shares, 1 / shares.shape[1])
--- a/src/snipebend/experts/uncertain_skew.py
+++ b/src/snipebend/experts/uncertain_skew.py
@@ -1,7 +1,8 @@
-"""The skew that a map is to expect where the demand is known by counts (pure).
+"""Expected skew of a map when demand is known from counts only (pure).
 
-The skew of the counted shares flatters a map that was made from them. So a map
-is weighed over demands that fit the counts as well.
+The skew under the counted shares is too optimistic for a map that was made from
+them. So the skew is averaged over random samples of demand that are consistent
+with the counts.
 """
 
 from __future__ import annotations
@@ -19,31 +20,32 @@
 
     from snipebend.experts.layer_state import LayerMap
 
-#: Demands drawn for one answer: their mean skew varies by less than 0.01.
-DRAWS = 16
+#: Number of samples of demand: their mean skew varies by less than 0.01.
+SAMPLES = 16
 
-#: Of the draws, so that the same counts always give the same answer.
+#: Seed of the samples, so that the same counts always give the same result.
 _SEED = 1
 
-#: Added to the choices of each expert: one that nobody chose yet may be.
-_UNSEEN = 0.5
+#: Added to the choices of each expert, since an expert that wasn't chosen yet
+#: may still be in demand.
+_PRIOR_CHOICES = 0.5
 
 
 def expected_skew(
     layers: Sequence[LayerMap],
-    chosen: NDArray[np.float64],
+    choices: NDArray[np.float64],
     slowness: Sequence[float] = (),
 ) -> float:
     """Return the mean skew of a map over its layers.
 
-    ``chosen`` are choices by layer and expert; a rank works as many times as
-    long as ``slowness`` tells. The mean load of a rank is 1. Two maps that are
-    weighed by the same choices meet the same demands.
+    ``choices`` are by layer and expert; ``slowness`` gives how many times as
+    long each rank takes for its work. The mean load of a rank is 1. Two maps
+    that are evaluated with the same choices are compared on the same samples.
     """
     rng = np.random.default_rng(_SEED)
     skews = [
         _layer_skew(layer, counts, slowness, rng)
-        for layer, counts in zip(layers, chosen, strict=True)
+        for layer, counts in zip(layers, choices, strict=True)
     ]
     return float(np.mean(skews))
 
@@ -54,16 +56,16 @@
     slowness: Sequence[float],
     rng: np.random.Generator,
 ) -> float:
-    drawn = rng.gamma(counts + _UNSEEN, size=(DRAWS, len(counts)))
-    shares = drawn / drawn.sum(axis=1, keepdims=True)
-    heat = len(layer) * _parts(layer, len(counts)) @ shares.T
+    samples = rng.gamma(counts + _PRIOR_CHOICES, size=(SAMPLES, len(counts)))
+    shares = samples / samples.sum(axis=1, keepdims=True)
+    heat = len(layer) * _load_shares(layer, len(counts)) @ shares.T
     if slowness:
         heat = np.array(slowness)[:, np.newaxis] * heat
     return float(heat.max(axis=0).mean())
 
 
-def _parts(layer: LayerMap, experts: int) -> NDArray[np.float64]:
-    """Return the part that each rank has of each expert's load."""
+def _load_shares(layer: LayerMap, experts: int) -> NDArray[np.float64]:
+    """Return each rank's share of each expert's load."""
     copies = Counter(chain.from_iterable(layer))
     parts = np.zeros((len(layer), experts))
     for rank, held in enumerate(layer):
--- a/src/snipebend/transport/policy_planner.py
+++ b/src/snipebend/transport/policy_planner.py
@@ -11,7 +11,7 @@
 from snipebend.experts.cost import CostModel, StoreBudget
 from snipebend.experts.estimate import ExpertReport, LoadEstimator
 from snipebend.experts.placement import place_from_scratch
-from snipebend.experts.policy import Change, Facts, Keep, Policy
+from snipebend.experts.policy import Change, DecisionContext, Keep, Policy
 from snipebend.experts.skew import relative_loads, step_skew
 from snipebend.experts.switch_cost import PlacedMap
 from snipebend.transport.map_planning import Plan, shape_of
@@ -71,7 +71,7 @@
         decision = self._policy.decide(
             estimate,
             in_force.expert_map,
-            Facts(
+            DecisionContext(
                 max(steps, default=estimate.step),
                 facts.changed_at_step,
                 facts.utilisation,
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -27,8 +27,8 @@
     Reply,
 )
 from snipebend.experts.layer_state import layer_skew
-from snipebend.experts.map_search import Bounds, MapSearch
-from snipebend.experts.sizes import ExpertSizes, first_map
+from snipebend.experts.map_search import ChangeLimits, MapSearch
+from snipebend.experts.sizes import ExpertSizes, initial_map
 from snipebend.hosts.model import (
     EngineProfile,
     HostRoute,
@@ -121,7 +121,7 @@
         self._armed = {}
         self._plans = {}
         sizes = ExpertSizes(shape.layers, shape.experts, shape.places, 2, 1)
-        self._layers = first_map(sizes, shape.ranks)
+        self._layers = initial_map(sizes, shape.ranks)
         self._liked = np.array([self._likings() for _ in range(shape.layers)])
         #: Of ranks that were read: their counts, and up to which pass.
         self._counts = {}
@@ -154,9 +154,9 @@
         sizes = ExpertSizes(shape.layers, shape.experts, shape.places, 2, 1)
         loads = (self._liked * shape.ranks).tolist()
         search = MapSearch(
-            first_map(sizes, shape.ranks),
+            initial_map(sizes, shape.ranks),
             loads,
-            Bounds(shape.places, shape.places),
+            ChangeLimits(shape.places, shape.places),
         )
         return fmean(map(layer_skew, search.run(), loads))
 
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -16,8 +16,8 @@
     Reply,
 )
 from snipebend.experts.group_pace import GroupPaces
-from snipebend.experts.sizes import ORDER_MARGIN_S
-from snipebend.experts.hold_aim import AHEAD
+from snipebend.experts.sizes import ORDER_ROUND_TRIP_S
+from snipebend.experts.hold_planner import PASSES_AHEAD
 from snipebend.hosts.model import (
     EngineProfile,
     HostRoute,
@@ -35,7 +35,7 @@
 
 RANKS = 2
 LAG_S = 0.2
-SETTLE_S = LAG_S + ORDER_MARGIN_S
+SETTLE_S = LAG_S + ORDER_ROUND_TRIP_S
 ENGINE = EngineProfile(
     4,
     1000,
@@ -223,7 +223,7 @@
         await self.look()
         self.clock.at += SETTLE_S
         await self.look()
-        self.assertEqual(self.engines.held_before, [10 + AHEAD])
+        self.assertEqual(self.engines.held_before, [10 + PASSES_AHEAD])
 
     async def test_a_hold_of_the_last_leader_is_taken_over(self):
         self.engines.held = 14
--- a/tests/experts/direct_world.py
+++ b/tests/experts/direct_world.py
@@ -21,7 +21,7 @@
     Reply,
 )
 from snipebend.experts.direct_switch import DirectSwitch, unsure_ranks
-from snipebend.experts.hold_aim import HoldAim
+from snipebend.experts.hold_planner import HoldPlanner
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -230,7 +230,7 @@
             (),
             RANKS,
             0.3,
-            HoldAim(reports[0].step, world.now),
+            HoldPlanner(reports[0].step, world.now),
         )
         for report in reports:
             self.switch.note_report(report)
--- a/tests/experts/loads.py
+++ b/tests/experts/loads.py
@@ -8,7 +8,7 @@
 from snipebend.experts.model import GroupShape
 
 SHAPE = GroupShape(ranks=8, experts=24, layers=3, slots=4, expert_bytes=1000)
-INTERVAL = 1000
+INTERVAL_STEPS = 1000
 
 
 def zipf_shares(shape: GroupShape, seed: int) -> np.ndarray:
@@ -32,7 +32,7 @@
     ]
 
 
-def fill(
+def record_reports(
     estimator: LoadEstimator,
     shape: GroupShape,
     shares: np.ndarray,
--- a/tests/experts/test_change_value.py
+++ b/tests/experts/test_change_value.py
@@ -5,13 +5,13 @@
 import unittest
 
 from snipebend.experts.change_value import (
-    ENOUGH_SAVING,
-    LEAST_LASTS_S,
-    MOST_LASTS_S,
-    STAYS_AFTER,
+    MAX_REQUIRED_SAVING,
+    MIN_REMAINING_S,
+    MAX_REMAINING_S,
+    STABLE_AGE_RATIO,
     DemandAge,
-    lasts_s,
-    least_saving,
+    expected_remaining_s,
+    required_saving,
 )
 
 FETCH_S = 0.1
@@ -23,26 +23,30 @@
     def test_a_turn_is_answered_at_once(self):
         for lasted_s in (0, 2.0):
             self.assertEqual(
-                least_saving(0.0, lasted_s, FETCH_S), ENOUGH_SAVING
+                required_saving(0.0, lasted_s, FETCH_S), MAX_REQUIRED_SAVING
             )
 
     def test_the_longer_a_demand_stays_the_less_is_asked(self):
-        asked = [least_saving(known, 0, FETCH_S) for known in (2, 4, 8, 60)]
+        asked = [required_saving(known, 0, FETCH_S) for known in (2, 4, 8, 60)]
         self.assertEqual(asked, sorted(asked, reverse=True))
         self.assertLess(asked[-1], 0.05)
 
     def test_where_demand_turns_often_small_changes_wait(self):
         """Each one would delay the answer to the turn that is due."""
-        for known_s in (0.5, 1.0, 2.0, 3.9):
-            self.assertEqual(least_saving(known_s, 2.0, FETCH_S), ENOUGH_SAVING)
+        for age_s in (0.5, 1.0, 2.0, 3.9):
+            self.assertEqual(
+                required_saving(age_s, 2.0, FETCH_S), MAX_REQUIRED_SAVING
+            )
 
     def test_one_that_outlasts_the_last_stays(self):
-        self.assertEqual(lasts_s(2.5, 2.0), LEAST_LASTS_S)
-        self.assertGreater(lasts_s(STAYS_AFTER * 2.0, 2.0), 2.0)
-        self.assertEqual(lasts_s(1000, 2.0), MOST_LASTS_S)
+        self.assertEqual(expected_remaining_s(2.5, 2.0), MIN_REMAINING_S)
+        self.assertGreater(
+            expected_remaining_s(STABLE_AGE_RATIO * 2.0, 2.0), 2.0
+        )
+        self.assertEqual(expected_remaining_s(1000, 2.0), MAX_REMAINING_S)
 
     def test_what_is_left_of_a_long_one_counts(self):
-        self.assertEqual(lasts_s(2.0, 8.0), 6.0)
+        self.assertEqual(expected_remaining_s(2.0, 8.0), 6.0)
 
 
 class TestDemandAge(unittest.TestCase):
@@ -50,11 +54,11 @@
 
     def test_it_begins_anew_with_each_turn(self):
         age = DemandAge()
-        self.assertEqual(age.known_s(9.0), 0)
-        age.note_turn(10.0)
-        self.assertEqual((age.known_s(12.0), age.last_lasted_s), (2.0, 0))
-        age.note_turn(13.5)
-        self.assertEqual((age.known_s(14.0), age.last_lasted_s), (0.5, 3.5))
+        self.assertEqual(age.age_s(9.0), 0)
+        age.note_shift(10.0)
+        self.assertEqual((age.age_s(12.0), age.previous_lifetime_s), (2.0, 0))
+        age.note_shift(13.5)
+        self.assertEqual((age.age_s(14.0), age.previous_lifetime_s), (0.5, 3.5))
 
 
 if __name__ == '__main__':
--- a/tests/experts/test_demand.py
+++ b/tests/experts/test_demand.py
@@ -16,7 +16,7 @@
 EXPONENT = 0.5
 
 
-class Liking:
+class ExpertPopularity:
     """Choices of one rank, by a liking that is spread over many experts."""
 
     def __init__(self, seed, experts=EXPERTS, exponent=EXPONENT):
@@ -28,21 +28,23 @@
         self.counts = np.zeros((LAYERS, experts), dtype=int)
         self.step = 0
 
-    def turn(self):
+    def shift(self):
         """Let one half of the experts exchange what they are liked."""
         for row in self.shares:
             moved = self.rng.permutation(self.experts)[: self.experts // 2]
             row[moved] = row[self.rng.permutation(moved)]
 
-    def read(self, choices, alike=0):
+    def read(self, choices, correlation=0):
         """Make choices; return the counts then.
 
         ``alike`` is how far the requests of the time make them differ from the
         liking, as a share of it.
         """
         self.step += 2
-        tastes = self.rng.uniform(1 - alike, 1 + alike, self.shares.shape)
-        shares = self.shares * tastes
+        noise = self.rng.uniform(
+            1 - correlation, 1 + correlation, self.shares.shape
+        )
+        shares = self.shares * noise
         shares /= shares.sum(axis=1, keepdims=True)
         self.counts += self.rng.multinomial(choices, shares)
         return {0: RankCounts(1, self.step, tuple(self.counts.flat))}
@@ -52,12 +54,12 @@
     """Spans of steady demand and of a turn."""
 
     def follow(self, choices, spans):
-        liking = Liking(3)
+        popularity = ExpertPopularity(3)
         demand = Demand(LAYERS, EXPERTS)
-        demand.begin(liking.read(choices))
+        demand.begin(popularity.read(choices))
         for _ in range(spans):
-            demand.end(liking.read(choices), is_new=False)
-        return liking, demand
+            demand.end(popularity.read(choices), is_unmixed=False)
+        return popularity, demand
 
     def test_a_turn_of_a_wide_liking_is_told_by_its_first_span(self):
         """A sixth of the choices differ, and the old ones outweigh the new.
@@ -66,20 +68,20 @@
         ranks were late. Turns were told by a bound of 0.22 for the difference
         between two spans, made for likings that half of all choices turn with.
         """
-        liking, demand = self.follow(4000, 6)
-        liking.turn()
-        demand.begin(liking.read(0))
-        demand.end(liking.read(4000), is_new=True)
-        off = np.abs(demand.shares - liking.shares).sum(axis=1).mean() / 2
+        popularity, demand = self.follow(4000, 6)
+        popularity.shift()
+        demand.begin(popularity.read(0))
+        demand.end(popularity.read(4000), is_unmixed=True)
+        off = np.abs(demand.shares - popularity.shares).sum(axis=1).mean() / 2
         self.assertLess(off, 0.1)
 
     def test_steady_demand_is_not_taken_for_a_turn(self):
         # With fewer, chance alone differs by more than any turn is taken to.
         for choices in (2000, 9000):
             with self.subTest(choices=choices):
-                liking, demand = self.follow(choices, 2)
+                popularity, demand = self.follow(choices, 2)
                 for _ in range(100):
-                    demand.end(liking.read(choices), is_new=False)
+                    demand.end(popularity.read(choices), is_unmixed=False)
                     self.assertIsNotNone(demand.shares)
 
     def test_a_turn_shows_through_the_chance_of_few_choices(self):
@@ -91,13 +93,13 @@
         """
         for seed in range(20):
             with self.subTest(seed=seed):
-                liking = Liking(seed, experts=384, exponent=0.43)
+                popularity = ExpertPopularity(seed, experts=384, exponent=0.43)
                 demand = Demand(LAYERS, 384)
-                demand.begin(liking.read(0))
-                demand.end(liking.read(6400), is_new=False)
-                liking.turn()
-                demand.begin(liking.read(0))
-                demand.end(liking.read(7400), is_new=False)
+                demand.begin(popularity.read(0))
+                demand.end(popularity.read(6400), is_unmixed=False)
+                popularity.shift()
+                demand.begin(popularity.read(0))
+                demand.end(popularity.read(7400), is_unmixed=False)
                 self.assertIsNone(demand.shares)
 
     def test_requests_that_are_alike_are_no_turn(self):
@@ -108,15 +110,18 @@
         """
         for choices in (4000, 60_000, 1_000_000):
             with self.subTest(choices=choices):
-                liking = Liking(5, experts=384)
+                popularity = ExpertPopularity(5, experts=384)
                 demand = Demand(LAYERS, 384)
-                demand.begin(liking.read(0))
+                demand.begin(popularity.read(0))
                 for _ in range(20):
-                    demand.end(liking.read(choices, alike=0.2), is_new=False)
+                    demand.end(
+                        popularity.read(choices, correlation=0.2),
+                        is_unmixed=False,
+                    )
                     self.assertIsNotNone(demand.shares)
 
     def test_a_turn_within_a_span_tells_neither(self):
-        liking, demand = self.follow(4000, 6)
-        liking.turn()
-        demand.end(liking.read(4000), is_new=False)
+        popularity, demand = self.follow(4000, 6)
+        popularity.shift()
+        demand.end(popularity.read(4000), is_unmixed=False)
         self.assertIsNone(demand.shares)
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -13,7 +13,12 @@
     Reply,
 )
 from snipebend.experts.direct_switch import GO_AGAIN_S, DirectSwitch, Phase
-from snipebend.experts.hold_aim import AHEAD, LOSS_MARGIN, STEP_VALID_S, HoldAim
+from snipebend.experts.hold_planner import (
+    LOSS_MARGIN_PASSES,
+    PASSES_AHEAD,
+    STEP_VALID_S,
+    HoldPlanner,
+)
 from snipebend.experts.rank_states import ARM_AGAIN_S, MOST_ARM_AGAIN_S
 
 LAYERS = (((0,), (1,)),)
@@ -26,7 +31,7 @@
     def setUp(self):
         """Have two ranks fetch, at a pace of 20 passes a second before."""
         self.switch = DirectSwitch('g', 1, 1, LAYERS, 2, FETCH_S)
-        self.switch.aim = HoldAim(100, 10.0, 0.05)
+        self.switch.aim = HoldPlanner(100, 10.0, 0.05)
         for order in self.switch.next_orders(10.0):
             self.switch.note_reply(order, Reply.ACCEPTED, 10.0)
 
@@ -38,18 +43,21 @@
         now = 10.0 + FETCH_S
         self.switch.note_step(1, 103, now)
         self.assertEqual(
-            self.switch.next_orders(now), [Hold(0, 1, 103 + AHEAD)]
+            self.switch.next_orders(now), [Hold(0, 1, 103 + PASSES_AHEAD)]
         )
 
     def test_lost_answers_are_allowed_for_by_their_time(self):
         """Arming will lose as much as telling all to prepare did."""
         steps = [self._hold_step_after(*lost) for lost in ((), (Reply.LOST,))]
-        self.assertEqual(steps, [103 + AHEAD, 103 + AHEAD + LOSS_MARGIN + 3])
+        self.assertEqual(
+            steps,
+            [103 + PASSES_AHEAD, 103 + PASSES_AHEAD + LOSS_MARGIN_PASSES + 3],
+        )
 
     def _hold_step_after(self, *lost):
         """Tell one rank at once, the other 0.2 s later, after its losses."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
-        switch.aim = HoldAim(100, 10.0, 0.1)
+        switch.aim = HoldPlanner(100, 10.0, 0.1)
         first, last = switch.next_orders(10.0)
         switch.note_reply(first, Reply.ACCEPTED, 10.01)
         for reply in lost:
@@ -69,7 +77,7 @@
         self.switch.note_step(1, 103, now)
         self.switch.note_step(1, 104, now)
         self.assertEqual(
-            self.switch.next_orders(now), [Hold(0, 1, 104 + AHEAD)]
+            self.switch.next_orders(now), [Hold(0, 1, 104 + PASSES_AHEAD)]
         )
 
     def test_a_step_ages(self):
@@ -89,7 +97,7 @@
     def run_until_go(self, losing=()):
         """Give orders; lose the first reply to each kind in ``losing``."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
-        switch.aim = HoldAim(100, 10.0, 0.05)
+        switch.aim = HoldPlanner(100, 10.0, 0.05)
         lost = set(losing)
         given = []
         now = 10.0
@@ -123,7 +131,7 @@
     def test_a_hold_that_was_not_needed_is_let_go(self):
         """The ranks had switched by an older hold; reports tell it late."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
-        switch.aim = HoldAim(100, 10.0, 0.05)
+        switch.aim = HoldPlanner(100, 10.0, 0.05)
         for order in switch.next_orders(10.0):
             switch.note_reply(order, Reply.ACCEPTED, 10.0)
         switch.note_step(1, 103, 10.1)
@@ -146,7 +154,7 @@
 
     def test_a_rank_that_refuses_is_asked_ever_less_often(self):
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
-        switch.aim = HoldAim(100, 10.0, 0.05)
+        switch.aim = HoldPlanner(100, 10.0, 0.05)
         asked = []
         for tick in range(200):
             now = 10.0 + 0.01 * tick
--- a/tests/experts/test_estimate.py
+++ b/tests/experts/test_estimate.py
@@ -46,13 +46,17 @@
 
     def test_missing_ranks_widen_the_variance_without_bias(self) -> None:
         reports = _three_rounds(3)
-        whole = _estimate(reports).estimate()
-        part = _estimate([one for one in reports if one.rank < 3]).estimate()
+        all_ranks = _estimate(reports).estimate()
+        some_ranks = _estimate(
+            [one for one in reports if one.rank < 3]
+        ).estimate()
         truth = zipf_shares(SHAPE, 3)
-        errors = (part.shares - truth) / np.sqrt(part.variances)
+        errors = (some_ranks.shares - truth) / np.sqrt(some_ranks.variances)
         self.assertLess(np.abs(errors).max(), 5)
         self.assertLess(errors.std(), 1.5)
-        self.assertGreater(part.variances.sum(), 2 * whole.variances.sum())
+        self.assertGreater(
+            some_ranks.variances.sum(), 2 * all_ranks.variances.sum()
+        )
 
     def test_layers_without_reports_stay_unknown(self) -> None:
         report = _three_rounds(1)[0]
@@ -102,5 +106,5 @@
                 estimator.record(report).unwrap()
         estimate = estimator.estimate()
         moved = np.abs(estimate.shares - before).sum()
-        way = np.abs(after - before).sum()
-        self.assertGreater(moved / way, 0.8)
+        distance = np.abs(after - before).sum()
+        self.assertGreater(moved / distance, 0.8)
--- a/tests/experts/test_group_watch.py
+++ b/tests/experts/test_group_watch.py
@@ -11,7 +11,7 @@
     GroupWatch,
     Outlook,
 )
-from snipebend.experts.sizes import ExpertSizes, first_map
+from snipebend.experts.sizes import ExpertSizes, initial_map
 
 SIZES = ExpertSizes(2, 64, 5, 2, 0.85, 0.1)
 REPORT = RankReport('i', 'g', 3, 0, 16, is_open=True, step=10, map_version=0)
@@ -45,13 +45,13 @@
         self.counter = Counter(1)
         self.watch = GroupWatch(SIZES, REPORT)
         self.now = 5.0
-        self.layers = first_map(SIZES, 16)
+        self.layers = initial_map(SIZES, 16)
 
-    def feed(self, spans=1, choices=3000, *, is_new=False):
+    def feed(self, spans=1, choices=3000, *, is_unmixed=False):
         for _ in range(spans):
             self.now += 0.3
             read = {0: self.counter.span(choices)}
-            self.watch.end_span(read, self.now, is_new=is_new)
+            self.watch.end_span(read, self.now, is_unmixed=is_unmixed)
 
     def test_nothing_before_two_readings(self):
         self.feed()
@@ -71,10 +71,10 @@
 
     def test_a_small_gain_waits_while_passes_are_short(self):
         # With a small share of the work, experts gain less for a pass.
-        small = SIZES._replace(share=0.2)
-        hasty = self._seen(small._replace(pause_s=0.05))
-        calm = self._seen(small._replace(pause_s=0.2))
-        urgent = self._seen(SIZES._replace(pause_s=0.2))
+        small = SIZES._replace(work_share=0.2)
+        hasty = self._seen(small._replace(max_pause_s=0.05))
+        calm = self._seen(small._replace(max_pause_s=0.2))
+        urgent = self._seen(SIZES._replace(max_pause_s=0.2))
         self.assertLess(hasty.look(self.layers).saving, URGENT_SAVING)
         self.assertEqual(calm.look(self.layers).reason, 'calm')
         self.assertGreater(urgent.look(self.layers).saving, URGENT_SAVING)
@@ -95,7 +95,7 @@
         self.counter.turn()
         self.now += 0.3
         self.watch.begin_span({0: self.counter.span()}, self.now)
-        self.feed(is_new=True)
+        self.feed(is_unmixed=True)
         self.assertFalse(self.watch.turning)
         outlook = self.watch.look(self.layers)
         self.assertLess(outlook.skew_after, 1.4)
@@ -117,16 +117,16 @@
 
     def test_a_span_that_tells_nothing_says_so(self):
         self.feed(2)
-        self.assertTrue(self.watch.demand.told)
+        self.assertTrue(self.watch.demand.is_conclusive)
         self.feed(choices=100)
-        self.assertFalse(self.watch.demand.told)
+        self.assertFalse(self.watch.demand.is_conclusive)
         self.feed(choices=600)
-        self.assertTrue(self.watch.demand.told)
+        self.assertTrue(self.watch.demand.is_conclusive)
 
     def test_another_epoch_counts_nothing(self):
         self.feed()
         late = self.counter.span()._replace(epoch=2)
-        self.watch.end_span({0: late}, self.now, is_new=False)
+        self.watch.end_span({0: late}, self.now, is_unmixed=False)
         self.assertEqual(self.watch.look(self.layers).reason, 'turning')
 
     def test_the_pace_of_passes(self):
@@ -140,7 +140,7 @@
         self.assertAlmostEqual(self.watch.pace.pass_s, 0.11)
 
     def test_a_small_gain_waits_until_passes_are_measured(self):
-        watch = self._seen(SIZES._replace(share=0.2, pause_s=0.05))
+        watch = self._seen(SIZES._replace(work_share=0.2, max_pause_s=0.05))
         watch.renew_pace()
         self.assertEqual(watch.look(self.layers).reason, 'calm')
 
@@ -170,7 +170,7 @@
 
     def read_all(self, counters):
         read = {rank: one.span(250) for rank, one in enumerate(counters, 4)}
-        self.watch.end_span(read, self.now, is_new=False)
+        self.watch.end_span(read, self.now, is_unmixed=False)
 
     def _seen(self, sizes):
         """Return a watch that has seen passes of 60 ms."""
@@ -178,7 +178,7 @@
         counter = Counter(4)
         for span in range(3):
             read = {0: counter.span()}
-            watch.end_span(read, 0.3 * span, is_new=False)
+            watch.end_span(read, 0.3 * span, is_unmixed=False)
         return watch
 
     def test_first_map_has_experts_in_turn(self):
--- a/tests/experts/test_map_search.py
+++ b/tests/experts/test_map_search.py
@@ -9,14 +9,14 @@
 
 from snipebend.experts.layer_state import layer_skew
 from snipebend.experts.layer_steps import LayerSteps
-from snipebend.experts.map_search import Bounds, MapSearch
+from snipebend.experts.map_search import ChangeLimits, MapSearch
 from tests.experts.turns import Answers, Size, answer_turns
 
 RANKS = 16
 EXPERTS = 64
 LAYERS = 4
-BOUNDS = Bounds(places=5, spare=2)
-IN_TURN = tuple(tuple(range(rank, EXPERTS, RANKS)) for rank in range(RANKS))
+BOUNDS = ChangeLimits(slots=5, max_new=2)
+ROUND_ROBIN = tuple(tuple(range(rank, EXPERTS, RANKS)) for rank in range(RANKS))
 
 
 def zipf_loads(rng):
@@ -28,13 +28,13 @@
 def fetched_by_rank(better):
     """Return what ranks fetch that held the experts in turn."""
     return [
-        sum(len(set(layer[rank]) - set(IN_TURN[rank])) for layer in better)
+        sum(len(set(layer[rank]) - set(ROUND_ROBIN[rank])) for layer in better)
         for rank in range(RANKS)
     ]
 
 
-def search_one(layer, loads, bounds=BOUNDS, paces=()):
-    return MapSearch((layer,), (loads,), bounds, paces).run()[0]
+def search_one(layer, loads, bounds=BOUNDS, slowness=()):
+    return MapSearch((layer,), (loads,), bounds, slowness).run()[0]
 
 
 class TestSearch(unittest.TestCase):
@@ -42,7 +42,7 @@
 
     def test_every_map_of_a_long_run_is_valid(self):
         rng = random.Random(7)
-        layer = IN_TURN
+        layer = ROUND_ROBIN
         for turn in range(40):
             loads = zipf_loads(rng)
             search = MapSearch((layer,), (loads,), BOUNDS)
@@ -60,19 +60,19 @@
         rng = random.Random(1)
         for _ in range(10):
             loads = zipf_loads(rng)
-            better = search_one(IN_TURN, loads)
-            self.assertGreater(layer_skew(IN_TURN, loads), 3)
+            better = search_one(ROUND_ROBIN, loads)
+            self.assertGreater(layer_skew(ROUND_ROBIN, loads), 3)
             self.assertLess(layer_skew(better, loads), 1.35)
 
     def test_even_demand_changes_nothing(self):
         even = [RANKS / EXPERTS for _ in range(EXPERTS)]
-        self.assertEqual(search_one(IN_TURN, even), IN_TURN)
+        self.assertEqual(search_one(ROUND_ROBIN, even), ROUND_ROBIN)
 
     def test_no_rank_fetches_more_than_one_change_may(self):
         rng = random.Random(5)
         loads = [zipf_loads(rng) for _ in range(LAYERS)]
-        bounds = BOUNDS._replace(most_fetched=3)
-        better = MapSearch((IN_TURN,) * LAYERS, loads, bounds).run()
+        bounds = BOUNDS._replace(max_fetches=3)
+        better = MapSearch((ROUND_ROBIN,) * LAYERS, loads, bounds).run()
         for rank, fetched in enumerate(fetched_by_rank(better)):
             with self.subTest(rank=rank):
                 self.assertLessEqual(fetched, 3)
@@ -82,8 +82,8 @@
         """Layer by layer, the first would take it all."""
         rng = random.Random(5)
         loads = [zipf_loads(rng) for _ in range(LAYERS)]
-        bounds = BOUNDS._replace(most_fetched=2)
-        search = MapSearch((IN_TURN,) * LAYERS, loads, bounds)
+        bounds = BOUNDS._replace(max_fetches=2)
+        search = MapSearch((ROUND_ROBIN,) * LAYERS, loads, bounds)
         before = search.skews
         search.run()
         for old, new in zip(before, search.skews, strict=True):
@@ -91,20 +91,20 @@
 
     def test_a_slow_rank_gives_its_work_away(self):
         loads = zipf_loads(random.Random(6))
-        paces = [5 if rank == 3 else 1 for rank in range(RANKS)]
-        layer = IN_TURN
+        slowness = [5 if rank == 3 else 1 for rank in range(RANKS)]
+        layer = ROUND_ROBIN
         for _ in range(3):
-            layer = search_one(layer, loads, paces=paces)
-        self.assertLess(layer_skew(layer, loads, paces), 1.6)
-        self.assertGreater(layer_skew(IN_TURN, loads, paces), 3)
+            layer = search_one(layer, loads, slowness=slowness)
+        self.assertLess(layer_skew(layer, loads, slowness), 1.6)
+        self.assertGreater(layer_skew(ROUND_ROBIN, loads, slowness), 3)
 
     def _check(self, before, after):
         held = [expert for rank in after for expert in rank]
         self.assertEqual(set(held), set(range(EXPERTS)))
         for old, new in zip(before, after, strict=True):
-            self.assertLessEqual(len(new), BOUNDS.places)
+            self.assertLessEqual(len(new), BOUNDS.slots)
             self.assertEqual(len(new), len(set(new)))
-            self.assertLessEqual(len(set(new) - set(old)), BOUNDS.spare)
+            self.assertLessEqual(len(set(new) - set(old)), BOUNDS.max_new)
 
 
 class TestSizes(unittest.TestCase):
@@ -140,14 +140,14 @@
 
         To the end, it is 1.204 after one.
         """
-        size = Size(192, 10, 384, 3, 0.6, most_fetched=46)
+        size = Size(192, 10, 384, 3, 0.6, max_fetches=46)
         found = answer_turns(size, search_of(size), 3)
         self.assertLess(found.skews[1] - found.skews[2], 0.01)
 
 
 def search_of(size):
     """Return the search within a group's bounds."""
-    bounds = Bounds(size.places, size.spare, most_fetched=size.most_fetched)
+    bounds = ChangeLimits(size.places, size.spare, max_fetches=size.max_fetches)
     return lambda layers, loads: MapSearch(layers, loads, bounds).run()
 
 
@@ -156,12 +156,12 @@
 
     def test_gains_are_what_apply_does(self):
         rng = random.Random(2)
-        paces = [2 if rank == 4 else 1 for rank in range(RANKS)]
-        steps = LayerSteps(IN_TURN, zipf_loads(rng), paces, BOUNDS.places)
+        slowness = [2 if rank == 4 else 1 for rank in range(RANKS)]
+        steps = LayerSteps(ROUND_ROBIN, zipf_loads(rng), slowness, BOUNDS.slots)
         kinds = set()
-        may_fetch = np.ones(RANKS, dtype=bool)
+        can_fetch = np.ones(RANKS, dtype=bool)
         for _ in range(30):
-            step = steps.best_step(may_fetch, 4, 0.001)
+            step = steps.best_step(can_fetch, 4, 0.001)
             if step is None:
                 break
             kinds.add((step.moves, step.swaps, step.dropped is not None))
--- a/tests/experts/test_placement.py
+++ b/tests/experts/test_placement.py
@@ -18,7 +18,7 @@
 
 
 @st.composite
-def _cases(draw: st.DrawFn) -> tuple[GroupShape, np.ndarray]:
+def _placement_cases(draw: st.DrawFn) -> tuple[GroupShape, np.ndarray]:
     ranks = draw(st.integers(1, 7))
     slots = draw(st.integers(1, 5))
     experts = draw(st.integers(slots, ranks * slots))
@@ -31,13 +31,13 @@
 
 
 class PlacementTest(unittest.TestCase):
-    @given(_cases())
+    @given(_placement_cases())
     @settings(derandomize=True, deadline=None, max_examples=200)
     def test_maps_from_scratch_are_valid(self, case) -> None:
         shape, loads = case
         check_map(shape, place_from_scratch(shape, loads, 1)).unwrap()
 
-    @given(_cases(), st.integers(0, 40))
+    @given(_placement_cases(), st.integers(0, 40))
     @settings(derandomize=True, deadline=None, max_examples=200)
     def test_each_cut_of_a_search_is_valid_and_in_budget(
         self,
@@ -46,15 +46,15 @@
     ) -> None:
         shape, loads = case
         start = place_from_scratch(shape, loads[:, ::-1], 1)
-        trail = search(start.placement, loads, SearchLimits(0, 30))
-        rounds = choose_rounds(trail, 0, max_loads)
-        after = replay(start.placement, trail, rounds)
+        trace = search(start.placement, loads, SearchLimits(0, 30))
+        rounds = choose_rounds(trace, 0, max_loads)
+        after = replay(start.placement, trace, rounds)
         check_map(shape, ExpertMap(2, after)).unwrap()
         self.assertLessEqual((after != start.placement).sum(), max_loads)
         rows = np.arange(shape.layers)
         skews = layer_skews(after, loads)
-        np.testing.assert_allclose(skews, trail.skews[rounds, rows])
-        self.assertTrue((skews <= trail.skews[0] + 1e-9).all())
+        np.testing.assert_allclose(skews, trace.skews[rounds, rows])
+        self.assertTrue((skews <= trace.skews[0] + 1e-9).all())
 
     def test_scratch_balances_what_one_rank_can_not_hold(self) -> None:
         loads = relative_loads(zipf_shares(SHAPE, 1), SHAPE.ranks)
@@ -68,9 +68,9 @@
         before = relative_loads(shares, SHAPE.ranks)
         loads = relative_loads(drifted, SHAPE.ranks)
         start = place_from_scratch(SHAPE, before, 1)
-        trail = search(start.placement, loads, SearchLimits(0, 50))
-        rounds = choose_rounds(trail, 0.01, 1000)
-        after = replay(start.placement, trail, rounds)
+        trace = search(start.placement, loads, SearchLimits(0, 50))
+        rounds = choose_rounds(trace, 0.01, 1000)
+        after = replay(start.placement, trace, rounds)
         scratch = place_from_scratch(SHAPE, loads, 2).placement
         again = align_slots(start.placement, scratch)
         self.assertLess(step_skew(after, loads), 1.08)
--- a/tests/experts/test_view.py
+++ b/tests/experts/test_placement_view.py
@@ -9,7 +9,7 @@
 from snipebend.experts.model import count_replicas
 from snipebend.experts.placement import place_from_scratch
 from snipebend.experts.skew import rank_loads, relative_loads
-from snipebend.experts.view import take_view
+from snipebend.experts.placement_view import view_placement
 from tests.experts.loads import SHAPE, zipf_shares
 
 
@@ -19,13 +19,13 @@
         for shares in (even, zipf_shares(SHAPE, 1), zipf_shares(SHAPE, 2)):
             loads = relative_loads(shares, SHAPE.ranks)
             placement = place_from_scratch(SHAPE, loads, 1).placement
-            seen = take_view(placement, loads).after_drop
+            after_drop = view_placement(placement, loads).after_drop
             expected = [
                 [self._after_drop(placement, loads, layer, slot)]
                 for layer in range(SHAPE.layers)
                 for slot in range(SHAPE.ranks * SHAPE.slots)
             ]
-            np.testing.assert_allclose(seen.ravel(), np.ravel(expected))
+            np.testing.assert_allclose(after_drop.ravel(), np.ravel(expected))
 
     def _after_drop(
         self,
--- a/tests/experts/test_policy.py
+++ b/tests/experts/test_policy.py
@@ -13,15 +13,28 @@
 from snipebend.experts.model import ExpertMap, check_map
 from snipebend.experts.placement import place_from_scratch
 from snipebend.experts.planner import PolicySettings
-from snipebend.experts.policy import Change, Decision, Facts, Keep, Policy
+from snipebend.experts.policy import (
+    Change,
+    Decision,
+    DecisionContext,
+    Keep,
+    Policy,
+)
 from snipebend.experts.skew import relative_loads
 from snipebend.fleet.model import Weights
-from tests.experts.loads import INTERVAL, SHAPE, fill, zipf_shares
+from tests.experts.loads import (
+    INTERVAL_STEPS,
+    SHAPE,
+    record_reports,
+    zipf_shares,
+)
 
 STORE = StoreBudget(bytes_per_s=10_000)
 SKEW_FIRST = Weights(skew=0.8, cost=0.2)
 COST_FIRST = Weights(skew=0.3, cost=0.7)
-TUNED = PolicySettings(horizon_steps=5 * INTERVAL, load_window_s=4)
+SHORT_HORIZON = PolicySettings(
+    horizon_steps=5 * INTERVAL_STEPS, load_window_s=4
+)
 
 
 class _Group:
@@ -35,44 +48,44 @@
     ) -> None:
         loads = relative_loads(zipf_shares(SHAPE, 1), SHAPE.ranks)
         self.expert_map = place_from_scratch(SHAPE, loads, 1)
-        self.estimator = LoadEstimator(SHAPE, INTERVAL)
+        self.estimator = LoadEstimator(SHAPE, INTERVAL_STEPS)
         self.policy = Policy(
             SHAPE,
             weights,
             CostModel(),
             hold_steps=hold_steps,
-            settings=TUNED,
+            settings=SHORT_HORIZON,
         )
-        self.facts = Facts(0, -INTERVAL, 0.5, store)
+        self.context = DecisionContext(0, -INTERVAL_STEPS, 0.5, store)
 
-    def hear(self, shares: np.ndarray, seed: int = 0) -> None:
-        step = self.facts.step + INTERVAL
-        self.facts = self.facts._replace(step=step)
-        fill(self.estimator, SHAPE, shares, step, seed)
+    def receive_reports(self, shares: np.ndarray, seed: int = 0) -> None:
+        step = self.context.step + INTERVAL_STEPS
+        self.context = self.context._replace(step=step)
+        record_reports(self.estimator, SHAPE, shares, step, seed)
 
     def decide(self) -> Decision:
-        now = self.facts.step / 20
+        now = self.context.step / 20
         decision = self.policy.decide(
             self.estimator.estimate(),
             self.expert_map,
-            self.facts,
+            self.context,
             now,
         )
         if isinstance(decision, Change):
-            self._carry_out(decision, now)
+            self._apply_change(decision, now)
         return decision
 
-    def _carry_out(self, change: Change, now: float) -> None:
+    def _apply_change(self, change: Change, now: float) -> None:
         check_map(SHAPE, change.expert_map).unwrap()
         assert change.load_bytes == len(change.moves) * SHAPE.expert_bytes
-        assert change.store.free_at <= now + TUNED.load_window_s + 1e-6
+        assert change.store.free_at <= now + SHORT_HORIZON.load_window_s + 1e-6
         before = self.expert_map
         version = before.version + 1
         assert before.apply_moves(change.moves, version) == change.expert_map
         self.expert_map = change.expert_map
-        self.facts = self.facts._replace(
+        self.context = self.context._replace(
             store=change.store,
-            changed_at_step=self.facts.step,
+            changed_at_step=self.context.step,
         )
 
 
@@ -85,7 +98,7 @@
         for weights in (SKEW_FIRST, COST_FIRST):
             group = _Group(weights)
             for turn in range(60):
-                group.hear(zipf_shares(SHAPE, 1), seed=turn)
+                group.receive_reports(zipf_shares(SHAPE, 1), seed=turn)
                 self.assertIsInstance(group.decide(), Keep)
 
     def test_drift_is_followed_and_skew_weight_moves_more(self) -> None:
@@ -94,7 +107,7 @@
             group = _Group(weights, StoreBudget(1_000))
             decisions = []
             for part in np.linspace(0, 1, 20):
-                group.hear(_drifted(part))
+                group.receive_reports(_drifted(part))
                 decisions.append(group.decide())
             changes = [one for one in decisions if isinstance(one, Change)]
             loaded[weights] = sum(one.load_bytes for one in changes)
@@ -111,42 +124,42 @@
     @settings(derandomize=True, deadline=None, max_examples=60)
     def test_budget_and_validity_hold(self, seed, used, busy, rate) -> None:
         group = _Group(store=StoreBudget(rate, free_at=50 + busy))
-        group.facts = group.facts._replace(utilisation=used)
-        group.hear(zipf_shares(SHAPE, seed), seed=seed)
+        group.context = group.context._replace(utilisation=used)
+        group.receive_reports(zipf_shares(SHAPE, seed), seed=seed)
         decision = group.decide()
         if isinstance(decision, Change):
-            seconds = TUNED.load_window_s - busy
+            seconds = SHORT_HORIZON.load_window_s - busy
             self.assertLessEqual(decision.load_bytes, rate * seconds + 1e-6)
             self.assertLess(used, 0.9)
 
     def test_groups_share_the_store(self) -> None:
         first, second = _Group(), _Group()
         for group in (first, second):
-            group.hear(_drifted(1))
+            group.receive_reports(_drifted(1))
         change = first.decide()
         assert isinstance(change, Change)
-        booked = StoreBudget(STORE.bytes_per_s, free_at=INTERVAL / 20 + 4)
-        second.facts = second.facts._replace(store=booked)
+        booked = StoreBudget(STORE.bytes_per_s, free_at=INTERVAL_STEPS / 20 + 4)
+        second.context = second.context._replace(store=booked)
         self.assertEqual(second.decide(), Keep('store-budget'))
 
     def test_serving_goes_first(self) -> None:
         group = _Group()
-        group.hear(_drifted(1))
-        group.facts = group.facts._replace(utilisation=0.95)
+        group.receive_reports(_drifted(1))
+        group.context = group.context._replace(utilisation=0.95)
         self.assertEqual(group.decide(), Keep('serving-needs-capacity'))
-        group.facts = group.facts._replace(utilisation=0.85)
+        group.context = group.context._replace(utilisation=0.85)
         change = group.decide()
         assert isinstance(change, Change)
         self.assertAlmostEqual(change.bytes_per_s, 0.25 * STORE.bytes_per_s)
 
     def test_obstacles_are_named(self) -> None:
-        group = _Group(hold_steps=2 * INTERVAL)
+        group = _Group(hold_steps=2 * INTERVAL_STEPS)
         self.assertEqual(group.decide(), Keep('no-reports'))
-        group.hear(_drifted(1))
-        group.facts = group.facts._replace(changed_at_step=0)
+        group.receive_reports(_drifted(1))
+        group.context = group.context._replace(changed_at_step=0)
         self.assertEqual(group.decide(), Keep('hold-steps'))
-        late = TUNED.stale_steps + INTERVAL + 1
-        group.facts = group.facts._replace(step=late)
+        late = SHORT_HORIZON.stale_steps + INTERVAL_STEPS + 1
+        group.context = group.context._replace(step=late)
         self.assertEqual(group.decide(), Keep('stale-reports'))
 
     def test_a_change_that_will_not_pay_back_is_not_made(self) -> None:
@@ -155,16 +168,16 @@
             SHAPE,
             COST_FIRST,
             CostModel(stall_steps=1e6),
-            settings=TUNED,
+            settings=SHORT_HORIZON,
         )
-        group.hear(_drifted(0.5))
+        group.receive_reports(_drifted(0.5))
         self.assertEqual(group.decide(), Keep('will-not-pay-back'))
 
     def test_load_that_flips_back_teaches_to_move_less(self) -> None:
         moved = []
         group = _Group()
         for turn in range(48):
-            group.hear(_drifted(turn // 2 % 2), seed=turn)
+            group.receive_reports(_drifted(turn // 2 % 2), seed=turn)
             before = group.expert_map
             group.decide()
             moved.append(len(before.moves_to(group.expert_map)))
@@ -172,19 +185,21 @@
 
     def test_zero_weight_of_skew_never_moves(self) -> None:
         group = _Group(Weights(skew=0, cost=1))
-        group.hear(_drifted(1))
+        group.receive_reports(_drifted(1))
         self.assertIsInstance(group.decide(), Keep)
 
     def test_unknown_layers_are_left_alone(self) -> None:
         group = _Group()
-        group.hear(_drifted(1))
+        group.receive_reports(_drifted(1))
         known = group.estimator.estimate()
         shares = known.shares.copy()
         variances = known.variances.copy()
         shares[0] = 1 / SHAPE.experts
         variances[0] = 1
         part = known._replace(shares=shares, variances=variances)
-        decision = group.policy.decide(part, group.expert_map, group.facts, 50)
+        decision = group.policy.decide(
+            part, group.expert_map, group.context, 50
+        )
         assert isinstance(decision, Change)
         self.assertTrue(all(move.layer > 0 for move in decision.moves))
         self.assertEqual(
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -6,28 +6,28 @@
 
 from snipebend.experts.group_pace import WINDOW_S, GroupPaces
 from snipebend.experts.reading_plan import (
-    AGAIN_S,
-    BLIND_EVERY_S,
-    CALM_SHARE,
-    GLANCE_EVERY_S,
-    LONGER,
-    MOST_SPAN_S,
-    REFINE_S,
+    RECHECK_AFTER_S,
+    NO_REPORT_INTERVAL_S,
+    ON_TIME_SHARE,
+    SPOT_CHECK_INTERVAL_S,
+    SHIFT_GROWTH,
+    MAX_SPAN_S,
+    REFINE_AFTER_S,
     SPAN_S,
     Reading,
     ReadingPlan,
 )
 
-ALLOWED_S = 0.12
-CALM_S = 0.9 * CALM_SHARE * ALLOWED_S
-LONG_S = 1.5 * CALM_SHARE * ALLOWED_S
+MAX_PAUSE_S = 0.12
+ON_TIME_S = 0.9 * ON_TIME_SHARE * MAX_PAUSE_S
+LONG_S = 1.5 * ON_TIME_SHARE * MAX_PAUSE_S
 
 
 class TestReadingPlan(unittest.TestCase):
     """What passes say decides."""
 
     def setUp(self):
-        self.plan = ReadingPlan(ALLOWED_S)
+        self.plan = ReadingPlan(MAX_PAUSE_S)
         self.now = 7.0
 
     def reads(self, pass_s, after_s=0.0):
@@ -36,90 +36,98 @@
 
     def test_nothing_while_streams_are_on_time(self):
         for _ in range(100):
-            self.assertIs(self.reads(CALM_S, 0.1), Reading.NOTHING)
+            self.assertIs(self.reads(ON_TIME_S, 0.1), Reading.NOTHING)
 
     def test_long_passes_begin_a_span(self):
         self.assertIs(self.reads(LONG_S), Reading.BEGIN)
         self.plan.note_begun(self.now)
         self.assertIs(self.reads(LONG_S), Reading.NOTHING)
         self.assertIs(self.reads(LONG_S, SPAN_S), Reading.END)
-        self.assertTrue(self.plan.is_new)
+        self.assertTrue(self.plan.is_unmixed)
 
     def test_passes_that_lengthen_after_a_change_tell_of_a_turn(self):
         """The span after a change would hold some of both demands."""
         self.plan.note_changed(self.now)
         for pass_s in (2 * LONG_S, LONG_S, LONG_S):
             self.assertIs(self.reads(pass_s, 0.1), Reading.NOTHING)
-        self.assertIs(self.reads(1.1 * LONGER * LONG_S, 0.1), Reading.BEGIN)
+        self.assertIs(
+            self.reads(1.1 * SHIFT_GROWTH * LONG_S, 0.1), Reading.BEGIN
+        )
         self.plan.note_begun(self.now)
-        self.assertTrue(self.plan.is_new)
+        self.assertTrue(self.plan.is_unmixed)
 
     def test_passes_that_shorten_after_a_change_are_refined(self):
         self.plan.note_changed(self.now)
         self.assertIs(self.reads(2 * LONG_S, 0.1), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S, REFINE_S), Reading.END)
-        self.assertFalse(self.plan.is_new)
+        self.assertIs(self.reads(LONG_S, REFINE_AFTER_S), Reading.END)
+        self.assertFalse(self.plan.is_unmixed)
 
     def test_a_span_with_few_choices_is_drawn_out(self):
         self.plan.note_begun(self.now)
         waits_s = []
         for _ in range(5):
-            self.plan.note_short(self.now)
+            self.plan.note_inconclusive(self.now)
             began_at = self.now
             while self.reads(LONG_S, 0.01) is Reading.NOTHING:
-                self.assertTrue(self.plan.spans)
+                self.assertTrue(self.plan.is_counting)
             waits_s.append(round(self.now - began_at, 1))
-        self.assertEqual(waits_s, [0.3, 0.6, MOST_SPAN_S] + 2 * [MOST_SPAN_S])
+        self.assertEqual(waits_s, [0.3, 0.6, MAX_SPAN_S] + 2 * [MAX_SPAN_S])
         self.plan.note_begun(self.now)
         self.assertIs(self.reads(LONG_S, SPAN_S), Reading.END)
 
     def test_a_look_that_changed_nothing_is_not_repeated_at_once(self):
         self.plan.note_kept(self.now, LONG_S)
         self.assertIs(self.reads(1.1 * LONG_S, 0.1), Reading.NOTHING)
-        self.assertIs(self.reads(1.1 * LONGER * LONG_S), Reading.BEGIN)
+        self.assertIs(self.reads(1.1 * SHIFT_GROWTH * LONG_S), Reading.BEGIN)
 
     def test_one_rank_is_glanced_at_while_passes_stay_long(self):
         """In a burst they are, whatever the demand is."""
         self.plan.note_kept(self.now, LONG_S)
-        self.assertIs(self.reads(LONG_S, GLANCE_EVERY_S), Reading.GLANCE)
-        self.plan.note_glanced(self.now)
+        self.assertIs(
+            self.reads(LONG_S, SPOT_CHECK_INTERVAL_S), Reading.SPOT_CHECK
+        )
+        self.plan.note_spot_check(self.now)
         self.assertIs(self.reads(LONG_S), Reading.NOTHING)
-        self.assertIs(self.reads(CALM_S, GLANCE_EVERY_S), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S), Reading.GLANCE)
+        self.assertIs(
+            self.reads(ON_TIME_S, SPOT_CHECK_INTERVAL_S), Reading.NOTHING
+        )
+        self.assertIs(self.reads(LONG_S), Reading.SPOT_CHECK)
 
     def test_a_map_that_was_kept_is_looked_at_again_within_a_bound(self):
         """Whatever one rank tells, and however long passes were then."""
         self.plan.note_kept(self.now, 3 * LONG_S)
         kept_at = self.now
         while self.reads(3 * LONG_S, 0.05) is not Reading.BEGIN:
-            self.plan.note_glanced(self.now)
-            self.assertLess(self.now, kept_at + AGAIN_S + 0.1)
+            self.plan.note_spot_check(self.now)
+            self.assertLess(self.now, kept_at + RECHECK_AFTER_S + 0.1)
         self.plan.note_kept(self.now, 3 * LONG_S)
-        self.assertIs(self.reads(CALM_S, 2 * AGAIN_S), Reading.NOTHING)
+        self.assertIs(
+            self.reads(ON_TIME_S, 2 * RECHECK_AFTER_S), Reading.NOTHING
+        )
 
     def test_the_same_counts_are_read_again_after_a_change(self):
         self.plan.note_changed(self.now)
-        self.assertIs(self.reads(LONG_S, REFINE_S / 2), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S, REFINE_S), Reading.END)
+        self.assertIs(self.reads(LONG_S, REFINE_AFTER_S / 2), Reading.NOTHING)
+        self.assertIs(self.reads(LONG_S, REFINE_AFTER_S), Reading.END)
         # Demand may have turned within so long a span.
-        self.assertFalse(self.plan.is_new)
+        self.assertFalse(self.plan.is_unmixed)
 
     def test_not_after_a_change_that_made_passes_short(self):
         self.plan.note_changed(self.now)
-        self.assertIs(self.reads(CALM_S, REFINE_S), Reading.NOTHING)
+        self.assertIs(self.reads(ON_TIME_S, REFINE_AFTER_S), Reading.NOTHING)
         self.assertIs(self.reads(LONG_S), Reading.BEGIN)
 
     def test_now_and_then_while_nobody_tells_of_passes(self):
         self.assertIs(self.reads(None), Reading.BEGIN)
         self.plan.note_kept(self.now, None)
         self.assertIs(self.reads(None), Reading.NOTHING)
-        self.assertIs(self.reads(None, BLIND_EVERY_S), Reading.BEGIN)
+        self.assertIs(self.reads(None, NO_REPORT_INTERVAL_S), Reading.BEGIN)
 
     def test_a_reading_that_failed_is_repeated_later(self):
         self.plan.note_begun(self.now)
         self.plan.note_failed(self.now)
         self.assertIs(self.reads(LONG_S), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S, BLIND_EVERY_S), Reading.BEGIN)
+        self.assertIs(self.reads(LONG_S, NO_REPORT_INTERVAL_S), Reading.BEGIN)
 
 
 class TestGroupPaces(unittest.TestCase):
