--- a/tests/experts/test_uncertain_skew.py
+++ b/tests/experts/test_uncertain_skew.py
@@ -7,8 +7,8 @@
 import numpy as np
 
 from snipebend.experts.layer_state import layer_skew
-from snipebend.experts.map_search import Bounds, MapSearch
-from snipebend.experts.sizes import ExpertSizes, first_map
+from snipebend.experts.map_search import ChangeLimits, MapSearch
+from snipebend.experts.sizes import ExpertSizes, initial_map
 from snipebend.experts.uncertain_skew import expected_skew
 
 LAYERS = 4
@@ -26,8 +26,8 @@
     def setUp(self):
         rng = np.random.default_rng(4)
         weights = np.arange(1, EXPERTS + 1) ** -0.6
-        likings = [rng.permutation(weights) for _ in range(LAYERS)]
-        self.shares = np.array(likings) / weights.sum()
+        popularity = [rng.permutation(weights) for _ in range(LAYERS)]
+        self.shares = np.array(popularity) / weights.sum()
         self.rng = rng
 
     def count(self, choices):
@@ -36,7 +36,7 @@
     def plan(self, counts):
         shares = counts / counts.sum(axis=1, keepdims=True)
         loads = (shares * RANKS).tolist()
-        search = MapSearch(first_map(SIZES, RANKS), loads, Bounds(3, 2))
+        search = MapSearch(initial_map(SIZES, RANKS), loads, ChangeLimits(3, 2))
         return search.run(), loads
 
     def true_skew(self, layers):
@@ -60,7 +60,7 @@
 
     def test_weighs_slow_ranks(self):
         counts = self.count(MANY)
-        layers = first_map(SIZES, RANKS)
+        layers = initial_map(SIZES, RANKS)
         slowness = (4.0, *(1.0,) * (RANKS - 1))
         self.assertGreater(
             expected_skew(layers, counts, slowness),
@@ -69,7 +69,7 @@
 
     def test_is_the_same_each_time(self):
         counts = self.count(FEW)
-        layers = first_map(SIZES, RANKS)
+        layers = initial_map(SIZES, RANKS)
         self.assertEqual(
             expected_skew(layers, counts), expected_skew(layers, counts)
         )
--- a/tests/experts/turns.py
+++ b/tests/experts/turns.py
@@ -21,7 +21,7 @@
     places: int
     exponent: float
     spare: int = 2
-    most_fetched: int = 3
+    max_fetches: int = 3
 
 
 class Answers(NamedTuple):
--- a/tests/platform/test_engine_answers.py
+++ b/tests/platform/test_engine_answers.py
@@ -11,7 +11,7 @@
 
 from snipebend.experts.demand import Demand
 from snipebend.experts.direct_orders import RankCounts
-from snipebend.experts.sizes import ExpertSizes, first_map, fits
+from snipebend.experts.sizes import ExpertSizes, initial_map, is_complete_map
 from snipebend_platform.documents import read_message
 from snipebend_platform.engine_calls import _Picked, _Report
 
@@ -57,13 +57,15 @@
     def test_counts_of_another_length(self):
         demand = Demand(2, 3)
         demand.begin({0: RankCounts(1, 5, (0, 0, 0))})
-        demand.end({0: RankCounts(1, 6, (900, 900, 900))}, is_new=True)
+        demand.end({0: RankCounts(1, 6, (900, 900, 900))}, is_unmixed=True)
         self.assertIsNone(demand.shares)
 
     def test_maps_that_lack_something(self):
         sizes = ExpertSizes(2, 4, 3, 1, 0.8)
-        whole = first_map(sizes, 2)
-        self.assertTrue(fits(sizes, whole))
-        self.assertFalse(fits(sizes, whole[:1]))
-        self.assertFalse(fits(sizes, (whole[0], ((0, 2), (1,)))))
-        self.assertFalse(fits(sizes, (whole[0], ((0, 2), (1, 3, 9)))))
+        whole = initial_map(sizes, 2)
+        self.assertTrue(is_complete_map(sizes, whole))
+        self.assertFalse(is_complete_map(sizes, whole[:1]))
+        self.assertFalse(is_complete_map(sizes, (whole[0], ((0, 2), (1,)))))
+        self.assertFalse(
+            is_complete_map(sizes, (whole[0], ((0, 2), (1, 3, 9))))
+        )
