--- a/bench/experts/__init__.py
+++ b/bench/experts/__init__.py
@@ -1,1 +1,1 @@
-"""Workloads, baselines and runs for the expert map benches."""
+"""Workloads, map choosers and runs of the expert map benches."""
--- a/bench/experts/choosers.py
+++ b/bench/experts/choosers.py
@@ -1,4 +1,4 @@
-"""Our policy and its baselines behind one call an interval."""
+"""The policy and its baselines, called once per interval."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     from snipebend.fleet.model import Weights
 
 SEARCH_ROUNDS = 256
-#: A change so long ago that it holds nothing up.
+#: Step of a change so long ago that it delays no other change.
 NEVER_CHANGED = -1_000_000
 
 
 class IntervalEnd(NamedTuple):
-    """The end of an interval: what is known, and the next one's truth."""
+    """End of an interval: estimated load, and true load of the next one."""
 
     step: int
     now: float
@@ -50,7 +50,7 @@
     shares: NDArray[np.float64],
     version: int,
 ) -> ExpertMap:
-    """Return the best map we know for the shares, at any cost."""
+    """Return the best known map for the shares, regardless of its cost."""
     loads = relative_loads(shares, shape.ranks)
     scratch = place_from_scratch(shape, loads, version)
     trace = search(scratch.placement, loads, SearchLimits(0, SEARCH_ROUNDS))
@@ -59,7 +59,7 @@
 
 
 class StaticChooser:
-    """Never changes the map."""
+    """Baseline that never changes the map."""
 
     def choose_map(
         self, interval: IntervalEnd, current: ExpertMap
@@ -69,7 +69,7 @@
 
 
 class OracleChooser:
-    """Knows the next interval, and moves at no cost."""
+    """Baseline that knows the next interval and moves at no cost."""
 
     def __init__(self, shape: GroupShape) -> None:
         self._shape = shape
@@ -77,7 +77,7 @@
     def choose_map(
         self, interval: IntervalEnd, current: ExpertMap
     ) -> ExpertMap:
-        """Place for the next interval's true shares."""
+        """Place for the true shares of the next interval."""
         target = place_and_search(
             self._shape, interval.following, current.version + 1
         )
@@ -86,7 +86,7 @@
 
 
 class ScratchChooser:
-    """Greedy from scratch on the same estimate, every so many intervals."""
+    """Baseline that places from scratch by the estimate every few intervals."""
 
     def __init__(self, shape: GroupShape, every: int = 1) -> None:
         self._shape = shape
@@ -96,7 +96,7 @@
     def choose_map(
         self, interval: IntervalEnd, current: ExpertMap
     ) -> ExpertMap:
-        """Place for the estimate."""
+        """Place from scratch for the estimate, if it is time."""
         self._turn += 1
         if self._turn % self._every:
             return current
@@ -107,7 +107,7 @@
 
 
 class PolicyChooser:
-    """Our policy with one deployment's weights."""
+    """The policy with the weights of one deployment."""
 
     def __init__(
         self,
@@ -134,7 +134,7 @@
     def choose_map(
         self, interval: IntervalEnd, current: ExpertMap
     ) -> ExpertMap:
-        """Ask the policy."""
+        """Return the map that the policy decides on."""
         context = DecisionContext(
             interval.step,
             self._changed_at,
--- a/bench/experts/run.py
+++ b/bench/experts/run.py
@@ -1,4 +1,4 @@
-"""Runs one workload with several players on the same reports."""
+"""Runs one workload with several map choosers on the same reports."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Outcome(NamedTuple):
-    """Mean step skew, bytes moved, changes, and each interval's skew."""
+    """Mean step skew, bytes moved, changes; skew and loads by interval."""
 
     skew: float
     load_bytes: int
@@ -36,11 +36,11 @@
     traffic: Traffic,
     seed: int,
 ) -> dict[str, Outcome]:
-    """Score each player's map of an interval on that interval's true shares.
+    """Score each chooser's maps on the true shares of each interval.
 
-    All read one estimate, whose weights halve in each interval, and start on
-    the map that is best for the first interval; a map chosen at an interval's
-    end serves the next one.
+    All choosers use one estimate, whose weights halve in each interval, and
+    start with the map that is best for the first interval; a map chosen at an
+    interval's end is used in the next one.
     """
     rng = np.random.default_rng(seed)
     estimator = LoadEstimator(shape, traffic.interval_steps)
@@ -48,9 +48,9 @@
     maps = dict.fromkeys(choosers, first)
     skews: dict[str, list[float]] = {name: [] for name in choosers}
     loads: dict[str, list[int]] = {name: [] for name in choosers}
-    for turn, shares in enumerate(workload.shares[:-1]):
-        step = (turn + 1) * traffic.interval_steps
-        following = workload.shares[turn + 1]
+    for number, shares in enumerate(workload.shares[:-1]):
+        step = (number + 1) * traffic.interval_steps
+        following = workload.shares[number + 1]
         reports = draw_reports(shape, shares, step, traffic, rng)
         for report in reports:
             estimator.record(report).unwrap()
--- a/bench/experts/workloads.py
+++ b/bench/experts/workloads.py
@@ -1,4 +1,4 @@
-"""Seeded expert popularity over time, and reports drawn from it."""
+"""Seeded expert popularity over time, and reports sampled from it."""
 
 from __future__ import annotations
 
@@ -16,24 +16,29 @@
     from snipebend.experts.model import GroupShape
 
 ZIPF_EXPONENT = 0.8
-#: Five minutes of steps of 50 ms: a map is decided once in each interval.
+#: Five minutes of steps of 50 ms: a map is decided on once per interval.
 INTERVAL_STEPS = 6000
 
 
-#: Intervals of four and of twelve hours.
+#: Number of intervals in four and in twelve hours.
 FOUR_HOURS = 48
 TWELVE_HOURS = 144
 
 
 class Workload(NamedTuple):
-    """True shares by interval: each is layers by experts."""
+    """True shares by interval; each array is layers by experts."""
 
     name: str
     shares: list[NDArray[np.float64]]
 
 
 class Traffic(NamedTuple):
-    """How ranks report: tokens come in bursts that choose alike."""
+    """Reports of ranks; the tokens of a burst choose the same experts.
+
+    ``reports`` is the number of reports and ``tokens`` the tokens in each;
+    ``lost``, ``repeated`` and ``layers_lost`` are the shares of reports and
+    layers that are lost or repeated.
+    """
 
     reports: int = 4
     tokens: int = 40_000
@@ -48,7 +53,7 @@
     shape: GroupShape,
     rng: np.random.Generator,
 ) -> NDArray[np.float64]:
-    """Return Zipf-like shares in an own random order for each layer."""
+    """Return Zipf-like shares, in a random order for each layer."""
     weights = 1 / np.arange(1, shape.experts + 1) ** ZIPF_EXPONENT
     shares = weights / weights.sum()
     return np.array([rng.permutation(shares) for _ in range(shape.layers)])
@@ -59,7 +64,7 @@
     seed: int,
     intervals: int = FOUR_HOURS,
 ) -> Workload:
-    """Popularity that never changes."""
+    """Constant popularity."""
     base = draw_shares(shape, np.random.default_rng(seed))
     return Workload('no_drift', [base for _ in range(intervals)])
 
@@ -69,7 +74,7 @@
     seed: int,
     intervals: int = FOUR_HOURS,
 ) -> Workload:
-    """One popularity that turns into another over the whole run."""
+    """Gradual change from one popularity to another over the whole run."""
     rng = np.random.default_rng(seed)
     before, after = draw_shares(shape, rng), draw_shares(shape, rng)
     parts = np.linspace(0, 1, intervals)
@@ -82,7 +87,7 @@
     seed: int,
     intervals: int = FOUR_HOURS,
 ) -> Workload:
-    """A third of the run with half its tokens on other experts."""
+    """Half of the tokens on other experts for a third of the run."""
     rng = np.random.default_rng(seed)
     base, festival = draw_shares(shape, rng), draw_shares(shape, rng)
     third = intervals // 3
@@ -99,11 +104,11 @@
     seed: int,
     intervals: int = TWELVE_HOURS,
 ) -> Workload:
-    """Two regions that follow the sun: opposite waves, twice a day's speed."""
+    """Two regions in antiphase, with a daily cycle at twice the speed."""
     rng = np.random.default_rng(seed)
     east, west = draw_shares(shape, rng), draw_shares(shape, rng)
-    turns = np.arange(intervals) / intervals
-    parts = (1 - np.cos(turns * 2 * np.pi)) / 2
+    cycle = np.arange(intervals) / intervals
+    parts = (1 - np.cos(cycle * 2 * np.pi)) / 2
     mixes = [east * (1 - part) + west * part for part in parts]
     return Workload('two_regions', mixes)
 
@@ -113,10 +118,12 @@
     seed: int,
     intervals: int = FOUR_HOURS,
 ) -> Workload:
-    """An adversary: popularity flips back every two intervals."""
+    """Adversarial workload: popularity alternates every two intervals."""
     rng = np.random.default_rng(seed)
     first, second = draw_shares(shape, rng), draw_shares(shape, rng)
-    mixes = [second if (turn // 2) % 2 else first for turn in range(intervals)]
+    mixes = [
+        second if (number // 2) % 2 else first for number in range(intervals)
+    ]
     return Workload('flipping', mixes)
 
 
@@ -136,9 +143,9 @@
     traffic: Traffic,
     rng: np.random.Generator,
 ) -> list[ExpertReport]:
-    """Return one interval's reports: in random order, with gaps and copies."""
+    """Return an interval's reports in random order, with gaps and copies."""
     span = traffic.interval_steps // traffic.reports
-    steps = [end_step - span * turn for turn in range(traffic.reports)]
+    steps = [end_step - span * number for number in range(traffic.reports)]
     reports = [
         _draw_report(shape, shares, rank, step, traffic, rng)
         for step in steps
--- a/bench/experts_large.py
+++ b/bench/experts_large.py
@@ -1,8 +1,8 @@
-"""One decision at both sizes, and a short run at the target size.
+"""Cost of one decision at both sizes, and a short run at the target size.
 
 ``python -m bench.experts_large`` prints the time and the memory of a decision
-at today's size and at 256 ranks, 256 experts and 60 layers, and then skew and
-bytes of a drift at the target size.
+at the current size and at 256 ranks, 256 experts and 60 layers, and then skew
+and bytes moved under a drift at the target size.
 """
 
 from __future__ import annotations
@@ -57,24 +57,25 @@
     expert_bytes=22_020_096,
 )
 CURRENT_BYTES_PER_S = 2_000_000_000
-#: As many bytes a second for each rank as today.
+#: The same rate for each rank as at the current size.
 TARGET_BYTES_PER_S = 32_000_000_000
-#: Each rank tells of as many tokens in an interval as today, in one report.
+#: Each rank reports as many tokens per interval as at the current size, in one
+#: report.
 ONE_REPORT_PER_INTERVAL = Traffic(reports=1, tokens=160_000)
-#: Tokens on other experts when a decision is timed.
+#: Share of tokens that moved to other experts before the timed decision.
 DRIFTED_SHARE = 0.1
 TIMED_RUNS = 5
 MEBI = 2**20
-#: Maps decided every five minutes, and every minute.
+#: Decisions every five minutes, and every minute.
 FIVE_MINUTE_DECISIONS = ONE_REPORT_PER_INTERVAL
 ONE_MINUTE_DECISIONS = Traffic(reports=1, tokens=32_000, interval_steps=1200)
 DRIFT_STEPS = 48 * INTERVAL_STEPS
-#: How long the run at the target size is.
+#: Length of the run at the target size.
 RUN_STEPS = 4 * INTERVAL_STEPS
 
 
 class DecisionFigures(NamedTuple):
-    """Milliseconds and MiB; ``loads`` are the slots that the change loads."""
+    """Times in ms and sizes in MiB; ``loads`` is the number of loaded slots."""
 
     report_ms: float
     estimate_ms: float
@@ -88,7 +89,7 @@
     shape: GroupShape,
     bytes_per_s: float,
 ) -> DecisionFigures:
-    """Time one decision after a drift, as the median of some runs."""
+    """Time one decision after a drift; the median of several runs."""
     rng = np.random.default_rng(SEED)
     before = draw_shares(shape, rng)
     after = draw_shares(shape, rng)
@@ -130,7 +131,7 @@
 
 
 def run_target(traffic: Traffic) -> dict[str, Outcome]:
-    """Run the first 20 minutes of a drift of four hours."""
+    """Run the first 20 minutes of a drift over four hours."""
     every = traffic.interval_steps
     whole = morning_drift(TARGET, SEED, DRIFT_STEPS // every)
     part = whole.shares[: RUN_STEPS // every + 1]
--- a/bench/experts_plot.py
+++ b/bench/experts_plot.py
@@ -1,4 +1,4 @@
-"""Draws the trade-off of skew and bytes: ``python -m bench.experts_plot``."""
+"""Plots the trade-off of skew and bytes: ``python -m bench.experts_plot``."""
 
 from __future__ import annotations
 
@@ -42,22 +42,23 @@
     from snipebend.experts.model import GroupShape
 
 IMAGE = Path(__file__).parent.parent / 'docs/images/expert-tradeoff.png'
-#: Weights of cost against one of skew: the points of our curve.
+#: Cost weights for a skew weight of 1: the points of the policy's curve.
 COST_WEIGHTS = (0.03, 1, 10, 30, 100, 300, 1000)
-#: Intervals between two placements from scratch: the baseline's curve.
+#: Intervals between two placements from scratch: the points of the baseline's
+#: curve.
 SCRATCH_EVERY = (1, 2, 4, 8, 16)
 WORKLOADS = (morning_drift, festival_spike, two_regions, flipping)
 
 
 class Curves(NamedTuple):
-    """Outcomes of one workload by player."""
+    """Outcomes of one workload by map chooser."""
 
     name: str
     outcomes: dict[str, Outcome]
 
 
 def measure_curves(make: Callable[[GroupShape, int], Workload]) -> Curves:
-    """Run one workload with all players."""
+    """Run one workload with all map choosers."""
     workload = make(SHAPE, SEED)
     choosers: dict[str, MapChooser] = {
         'static': StaticChooser(),
--- a/bench/quick_experts.py
+++ b/bench/quick_experts.py
@@ -1,8 +1,8 @@
-"""Skew and cost of expert maps: our policy beside its baselines.
+"""Skew and cost of expert maps: the policy against its baselines.
 
-Every figure follows from seeds and is exact. ``skew`` figures are the mean
-step skew over the oracle's, ``bytes`` figures the bytes moved over those of
-the greedy placement from scratch at every interval.
+Workloads are seeded, so all figures are reproducible exactly. ``skew`` figures
+are the mean step skew relative to the oracle's, ``bytes`` figures the bytes
+moved relative to a greedy placement from scratch at every interval.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     from bench.experts.choosers import MapChooser
     from bench.experts.run import Outcome
 
-#: Both deployments' sizes of today, with fewer layers to be quick.
+#: Current size of both deployments, with fewer layers to run quickly.
 SHAPE = GroupShape(
     ranks=16,
     experts=64,
@@ -32,15 +32,16 @@
     slots=6,
     expert_bytes=22_020_096,
 )
-#: The store's rate, scaled down as the layers are: 6 of 24.
+#: Rate of the store, reduced by the same factor as the layers: 6 of 24.
 STORE_BYTES_PER_S = 500_000_000
 SEED = 7
+#: Weights of the two deployments.
 MAENGELWERK = Weights(skew=0.8, cost=0.2)
 CHANTHAVONG = Weights(skew=0.3, cost=0.7)
 
 
 def make_choosers() -> dict[str, MapChooser]:
-    """Return the baselines and our policy under both deployments' weights."""
+    """Return the baselines and the policy with both deployments' weights."""
     return {
         'static': StaticChooser(),
         'scratch': ScratchChooser(SHAPE),
@@ -51,7 +52,7 @@
 
 
 def measure() -> dict[str, float]:
-    """Run all workloads; return ratios to the baselines by name."""
+    """Run all workloads; return figures by name, relative to the baselines."""
     figures: dict[str, float] = {}
     for make in WORKLOADS:
         workload = make(SHAPE, SEED)
--- a/bench/quick_search.py
+++ b/bench/quick_search.py
@@ -1,10 +1,10 @@
-"""How good a change of a large group's map is, and what its search takes.
+"""Quality and cost of a search for one change of a large group's map.
 
-Skews and loads are exact, and so is how many ranks a search looks at for the
-steps from one hot rank: looking at all of them was what made it slow. Time is
-told as a multiple of adding up the loads of all ranks of a layer, once for
-each expert that the search has loaded. It has no bound: beside busy processes
-the same search came to 8 to 14 such scans.
+Skews and loads are exact, and so is the number of ranks that a search evaluates
+for the steps from one hot rank: evaluating all of them was what made it slow.
+Time is given as a multiple of adding up the loads of all ranks of a layer (a
+scan), once for each expert that the search has loaded. It has no bound: next to
+busy processes the same search took 8 to 14 such scans.
 """
 
 from __future__ import annotations
@@ -27,35 +27,36 @@
 
     from snipebend.experts.layer_state import LayerMap
 
-#: Ranks, layers, experts: the largest group that is known, and the target's.
+#: Ranks, layers and experts of the largest known group and of the target size.
 GROUPS = ((192, 10, 384), (256, 60, 256))
 PLACES = 3
 SPARE = 2
-#: Experts that one rank may fetch in one change, over all layers.
+#: Largest number of experts that one rank fetches in one change, over all
+#: layers.
 MOST_FETCHED = 46
 SEED = 1
-#: Spread of the experts' loads: the hottest rank of the first map has 6 to 10
-#: times the mean.
+#: Standard deviation of the logarithm of the experts' loads: the hottest rank
+#: of the initial map has 6 to 10 times the mean load.
 SPREAD = 0.9
 
-#: The shortest of so many runs counts, of so many scans each.
+#: Number of timed runs, of which the shortest counts, and of scans in each run.
 RUNS = 3
 SCANS = 500
 
 
 class SearchResult(NamedTuple):
-    """A change of a map."""
+    """Result of a search for one change of a map."""
 
     skew: float
     loads: int
-    #: Ranks that were looked at for the steps from one hot rank, in the mean.
+    #: Mean number of ranks evaluated for the steps from one hot rank.
     ranks_weighed: float
-    #: See the module.
+    #: Time of the search in scans; see the module's description.
     scans: float
 
 
 def search_change(ranks: int, layers: int, experts: int) -> SearchResult:
-    """Change the map of a group that has just formed."""
+    """Search for a change of the initial map of a group."""
     rng = np.random.default_rng(SEED)
     weights = rng.lognormal(0, SPREAD, (layers, experts))
     shares = weights / weights.sum(axis=1, keepdims=True)
@@ -89,11 +90,11 @@
 
 
 def _count_ranks_weighed(search: MapSearch) -> float:
-    """Run a search; return how many ranks it looked at for each step."""
+    """Run a search; return the mean number of ranks evaluated for a step."""
     counted: list[int] = []
 
     def norm_terms(heat: NDArray[np.float64]) -> NDArray[np.float64]:
-        # All ranks' loads have one axis, those of the options have more.
+        # The heat of all ranks has one axis, that of the candidate steps more.
         if heat.ndim > 1:
             counted.append(heat.shape[-1])
         return heat**8
@@ -103,9 +104,11 @@
     return fmean(counted)
 
 
-def _time_scan(drawn: NDArray[np.float64], loads: NDArray[np.float64]) -> float:
-    """Return the seconds in which all ranks' loads are added up once."""
-    held = drawn < PLACES / len(loads)
+def _time_scan(
+    samples: NDArray[np.float64], loads: NDArray[np.float64]
+) -> float:
+    """Return the seconds to add up the loads of all ranks once."""
+    held = samples < PLACES / len(loads)
     least_s = math.inf
     for _ in range(RUNS):
         began = time.process_time()
--- a/src/snipebend/experts/demand.py
+++ b/src/snipebend/experts/demand.py
@@ -134,11 +134,11 @@
     differences by a shift and by chance add up in quadrature, as standard
     deviations do.
     """
-    moved = np.abs(_shares(before) - _shares(span)).sum(axis=1).mean() / 2
+    difference = np.abs(_shares(before) - _shares(span)).sum(axis=1).mean() / 2
     shares = _shares(before + span)
     rate = (1 / before.sum(axis=1) + 1 / span.sum(axis=1)).mean()
     chance = np.sqrt(shares).sum(axis=1).mean() * np.sqrt(rate / (2 * np.pi))
-    return bool(np.hypot(chance, MIN_SHIFT) < moved)
+    return bool(np.hypot(chance, MIN_SHIFT) < difference)
 
 
 def _shares(counts: Counts) -> Counts:
--- a/src/snipebend/experts/layer_state.py
+++ b/src/snipebend/experts/layer_state.py
@@ -22,6 +22,8 @@
     many times as long it takes for its work; its load is multiplied by it.
     """
     copies = Counter(chain.from_iterable(layer))
-    heat = [sum(loads[one] / copies[one] for one in held) for held in layer]
-    slowed = zip(slowness or (1,) * len(heat), heat, strict=True)
-    return max(pace * load for pace, load in slowed)
+    rank_loads = [
+        sum(loads[one] / copies[one] for one in held) for held in layer
+    ]
+    factored = zip(slowness or (1,) * len(rank_loads), rank_loads, strict=True)
+    return max(factor * load for factor, load in factored)
--- a/src/snipebend/experts/layer_steps.py
+++ b/src/snipebend/experts/layer_steps.py
@@ -252,8 +252,8 @@
     def _list_drops(self) -> Indices:
         """Return each target's experts, padded with others that it lacks."""
         held = self._held[self._targets]
-        most = int(held.sum(axis=1).max())
-        drops: Indices = np.argsort(~held, axis=1, kind='stable')[:, :most]
+        max_held = int(held.sum(axis=1).max())
+        drops: Indices = np.argsort(~held, axis=1, kind='stable')[:, :max_held]
         return drops
 
     def _changes(self) -> Floats:
@@ -262,13 +262,13 @@
         The kinds are: copy (with or without a drop), move (with or without a
         drop), and swap.
         """
-        copied, moved = self._transfer_changes()
-        left, swapped = self._drop_changes()
+        copy_changes, move_changes = self._transfer_changes()
+        drop_changes, swap_changes = self._drop_changes()
         return np.stack(
             [
-                copied[:, :, None] + left[None],
-                moved[:, :, None] + left[None],
-                moved[:, :, None] + swapped[None],
+                copy_changes[:, :, None] + drop_changes[None],
+                move_changes[:, :, None] + drop_changes[None],
+                move_changes[:, :, None] + swap_changes[None],
             ]
         )
 
@@ -277,45 +277,49 @@
         loads = self._loads[self._experts]
         copies = self._copies[self._experts]
         rows = np.arange(len(self._targets))
-        fewer = loads / (copies + 1) - loads / copies
-        holders = self._affected_held[:, self._experts].T * fewer[:, None]
-        copied = np.repeat(holders[:, None], len(rows), axis=1)
-        copied[:, rows, self._affected_targets] = (loads / (copies + 1))[
+        relief = loads / (copies + 1) - loads / copies
+        holders = self._affected_held[:, self._experts].T * relief[:, None]
+        copy_changes = np.repeat(holders[:, None], len(rows), axis=1)
+        copy_changes[:, rows, self._affected_targets] = (loads / (copies + 1))[
             :, None
         ]
-        moved = np.zeros_like(copied)
-        moved[:, :, self._affected_hot] = -(loads / copies)[:, None]
-        moved[:, rows, self._affected_targets] = (loads / copies)[:, None]
-        return copied, moved
+        move_changes = np.zeros_like(copy_changes)
+        move_changes[:, :, self._affected_hot] = -(loads / copies)[:, None]
+        move_changes[:, rows, self._affected_targets] = (loads / copies)[
+            :, None
+        ]
+        return copy_changes, move_changes
 
     def _drop_changes(self) -> tuple[Floats, Floats]:
         """Return the changes of load by a drop and by the return in a swap."""
         copies = self._copies[self._drops]
         loads = self._loads[self._drops]
         rows = np.arange(len(self._targets))
-        shared = loads / np.maximum(1, copies - 1) - loads / copies
+        added_load = loads / np.maximum(1, copies - 1) - loads / copies
         holders = np.moveaxis(self._affected_held[:, self._drops], 0, -1)
-        left = holders * shared[..., None]
-        left[rows, :, self._affected_targets] = -(loads / copies)
-        swapped = np.zeros_like(left)
-        swapped[rows, :, self._affected_targets] = -(loads / copies)
-        swapped[:, :, self._affected_hot] = loads / copies
-        return _prepend_no_drop(left), _prepend_no_drop(swapped)
+        drop_changes = holders * added_load[..., None]
+        drop_changes[rows, :, self._affected_targets] = -(loads / copies)
+        swap_changes = np.zeros_like(drop_changes)
+        swap_changes[rows, :, self._affected_targets] = -(loads / copies)
+        swap_changes[:, :, self._affected_hot] = loads / copies
+        return _prepend_no_drop(drop_changes), _prepend_no_drop(swap_changes)
 
     def _allowed(self, may_fetch_more: Flags, slots: int) -> Flags:
-        takes = self._before | may_fetch_more[:, None]
-        new = takes[self._targets] & ~self._held[self._targets]
-        given = new[:, self._experts].T[:, :, None]
-        allowed: Flags = given & self._droppable(takes, slots)[:, None]
+        can_take = self._before | may_fetch_more[:, None]
+        new = can_take[self._targets] & ~self._held[self._targets]
+        transferable = new[:, self._experts].T[:, :, None]
+        allowed: Flags = (
+            transferable & self._droppable(can_take, slots)[:, None]
+        )
         return allowed
 
-    def _droppable(self, takes: Flags, slots: int) -> Flags:
+    def _droppable(self, can_take: Flags, slots: int) -> Flags:
         """Return by kind of step which experts each target may drop."""
         counts = self._held[self._targets].sum(axis=1)
         has_room = (counts < slots)[:, None]
         droppable = self._is_drop & (self._copies[self._drops] > 1)
-        back = takes[self._hot] & ~self._held[self._hot]
-        swaps = self._is_drop & back[self._drops]
+        returnable = can_take[self._hot] & ~self._held[self._hot]
+        swaps = self._is_drop & returnable[self._drops]
         dropping = np.concatenate([has_room, droppable], axis=1)
         swapping = _prepend_no_drop(swaps)
         return np.stack([dropping, dropping, swapping])
@@ -324,9 +328,11 @@
         """Return the number of experts that each step loads, bounded below."""
         fetched = ~self._before[self._targets][:, self._experts].T
         returned = ~self._before[self._hot][self._drops]
-        back = _prepend_no_drop(returned).astype(float)
-        kinds = np.stack([np.zeros_like(back), np.zeros_like(back), back])
-        costs: Floats = fetched[None, :, :, None] + kinds[:, None]
+        returns = _prepend_no_drop(returned).astype(float)
+        returns_by_kind = np.stack(
+            [np.zeros_like(returns), np.zeros_like(returns), returns]
+        )
+        costs: Floats = fetched[None, :, :, None] + returns_by_kind[:, None]
         return costs.clip(min=_MIN_COST)
 
 
--- a/src/snipebend/experts/map_search.py
+++ b/src/snipebend/experts/map_search.py
@@ -88,20 +88,20 @@
 
     def run(self) -> tuple[LayerMap, ...]:
         """Improve the map until no step gains enough for its loads."""
-        found = [self._best(layer) for layer in self._layers]
-        most_steps = max(MIN_STEP_LIMIT, len(self._fetching)) * len(
-            self._layers
-        )
-        for _ in range(most_steps):
-            gains = [-math.inf if one is None else one.gain for one in found]
-            at = gains.index(max(gains))
-            step = found[at]
+        candidates = [self._best(layer) for layer in self._layers]
+        max_steps = max(MIN_STEP_LIMIT, len(self._fetching)) * len(self._layers)
+        for _ in range(max_steps):
+            gains = [
+                -math.inf if one is None else one.gain for one in candidates
+            ]
+            best_index = gains.index(max(gains))
+            step = candidates[best_index]
             if step is None:
                 break
-            layer = self._layers[at]
+            layer = self._layers[best_index]
             if self._still_fits(layer, step):
                 self._apply(layer, step)
-            found[at] = self._best(layer)
+            candidates[best_index] = self._best(layer)
         return tuple(layer.layer for layer in self._layers)
 
     def _best(self, layer: LayerSteps) -> CandidateStep | None:
--- a/src/snipebend/experts/moves.py
+++ b/src/snipebend/experts/moves.py
@@ -80,15 +80,15 @@
     layers, ranks = np.nonzero((before != after).any(axis=2))
     for layer, rank in zip(layers.tolist(), ranks.tolist(), strict=True):
         held = before[layer, rank].tolist()
-        wanted = after[layer, rank].tolist()
-        aligned[layer, rank] = _align_row(held, wanted)
+        target = after[layer, rank].tolist()
+        aligned[layer, rank] = _align_row(held, target)
     return aligned
 
 
-def _align_row(held: list[int], wanted: list[int]) -> list[int]:
-    incoming = [expert for expert in wanted if expert not in held]
+def _align_row(held: list[int], target: list[int]) -> list[int]:
+    incoming = [expert for expert in target if expert not in held]
     incoming.reverse()
-    return [expert if expert in wanted else incoming.pop() for expert in held]
+    return [expert if expert in target else incoming.pop() for expert in held]
 
 
 def _steepest_first(segment: _Segment) -> tuple[float, int, int]:
@@ -104,15 +104,15 @@
     skews = trace.skews[:, layer]
     loads = trace.loads_used[:, layer]
     segments = []
-    at = 0
-    while at < len(skews) - 1:
-        ahead = loads[at + 1 :] - loads[at]
-        gains = (skews[at] - skews[at + 1 :]) / np.maximum(ahead, 1)
+    position = 0
+    while position < len(skews) - 1:
+        ahead = loads[position + 1 :] - loads[position]
+        gains = (skews[position] - skews[position + 1 :]) / np.maximum(ahead, 1)
         best = int(gains.argmax())
         if gains[best] <= 0:
             break
-        at += best + 1
+        position += best + 1
         segments.append(
-            _Segment(layer, at, int(ahead[best]), float(gains[best])),
+            _Segment(layer, position, int(ahead[best]), float(gains[best])),
         )
     return segments
--- a/src/snipebend/experts/neighbours.py
+++ b/src/snipebend/experts/neighbours.py
@@ -53,12 +53,12 @@
     )
     disallowed = view.hot.shared[:, None, :] | view.hot.elsewhere
     best = _find_best_pair(np.where(disallowed, DISALLOWED, scores))
-    mine = view.hot.slots[view.rows, best.mine]
-    outgoing = view.hot.experts[view.rows, best.mine]
+    hot_index = view.hot.slots[view.rows, best.hot_index]
+    outgoing = view.hot.experts[view.rows, best.hot_index]
     incoming = view.flat[view.rows, best.other]
     return MapChange(
         best.scores,
-        np.stack((mine, best.other), axis=1),
+        np.stack((hot_index, best.other), axis=1),
         np.stack((incoming, outgoing), axis=1),
     )
 
@@ -77,7 +77,7 @@
     )
     disallowed = view.hot.shared[:, None, :] | view.hot.elsewhere
     best = _find_best_pair(np.where(disallowed, DISALLOWED, scores))
-    expert = view.hot.experts[view.rows, best.mine]
+    expert = view.hot.experts[view.rows, best.hot_index]
     return _write_one_slot(best.scores, best.other, expert)
 
 
@@ -91,7 +91,7 @@
     scores = np.maximum(after, drops[:, :, None])
     disallowed = view.hot.holds[:, None, :]
     best = _find_best_pair(np.where(disallowed, DISALLOWED, scores))
-    slot = view.hot.slots[view.rows, best.mine]
+    slot = view.hot.slots[view.rows, best.hot_index]
     return _write_one_slot(best.scores, slot, best.other)
 
 
@@ -101,13 +101,13 @@
     The target may become the hottest rank. This lets the search leave a local
     minimum, since later changes can gain where none could before.
     """
-    mine = view.replica_load[view.column, view.hot.experts].argmax(axis=1)
-    expert = view.hot.experts[view.rows, mine]
+    hot_index = view.replica_load[view.column, view.hot.experts].argmax(axis=1)
+    expert = view.hot.experts[view.rows, hot_index]
     total = view.loads[view.rows, expert]
     after = total / (view.replicas[view.rows, expert] + 1)
     target = view.rank_load - view.slot_load + after[:, None]
     scores = np.maximum(target, view.after_drop)
-    disallowed = view.hot.shared | view.hot.elsewhere[view.rows, mine]
+    disallowed = view.hot.shared | view.hot.elsewhere[view.rows, hot_index]
     best = _find_best_pair(np.where(disallowed, DISALLOWED, scores)[:, None, :])
     return _write_one_slot(best.scores, best.other, expert)
 
@@ -130,7 +130,7 @@
 
 class _BestPair(NamedTuple):
     scores: NDArray[np.float64]
-    mine: NDArray[np.int64]
+    hot_index: NDArray[np.int64]
     other: NDArray[np.int64]
 
 
@@ -138,8 +138,8 @@
     """Return the pair of the last two axes with the lowest score per layer."""
     rows = scores.reshape(len(scores), -1)
     position = rows.argmin(axis=1)
-    mine, other = np.divmod(position, scores.shape[2])
-    return _BestPair(rows[np.arange(len(rows)), position], mine, other)
+    hot_index, other = np.divmod(position, scores.shape[2])
+    return _BestPair(rows[np.arange(len(rows)), position], hot_index, other)
 
 
 def _write_one_slot(
--- a/src/snipebend/experts/placement.py
+++ b/src/snipebend/experts/placement.py
@@ -89,9 +89,9 @@
         np.repeat(experts[row], count[row])
         for row, count in zip(order, replicas, strict=True)
     ]
-    turns = np.array(rows)
-    weights = np.take_along_axis(per_replica, turns, axis=1)
-    return list(zip(turns.T, weights.T, strict=True))
+    expert_order = np.array(rows)
+    weights = np.take_along_axis(per_replica, expert_order, axis=1)
+    return list(zip(expert_order.T, weights.T, strict=True))
 
 
 class _Packing:
--- a/src/snipebend/experts/planner.py
+++ b/src/snipebend/experts/planner.py
@@ -13,10 +13,10 @@
 
 from snipebend.experts.drift import DriftDetector
 from snipebend.experts.moves import choose_rounds, replay
+from snipebend.experts.prediction_tracker import PredictionTracker
 from snipebend.experts.search import SearchLimits, search
 from snipebend.experts.significance import significant_gains
 from snipebend.experts.skew import relative_loads
-from snipebend.experts.prediction_tracker import PredictionTracker
 
 if TYPE_CHECKING:
     from numpy.typing import NDArray
@@ -80,18 +80,18 @@
         """Start without scored predictions."""
         self._ranks = ranks
         self._settings = settings
-        self._trials = PredictionTracker(settings.horizon_steps)
+        self._tracker = PredictionTracker(settings.horizon_steps)
         self._drift = DriftDetector(settings.drift_limit)
 
     @property
     def trust(self) -> float:
         """Return the share of the predicted gains that was realised."""
-        return self._trials.trust
+        return self._tracker.trust
 
     def learn(self, estimate: LoadEstimate) -> None:
         """Score earlier predictions against the recent load."""
         recent = relative_loads(estimate.recent, self._ranks)
-        self._trials.score(recent, estimate.step)
+        self._tracker.score(recent, estimate.step)
 
     def plan(
         self,
@@ -113,7 +113,7 @@
         )
         after = replay(before, trace, np.where(gains > 0, rounds, 0))
         gain = float(gains.mean())
-        self._trials.add(before, after, gain, estimate.step)
+        self._tracker.add(before, after, gain, estimate.step)
         loaded = int((after != before).sum())
         return Plan(after, gain, loaded, self._lifetime(self.trust))
 
--- a/src/snipebend/experts/policy.py
+++ b/src/snipebend/experts/policy.py
@@ -107,9 +107,9 @@
         """Return the change to make now, or the reason to keep the map."""
         self._current.learn(estimate)
         self._long_run.learn(estimate)
-        obstacle = self._find_obstacle(estimate, context, now)
-        if obstacle:
-            return Keep(obstacle)
+        keep_reason = self._find_keep_reason(estimate, context, now)
+        if keep_reason:
+            return Keep(keep_reason)
         limits = self._plan_limits(context, now)
         plan = self._best_plan(estimate, expert_map.placement, limits, context)
         if plan.loads == 0:
@@ -119,7 +119,7 @@
         self._rebase(estimate, expert_map.placement != plan.placement)
         return self._change(plan, expert_map, context, now)
 
-    def _find_obstacle(
+    def _find_keep_reason(
         self,
         estimate: LoadEstimate,
         context: DecisionContext,
@@ -147,9 +147,11 @@
         plan = self._current.plan(estimate, placement, limits)
         if self._current.trust >= _LOW_TRUST:
             return plan
-        lasting = self._long_run.plan(estimate.long_run(), placement, limits)
-        gain = self._net_gain(lasting, context)
-        return lasting if gain > self._net_gain(plan, context) else plan
+        long_run_plan = self._long_run.plan(
+            estimate.long_run(), placement, limits
+        )
+        gain = self._net_gain(long_run_plan, context)
+        return long_run_plan if gain > self._net_gain(plan, context) else plan
 
     def _rebase(
         self,
@@ -169,15 +171,19 @@
     def _plan_limits(self, context: DecisionContext, now: float) -> PlanLimits:
         rate = context.store.bytes_per_s
         steps = self._costs.loading_steps(self._shape.expert_bytes, rate)
-        relative = self._weights.cost / self._weights.skew
-        return PlanLimits(relative * steps, self._max_loads(context, now))
+        relative_cost = self._weights.cost / self._weights.skew
+        return PlanLimits(relative_cost * steps, self._max_loads(context, now))
 
     def _net_gain(self, plan: Plan, context: DecisionContext) -> float:
         """Return the objective's gain, in steps."""
         load_bytes = plan.loads * self._shape.expert_bytes
-        price = self._costs.change_steps(load_bytes, context.store.bytes_per_s)
-        saved = plan.gain * plan.lifetime
-        return self._weights.skew * saved - self._weights.cost * price
+        cost_steps = self._costs.change_steps(
+            load_bytes, context.store.bytes_per_s
+        )
+        saved_steps = plan.gain * plan.lifetime
+        return (
+            self._weights.skew * saved_steps - self._weights.cost * cost_steps
+        )
 
     def _change(
         self,
--- a/src/snipebend/experts/reading_plan.py
+++ b/src/snipebend/experts/reading_plan.py
@@ -1,6 +1,6 @@
 """Schedule of the readings of a group's expert counts (pure).
 
-Each reading is charged for and makes the group idle, and each change of its map
+Each reading is charged for and pauses the group, and each change of its map
 lengthens passes for a while. Entries measure the pass time without extra cost:
 while streams are on time, a better map benefits nobody, and when demand shifts
 away from the map in force, passes lengthen at once.
@@ -30,8 +30,8 @@
 #: passes stay long, whatever spot checks find. This bounds how long an outdated
 #: map stays in force. One rank of 72 has two or three streams, and shows a
 #: shift only after seconds or not at all: on a calm day maps were outdated for
-#: 6 s and half of the streams were late. The additional checks cost 0.0013 of
-#: worth there.
+#: 6 s and half of the streams were late. The additional checks reduced the
+#: day's score by 0.0013.
 RECHECK_AFTER_S = 1.0
 
 #: Seconds between two checks while no entry reports pass times.
--- a/src/snipebend/experts/search.py
+++ b/src/snipebend/experts/search.py
@@ -19,8 +19,8 @@
     best_copy,
     best_overwrite,
     best_swap,
-    select_changes,
     detour_copy,
+    select_changes,
 )
 from snipebend.experts.placement_view import DISALLOWED, view_placement
 
@@ -176,5 +176,5 @@
         min_gain: float,
     ) -> NDArray[np.bool_]:
         floor = max(_DETOUR_FLOOR, 1 + _DETOUR_LOADS * min_gain)
-        bearable = detour.scores < view.hot.load * _DETOUR_LIMIT
-        return bearable & (view.hot.load > floor) & (self._detours_left > 0)
+        acceptable = detour.scores < view.hot.load * _DETOUR_LIMIT
+        return acceptable & (view.hot.load > floor) & (self._detours_left > 0)
--- a/src/snipebend/experts/sizes.py
+++ b/src/snipebend/experts/sizes.py
@@ -20,7 +20,10 @@
 
     layers: int
     experts: int
+    #: Largest number of experts of one layer on a rank.
     slots: int
+    #: Largest number of experts of one layer that are new to a rank in one
+    #: change.
     max_new: int
     #: Share of the work for a token that its experts do.
     work_share: float
--- a/tests/experts/loads.py
+++ b/tests/experts/loads.py
@@ -1,4 +1,4 @@
-"""Made-up loads and reports for the tests of expert maps."""
+"""Generated loads and reports for the tests of expert maps."""
 
 from __future__ import annotations
 
--- a/tests/experts/test_change_value.py
+++ b/tests/experts/test_change_value.py
@@ -1,4 +1,4 @@
-"""When a change of map pays for itself."""
+"""Saving that a change of the map must bring, by age of the demand."""
 
 from __future__ import annotations
 
@@ -18,41 +18,43 @@
 
 
 class TestLeastSaving(unittest.TestCase):
-    """What a better map must save, by the age of the demand."""
+    """The required saving, by age of the demand."""
 
-    def test_a_turn_is_answered_at_once(self):
-        for lasted_s in (0, 2.0):
+    def test_a_shift_justifies_a_change_at_once(self):
+        for previous_s in (0, 2.0):
             self.assertEqual(
-                required_saving(0.0, lasted_s, FETCH_S), MAX_REQUIRED_SAVING
+                required_saving(0.0, previous_s, FETCH_S), MAX_REQUIRED_SAVING
             )
 
-    def test_the_longer_a_demand_stays_the_less_is_asked(self):
-        asked = [required_saving(known, 0, FETCH_S) for known in (2, 4, 8, 60)]
-        self.assertEqual(asked, sorted(asked, reverse=True))
-        self.assertLess(asked[-1], 0.05)
+    def test_required_saving_falls_with_the_age_of_the_demand(self):
+        required = [
+            required_saving(known, 0, FETCH_S) for known in (2, 4, 8, 60)
+        ]
+        self.assertEqual(required, sorted(required, reverse=True))
+        self.assertLess(required[-1], 0.05)
 
-    def test_where_demand_turns_often_small_changes_wait(self):
-        """Each one would delay the answer to the turn that is due."""
+    def test_small_changes_wait_where_demand_shifts_often(self):
+        """Each change would delay the response to the shift that is due."""
         for age_s in (0.5, 1.0, 2.0, 3.9):
             self.assertEqual(
                 required_saving(age_s, 2.0, FETCH_S), MAX_REQUIRED_SAVING
             )
 
-    def test_one_that_outlasts_the_last_stays(self):
+    def test_demand_that_outlasts_the_previous_one_is_expected_to_stay(self):
         self.assertEqual(expected_remaining_s(2.5, 2.0), MIN_REMAINING_S)
         self.assertGreater(
             expected_remaining_s(STABLE_AGE_RATIO * 2.0, 2.0), 2.0
         )
         self.assertEqual(expected_remaining_s(1000, 2.0), MAX_REMAINING_S)
 
-    def test_what_is_left_of_a_long_one_counts(self):
+    def test_remaining_lifetime_follows_the_previous_demand(self):
         self.assertEqual(expected_remaining_s(2.0, 8.0), 6.0)
 
 
 class TestDemandAge(unittest.TestCase):
-    """How long demands last."""
+    """The age of the demand, and the lifetime of the previous one."""
 
-    def test_it_begins_anew_with_each_turn(self):
+    def test_age_restarts_with_each_shift(self):
         age = DemandAge()
         self.assertEqual(age.age_s(9.0), 0)
         age.note_shift(10.0)
--- a/tests/experts/test_demand.py
+++ b/tests/experts/test_demand.py
@@ -1,4 +1,4 @@
-"""Demand told apart from chance."""
+"""Detection of shifts of demand among the noise of counts."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 LAYERS = 12
 EXPERTS = 144
-#: By it experts dealt out in turn to 72 ranks come to a skew of 3.2, and a turn
-#: of half of them moves 0.16 of the choices.
+#: Exponent of the Zipf-like popularity. With it, experts dealt round-robin to
+#: 72 ranks reach a skew of 3.2, and a shift of half of them moves 0.16 of the
+#: choices.
 EXPONENT = 0.5
 
 
 class ExpertPopularity:
-    """Choices of one rank, by a liking that is spread over many experts."""
+    """Choices of one rank, by a popularity spread over many experts."""
 
     def __init__(self, seed, experts=EXPERTS, exponent=EXPONENT):
         self.experts = experts
@@ -29,20 +30,20 @@
         self.step = 0
 
     def shift(self):
-        """Let one half of the experts exchange what they are liked."""
+        """Permute the popularity of one half of the experts."""
         for row in self.shares:
             moved = self.rng.permutation(self.experts)[: self.experts // 2]
             row[moved] = row[self.rng.permutation(moved)]
 
-    def read(self, choices, correlation=0):
-        """Make choices; return the counts then.
+    def read(self, choices, deviation=0):
+        """Make choices; return the counts after them.
 
-        ``alike`` is how far the requests of the time make them differ from the
-        liking, as a share of it.
+        ``deviation`` is the relative deviation of the shares from the
+        popularity that requests of the same period cause.
         """
         self.step += 2
         noise = self.rng.uniform(
-            1 - correlation, 1 + correlation, self.shares.shape
+            1 - deviation, 1 + deviation, self.shares.shape
         )
         shares = self.shares * noise
         shares /= shares.sum(axis=1, keepdims=True)
@@ -51,9 +52,9 @@
 
 
 class TestDemand(unittest.TestCase):
-    """Spans of steady demand and of a turn."""
+    """Spans of steady demand and spans with a shift."""
 
-    def follow(self, choices, spans):
+    def observe_spans(self, choices, spans):
         popularity = ExpertPopularity(3)
         demand = Demand(LAYERS, EXPERTS)
         demand.begin(popularity.read(choices))
@@ -61,35 +62,39 @@
             demand.end(popularity.read(choices), is_unmixed=False)
         return popularity, demand
 
-    def test_a_turn_of_a_wide_liking_is_told_by_its_first_span(self):
-        """A sixth of the choices differ, and the old ones outweigh the new.
+    def test_a_shift_of_a_flat_popularity_is_detected_by_its_first_span(self):
+        """A sixth of the choices differ, and earlier choices outweigh new ones.
 
-        What users saw: nearly half of the answers of calm days of groups of 72
-        ranks were late. Turns were told by a bound of 0.22 for the difference
-        between two spans, made for likings that half of all choices turn with.
+        Guards against shifts that go undetected: on calm days of groups of 72
+        ranks nearly half of the responses were late. Shifts were detected by a
+        threshold of 0.22 on the difference between two spans, which was chosen
+        for popularities where a shift moves half of all choices.
         """
-        popularity, demand = self.follow(4000, 6)
+        popularity, demand = self.observe_spans(4000, 6)
         popularity.shift()
         demand.begin(popularity.read(0))
         demand.end(popularity.read(4000), is_unmixed=True)
-        off = np.abs(demand.shares - popularity.shares).sum(axis=1).mean() / 2
-        self.assertLess(off, 0.1)
+        error = np.abs(demand.shares - popularity.shares).sum(axis=1).mean() / 2
+        self.assertLess(error, 0.1)
 
-    def test_steady_demand_is_not_taken_for_a_turn(self):
-        # With fewer, chance alone differs by more than any turn is taken to.
+    def test_steady_demand_is_not_mistaken_for_a_shift(self):
+        # With fewer choices, chance alone causes a larger difference than the
+        # threshold of a shift.
         for choices in (2000, 9000):
             with self.subTest(choices=choices):
-                popularity, demand = self.follow(choices, 2)
+                popularity, demand = self.observe_spans(choices, 2)
                 for _ in range(100):
                     demand.end(popularity.read(choices), is_unmixed=False)
                     self.assertIsNotNone(demand.shares)
 
-    def test_a_turn_shows_through_the_chance_of_few_choices(self):
-        """Of 384 experts and 7,000 choices, chance moves 0.13 by itself.
+    def test_a_shift_is_detected_despite_the_noise_of_few_choices(self):
+        """With 384 experts and 7,000 choices, chance alone moves 0.13.
 
-        On two days of a group of 192 ranks one turn of 16 was missed (0.193
-        moved, 0.197 taken for steady), and others of few choices were told by
-        0.01 to 0.07. A guard: these turns were told before, too.
+        On two days of a group of 192 ranks one of 16 shifts was missed (0.193
+        moved, while 0.197 was still regarded as steady), and others with few
+        choices exceeded the threshold by only 0.01 to 0.07. This is a
+        regression guard: the shifts of this test were detected before that
+        fault was fixed, too.
         """
         for seed in range(20):
             with self.subTest(seed=seed):
@@ -102,11 +107,12 @@
                 demand.end(popularity.read(7400), is_unmixed=False)
                 self.assertIsNone(demand.shares)
 
-    def test_requests_that_are_alike_are_no_turn(self):
-        """Of many choices, chance moves next to nothing; requests still do.
+    def test_correlated_requests_are_not_mistaken_for_a_shift(self):
+        """With many choices chance moves almost nothing, but requests still do.
 
-        On the same days five spans that moved 0.034 to 0.085 beside chance were
-        taken for turns, and what was known of the demand was thrown away.
+        On the same days five spans that moved 0.034 to 0.085 in addition to
+        chance were mistaken for shifts, and the estimate of the demand was
+        discarded.
         """
         for choices in (4000, 60_000, 1_000_000):
             with self.subTest(choices=choices):
@@ -115,13 +121,13 @@
                 demand.begin(popularity.read(0))
                 for _ in range(20):
                     demand.end(
-                        popularity.read(choices, correlation=0.2),
+                        popularity.read(choices, deviation=0.2),
                         is_unmixed=False,
                     )
                     self.assertIsNotNone(demand.shares)
 
-    def test_a_turn_within_a_span_tells_neither(self):
-        popularity, demand = self.follow(4000, 6)
+    def test_a_span_with_a_shift_within_it_is_discarded(self):
+        popularity, demand = self.observe_spans(4000, 6)
         popularity.shift()
         demand.end(popularity.read(4000), is_unmixed=False)
         self.assertIsNone(demand.shares)
--- a/tests/experts/test_estimate.py
+++ b/tests/experts/test_estimate.py
@@ -1,4 +1,4 @@
-"""Reports that come late, twice, out of order or not at all do no harm."""
+"""Load estimates from late, repeated, reordered and missing reports."""
 
 from __future__ import annotations
 
@@ -34,15 +34,17 @@
 class EstimateTest(unittest.TestCase):
     @given(st.randoms(use_true_random=False), st.integers(0, 50))
     @settings(derandomize=True, deadline=None, max_examples=30)
-    def test_order_and_copies_do_not_matter(self, rng, seed) -> None:
+    def test_order_and_duplicates_do_not_change_the_estimate(
+        self, rng, seed
+    ) -> None:
         reports = _three_rounds(seed)
-        mixed = reports + rng.sample(reports, 10)
-        rng.shuffle(mixed)
-        straight = _estimate(reports).estimate()
-        shuffled = _estimate(mixed).estimate()
-        np.testing.assert_allclose(shuffled.shares, straight.shares)
-        np.testing.assert_allclose(shuffled.variances, straight.variances)
-        self.assertEqual(shuffled.step, straight.step)
+        shuffled_reports = reports + rng.sample(reports, 10)
+        rng.shuffle(shuffled_reports)
+        in_order = _estimate(reports).estimate()
+        shuffled = _estimate(shuffled_reports).estimate()
+        np.testing.assert_allclose(shuffled.shares, in_order.shares)
+        np.testing.assert_allclose(shuffled.variances, in_order.variances)
+        self.assertEqual(shuffled.step, in_order.step)
 
     def test_missing_ranks_widen_the_variance_without_bias(self) -> None:
         reports = _three_rounds(3)
@@ -69,8 +71,8 @@
         estimate = estimator.estimate()
         self.assertTrue((estimate.variances[1:] == 1).all())
         self.assertTrue((estimate.shares[1:] == 1 / SHAPE.experts).all())
-        rest = estimator.record(report).unwrap()
-        self.assertTrue(rest)
+        recorded = estimator.record(report).unwrap()
+        self.assertTrue(recorded)
         self.assertFalse(estimator.record(report).unwrap())
         self.assertLess(estimator.estimate().variances.max(), 1)
 
@@ -81,7 +83,7 @@
         self.assertTrue(estimator.record(later).unwrap())
         self.assertFalse(estimator.record(old).unwrap())
 
-    def test_broken_reports_are_refused(self) -> None:
+    def test_invalid_reports_are_refused(self) -> None:
         good = _three_rounds(1)[0]
         broken = (
             good._replace(rank=SHAPE.ranks),
@@ -96,7 +98,7 @@
             self.assertTrue(estimator.record(report).is_err())
         self.assertEqual(estimator.estimate().step, -1)
 
-    def test_shares_follow_a_jump_quicker_than_the_half_life(self) -> None:
+    def test_shares_follow_a_jump_faster_than_the_half_life(self) -> None:
         rng = np.random.default_rng(4)
         before, after = zipf_shares(SHAPE, 1), zipf_shares(SHAPE, 2)
         estimator = LoadEstimator(SHAPE, HALF_LIFE)
--- a/tests/experts/test_map_search.py
+++ b/tests/experts/test_map_search.py
@@ -1,4 +1,4 @@
-"""A better map within the bounds of one change."""
+"""Search for a better map within the limits of one change."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
 RANKS = 16
 EXPERTS = 64
 LAYERS = 4
-BOUNDS = ChangeLimits(slots=5, max_new=2)
+LIMITS = ChangeLimits(slots=5, max_new=2)
 ROUND_ROBIN = tuple(tuple(range(rank, EXPERTS, RANKS)) for rank in range(RANKS))
 
 
 def zipf_loads(rng):
-    weights = [1 / (place + 1) ** 1.1 for place in range(EXPERTS)]
+    weights = [1 / (position + 1) ** 1.1 for position in range(EXPERTS)]
     rng.shuffle(weights)
     return [RANKS * weight / sum(weights) for weight in weights]
 
 
 def fetched_by_rank(better):
-    """Return what ranks fetch that held the experts in turn."""
+    """Return how many experts each rank fetches, starting round-robin."""
     return [
         sum(len(set(layer[rank]) - set(ROUND_ROBIN[rank])) for layer in better)
         for rank in range(RANKS)
     ]
 
 
-def search_one(layer, loads, bounds=BOUNDS, slowness=()):
+def search_one(layer, loads, bounds=LIMITS, slowness=()):
     return MapSearch((layer,), (loads,), bounds, slowness).run()[0]
 
 
 class TestSearch(unittest.TestCase):
-    """Bounds are kept, and skew falls."""
+    """Limits are respected, and skew falls."""
 
-    def test_every_map_of_a_long_run_is_valid(self):
+    def test_every_map_of_a_sequence_of_changes_is_valid(self):
         rng = random.Random(7)
         layer = ROUND_ROBIN
-        for turn in range(40):
+        for change in range(40):
             loads = zipf_loads(rng)
-            search = MapSearch((layer,), (loads,), BOUNDS)
+            search = MapSearch((layer,), (loads,), LIMITS)
             before = layer_skew(layer, loads)
             better = search.run()[0]
-            with self.subTest(turn=turn):
+            with self.subTest(change=change):
                 self._check(layer, better)
                 self.assertLessEqual(layer_skew(better, loads), before)
                 self.assertAlmostEqual(
@@ -56,7 +56,7 @@
                 )
             layer = better
 
-    def test_skew_of_a_fresh_group_falls_at_once(self):
+    def test_one_change_reduces_the_skew_of_a_new_group(self):
         rng = random.Random(1)
         for _ in range(10):
             loads = zipf_loads(rng)
@@ -68,28 +68,28 @@
         even = [RANKS / EXPERTS for _ in range(EXPERTS)]
         self.assertEqual(search_one(ROUND_ROBIN, even), ROUND_ROBIN)
 
-    def test_no_rank_fetches_more_than_one_change_may(self):
+    def test_no_rank_exceeds_the_fetches_of_one_change(self):
         rng = random.Random(5)
         loads = [zipf_loads(rng) for _ in range(LAYERS)]
-        bounds = BOUNDS._replace(max_fetches=3)
+        bounds = LIMITS._replace(max_fetches=3)
         better = MapSearch((ROUND_ROBIN,) * LAYERS, loads, bounds).run()
         for rank, fetched in enumerate(fetched_by_rank(better)):
             with self.subTest(rank=rank):
                 self.assertLessEqual(fetched, 3)
         self.assertGreaterEqual(sum(fetched_by_rank(better)), 2 * RANKS)
 
-    def test_all_layers_gain_from_what_ranks_may_fetch(self):
-        """Layer by layer, the first would take it all."""
+    def test_fetches_are_distributed_over_all_layers(self):
+        """If layers were improved in turn, the first would use all fetches."""
         rng = random.Random(5)
         loads = [zipf_loads(rng) for _ in range(LAYERS)]
-        bounds = BOUNDS._replace(max_fetches=2)
+        bounds = LIMITS._replace(max_fetches=2)
         search = MapSearch((ROUND_ROBIN,) * LAYERS, loads, bounds)
         before = search.skews
         search.run()
         for old, new in zip(before, search.skews, strict=True):
             self.assertLess(new, old - 0.5)
 
-    def test_a_slow_rank_gives_its_work_away(self):
+    def test_a_slow_rank_is_relieved(self):
         loads = zipf_loads(random.Random(6))
         slowness = [5 if rank == 3 else 1 for rank in range(RANKS)]
         layer = ROUND_ROBIN
@@ -102,23 +102,28 @@
         held = [expert for rank in after for expert in rank]
         self.assertEqual(set(held), set(range(EXPERTS)))
         for old, new in zip(before, after, strict=True):
-            self.assertLessEqual(len(new), BOUNDS.slots)
+            self.assertLessEqual(len(new), LIMITS.slots)
             self.assertEqual(len(new), len(set(new)))
-            self.assertLessEqual(len(set(new) - set(old)), BOUNDS.max_new)
+            self.assertLessEqual(len(set(new) - set(old)), LIMITS.max_new)
 
 
 class TestSizes(unittest.TestCase):
-    """Groups of any size are balanced about as well.
-
-    What users saw: on calm days of a group of 72 ranks and 12 layers nearly
-    half of the answers were late, 0.51 to 0.29 of a day's worth where it had
-    been 0.91. Each turn of demand was answered by one map that left a skew of
-    1.5, and then by none: a step's gain was weighed over all ranks that were
-    equally hot, so that the more ranks, the sooner no step was worth its loads.
+    """Groups of any size are balanced about equally well.
+
+    Guards against a search that stops too early in large groups: on calm days
+    of a group of 72 ranks and 12 layers nearly half of the responses were late,
+    and the score of a day was 0.29 to 0.51 instead of 0.91. The first map after
+    each shift of demand left a skew of 1.5, and no further map was found: the
+    gain of a step was measured over all ranks that were equally hot, so the
+    more ranks there were, the sooner no step gained enough for its loads.
     """
 
-    def test_turns_are_answered_as_by_the_search_before(self):
-        """Each layer to its end, by the hottest rank alone: its figures."""
+    def test_shifts_are_handled_as_well_as_by_the_former_search(self):
+        """The former search improved one layer after the other.
+
+        It considered only the load of the hottest rank; the figures are its
+        results.
+        """
         for size, former in (
             (Size(8, 6, 64, 11, 1.0), Answers((2.018, 1.223, 1.084), 35)),
             (Size(16, 4, 64, 5, 0.8), Answers((2.54, 1.135, 1.096), 40)),
@@ -126,38 +131,39 @@
             (Size(72, 12, 144, 3, 0.6), Answers((3.96, 1.668, 1.226), 333)),
         ):
             with self.subTest(ranks=size.ranks):
-                found = answer_turns(size, search_of(size), 3)
-                self.assertLess(found.skews[1], former.skews[1])
-                self.assertLess(found.skews[2], former.skews[2] + 0.03)
-                self.assertLess(found.loads, 1.05 * former.loads)
+                result = answer_turns(size, search_of(size), 3)
+                self.assertLess(result.skews[1], former.skews[1])
+                self.assertLess(result.skews[2], former.skews[2] + 0.03)
+                self.assertLess(result.loads, 1.05 * former.loads)
 
 
 class TestManyRanks(unittest.TestCase):
-    """A group of 192 ranks gets as many steps as it needs."""
+    """A group of 192 ranks takes as many steps as it needs."""
 
-    def test_one_change_brings_what_two_would(self):
-        """Stopped at 60 steps a layer, 1.271 after one change, 1.205 after two.
+    def test_one_change_is_as_good_as_two(self):
+        """Guards against a limit of steps that is too low for large groups.
 
-        To the end, it is 1.204 after one.
+        Limited to 60 steps per layer, the skew was 1.271 after one change and
+        1.205 after two; without that limit it is 1.204 after one.
         """
         size = Size(192, 10, 384, 3, 0.6, max_fetches=46)
-        found = answer_turns(size, search_of(size), 3)
-        self.assertLess(found.skews[1] - found.skews[2], 0.01)
+        result = answer_turns(size, search_of(size), 3)
+        self.assertLess(result.skews[1] - result.skews[2], 0.01)
 
 
 def search_of(size):
-    """Return the search within a group's bounds."""
+    """Return the search within the limits of a group."""
     bounds = ChangeLimits(size.places, size.spare, max_fetches=size.max_fetches)
     return lambda layers, loads: MapSearch(layers, loads, bounds).run()
 
 
 class TestLayerSteps(unittest.TestCase):
-    """A step brings what was told of it."""
+    """The predicted gain of a step is correct."""
 
-    def test_gains_are_what_apply_does(self):
+    def test_predicted_gain_matches_the_applied_step(self):
         rng = random.Random(2)
         slowness = [2 if rank == 4 else 1 for rank in range(RANKS)]
-        steps = LayerSteps(ROUND_ROBIN, zipf_loads(rng), slowness, BOUNDS.slots)
+        steps = LayerSteps(ROUND_ROBIN, zipf_loads(rng), slowness, LIMITS.slots)
         kinds = set()
         can_fetch = np.ones(RANKS, dtype=bool)
         for _ in range(30):
--- a/tests/experts/test_model.py
+++ b/tests/experts/test_model.py
@@ -1,4 +1,4 @@
-"""Maps survive encoding; broken maps and bytes are refused."""
+"""Encoding and validation of expert maps."""
 
 from __future__ import annotations
 
@@ -26,39 +26,39 @@
             expert_map.digest(),
         )
 
-    def test_cut_bytes_are_refused(self) -> None:
+    def test_truncated_bytes_are_refused(self) -> None:
         encoded = _make_map().encode()
         for size in (0, 5, 20, len(encoded) - 1):
             with self.subTest(size=size):
                 self.assertTrue(decode_map(encoded[:size]).is_err())
 
-    def test_moves_lead_to_the_target(self) -> None:
+    def test_moves_produce_the_target(self) -> None:
         first, second = _make_map(1), _make_map(2, version=8)
         moves = first.moves_to(second)
         self.assertEqual(first.apply_moves(moves, 8), second)
         self.assertEqual(first.moves_to(first), ())
 
-    def test_a_map_is_not_changed_in_place(self) -> None:
+    def test_a_map_cannot_be_changed_in_place(self) -> None:
         expert_map = _make_map()
         with self.assertRaises(ValueError):
             expert_map.placement[0, 0, 0] = 3
 
-    def test_check_names_each_fault(self) -> None:
+    def test_check_reports_each_fault(self) -> None:
         good = _make_map().placement
-        unknown, lost, twice = good.copy(), good.copy(), good.copy()
+        unknown, unplaced, duplicate = good.copy(), good.copy(), good.copy()
         unknown[0, 0, 0] = SHAPE.experts
-        lost[lost == 5] = 6
-        twice[1, 2, 0] = twice[1, 2, 1]
+        unplaced[unplaced == 5] = 6
+        duplicate[1, 2, 0] = duplicate[1, 2, 1]
         faults = {
             'unknown expert': unknown,
-            'expert without a rank': lost,
+            'expert without a rank': unplaced,
             'axes': good[:, :-1],
         }
         for fault, placement in faults.items():
             with self.subTest(fault=fault):
                 error = check_map(SHAPE, ExpertMap(1, placement)).unwrap_err()
                 self.assertIn(fault, error.message)
-        self.assertTrue(check_map(SHAPE, ExpertMap(1, twice)).is_err())
+        self.assertTrue(check_map(SHAPE, ExpertMap(1, duplicate)).is_err())
         self.assertTrue(check_map(SHAPE, ExpertMap(1, good)).is_ok())
 
     def test_second_copy_on_a_rank_is_refused(self) -> None:
--- a/tests/experts/test_placement.py
+++ b/tests/experts/test_placement.py
@@ -1,4 +1,4 @@
-"""Every map placed, searched or cut short is valid, and moves are minimal."""
+"""Validity and minimal moves of placed, searched and truncated maps."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
     @given(_placement_cases(), st.integers(0, 40))
     @settings(derandomize=True, deadline=None, max_examples=200)
-    def test_each_cut_of_a_search_is_valid_and_in_budget(
+    def test_each_prefix_of_a_search_is_valid_and_in_budget(
         self,
         case,
         max_loads,
@@ -56,7 +56,7 @@
         np.testing.assert_allclose(skews, trace.skews[rounds, rows])
         self.assertTrue((skews <= trace.skews[0] + 1e-9).all())
 
-    def test_scratch_balances_what_one_rank_can_not_hold(self) -> None:
+    def test_placement_from_scratch_replicates_overloaded_experts(self) -> None:
         loads = relative_loads(zipf_shares(SHAPE, 1), SHAPE.ranks)
         placed = place_from_scratch(SHAPE, loads, 1)
         self.assertGreater(loads.max(), 2)
@@ -72,11 +72,11 @@
         rounds = choose_rounds(trace, 0.01, 1000)
         after = replay(start.placement, trace, rounds)
         scratch = place_from_scratch(SHAPE, loads, 2).placement
-        again = align_slots(start.placement, scratch)
+        scratch_aligned = align_slots(start.placement, scratch)
         self.assertLess(step_skew(after, loads), 1.08)
         self.assertGreater(step_skew(start.placement, loads), 1.1)
-        few = (after != start.placement).sum()
-        self.assertLess(few, (again != start.placement).sum() / 2)
+        loaded = (after != start.placement).sum()
+        self.assertLess(loaded, (scratch_aligned != start.placement).sum() / 2)
 
     def test_impossible_shapes_are_refused(self) -> None:
         for slots in (2, 25):
--- a/tests/experts/test_placement_view.py
+++ b/tests/experts/test_placement_view.py
@@ -1,4 +1,4 @@
-"""What the search sees agrees with the plain definition, ties included."""
+"""Derived arrays of the search against their definition, with ties."""
 
 from __future__ import annotations
 
--- a/tests/experts/test_policy.py
+++ b/tests/experts/test_policy.py
@@ -1,4 +1,4 @@
-"""What the policy decides, and what it never does."""
+"""Decisions of the policy on changes of the expert map."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class _Group:
-    """One group whose policy is asked once an interval."""
+    """One group whose policy decides once per interval."""
 
     def __init__(
         self,
@@ -97,11 +97,13 @@
     def test_no_move_without_drift(self) -> None:
         for weights in (SKEW_FIRST, COST_FIRST):
             group = _Group(weights)
-            for turn in range(60):
-                group.receive_reports(zipf_shares(SHAPE, 1), seed=turn)
+            for interval in range(60):
+                group.receive_reports(zipf_shares(SHAPE, 1), seed=interval)
                 self.assertIsInstance(group.decide(), Keep)
 
-    def test_drift_is_followed_and_skew_weight_moves_more(self) -> None:
+    def test_drift_is_followed_and_a_higher_skew_weight_loads_more(
+        self,
+    ) -> None:
         loaded = {}
         for weights in (SKEW_FIRST, COST_FIRST):
             group = _Group(weights, StoreBudget(1_000))
@@ -122,7 +124,9 @@
         st.sampled_from((200, 2_000, 50_000)),
     )
     @settings(derandomize=True, deadline=None, max_examples=60)
-    def test_budget_and_validity_hold(self, seed, used, busy, rate) -> None:
+    def test_changes_are_valid_and_within_the_store_budget(
+        self, seed, used, busy, rate
+    ) -> None:
         group = _Group(store=StoreBudget(rate, free_at=50 + busy))
         group.context = group.context._replace(utilisation=used)
         group.receive_reports(zipf_shares(SHAPE, seed), seed=seed)
@@ -132,7 +136,7 @@
             self.assertLessEqual(decision.load_bytes, rate * seconds + 1e-6)
             self.assertLess(used, 0.9)
 
-    def test_groups_share_the_store(self) -> None:
+    def test_groups_share_the_store_budget(self) -> None:
         first, second = _Group(), _Group()
         for group in (first, second):
             group.receive_reports(_drifted(1))
@@ -142,7 +146,7 @@
         second.context = second.context._replace(store=booked)
         self.assertEqual(second.decide(), Keep('store-budget'))
 
-    def test_serving_goes_first(self) -> None:
+    def test_serving_has_priority_over_loading(self) -> None:
         group = _Group()
         group.receive_reports(_drifted(1))
         group.context = group.context._replace(utilisation=0.95)
@@ -152,7 +156,7 @@
         assert isinstance(change, Change)
         self.assertAlmostEqual(change.bytes_per_s, 0.25 * STORE.bytes_per_s)
 
-    def test_obstacles_are_named(self) -> None:
+    def test_reasons_to_keep_the_map(self) -> None:
         group = _Group(hold_steps=2 * INTERVAL_STEPS)
         self.assertEqual(group.decide(), Keep('no-reports'))
         group.receive_reports(_drifted(1))
@@ -173,11 +177,11 @@
         group.receive_reports(_drifted(0.5))
         self.assertEqual(group.decide(), Keep('will-not-pay-back'))
 
-    def test_load_that_flips_back_teaches_to_move_less(self) -> None:
+    def test_alternating_load_reduces_moves(self) -> None:
         moved = []
         group = _Group()
-        for turn in range(48):
-            group.receive_reports(_drifted(turn // 2 % 2), seed=turn)
+        for interval in range(48):
+            group.receive_reports(_drifted(interval // 2 % 2), seed=interval)
             before = group.expert_map
             group.decide()
             moved.append(len(before.moves_to(group.expert_map)))
@@ -188,7 +192,7 @@
         group.receive_reports(_drifted(1))
         self.assertIsInstance(group.decide(), Keep)
 
-    def test_unknown_layers_are_left_alone(self) -> None:
+    def test_layers_without_reports_keep_their_placement(self) -> None:
         group = _Group()
         group.receive_reports(_drifted(1))
         known = group.estimator.estimate()
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -1,4 +1,4 @@
-"""Counts are read when a better map would help somebody."""
+"""Schedule of count readings, by the reported pass times."""
 
 from __future__ import annotations
 
@@ -24,123 +24,131 @@
 
 
 class TestReadingPlan(unittest.TestCase):
-    """What passes say decides."""
+    """The next reading by pass times and earlier readings."""
 
     def setUp(self):
         self.plan = ReadingPlan(MAX_PAUSE_S)
         self.now = 7.0
 
-    def reads(self, pass_s, after_s=0.0):
+    def read_next(self, pass_s, after_s=0.0):
         self.now += after_s
         return self.plan.next_reading(self.now, pass_s)
 
-    def test_nothing_while_streams_are_on_time(self):
+    def test_no_reading_while_streams_are_on_time(self):
         for _ in range(100):
-            self.assertIs(self.reads(ON_TIME_S, 0.1), Reading.NOTHING)
+            self.assertIs(self.read_next(ON_TIME_S, 0.1), Reading.NOTHING)
 
     def test_long_passes_begin_a_span(self):
-        self.assertIs(self.reads(LONG_S), Reading.BEGIN)
+        self.assertIs(self.read_next(LONG_S), Reading.BEGIN)
         self.plan.note_begun(self.now)
-        self.assertIs(self.reads(LONG_S), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S, SPAN_S), Reading.END)
+        self.assertIs(self.read_next(LONG_S), Reading.NOTHING)
+        self.assertIs(self.read_next(LONG_S, SPAN_S), Reading.END)
         self.assertTrue(self.plan.is_unmixed)
 
-    def test_passes_that_lengthen_after_a_change_tell_of_a_turn(self):
-        """The span after a change would hold some of both demands."""
+    def test_passes_that_lengthen_after_a_change_indicate_a_shift(self):
+        """The span after the change would be a mix of both demands."""
         self.plan.note_changed(self.now)
         for pass_s in (2 * LONG_S, LONG_S, LONG_S):
-            self.assertIs(self.reads(pass_s, 0.1), Reading.NOTHING)
+            self.assertIs(self.read_next(pass_s, 0.1), Reading.NOTHING)
         self.assertIs(
-            self.reads(1.1 * SHIFT_GROWTH * LONG_S, 0.1), Reading.BEGIN
+            self.read_next(1.1 * SHIFT_GROWTH * LONG_S, 0.1), Reading.BEGIN
         )
         self.plan.note_begun(self.now)
         self.assertTrue(self.plan.is_unmixed)
 
-    def test_passes_that_shorten_after_a_change_are_refined(self):
+    def test_a_span_continues_while_passes_shorten_after_a_change(self):
         self.plan.note_changed(self.now)
-        self.assertIs(self.reads(2 * LONG_S, 0.1), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S, REFINE_AFTER_S), Reading.END)
+        self.assertIs(self.read_next(2 * LONG_S, 0.1), Reading.NOTHING)
+        self.assertIs(self.read_next(LONG_S, REFINE_AFTER_S), Reading.END)
         self.assertFalse(self.plan.is_unmixed)
 
-    def test_a_span_with_few_choices_is_drawn_out(self):
+    def test_a_span_with_few_choices_is_extended(self):
         self.plan.note_begun(self.now)
         waits_s = []
         for _ in range(5):
             self.plan.note_inconclusive(self.now)
             began_at = self.now
-            while self.reads(LONG_S, 0.01) is Reading.NOTHING:
+            while self.read_next(LONG_S, 0.01) is Reading.NOTHING:
                 self.assertTrue(self.plan.is_counting)
             waits_s.append(round(self.now - began_at, 1))
         self.assertEqual(waits_s, [0.3, 0.6, MAX_SPAN_S] + 2 * [MAX_SPAN_S])
         self.plan.note_begun(self.now)
-        self.assertIs(self.reads(LONG_S, SPAN_S), Reading.END)
+        self.assertIs(self.read_next(LONG_S, SPAN_S), Reading.END)
 
-    def test_a_look_that_changed_nothing_is_not_repeated_at_once(self):
+    def test_a_check_that_kept_the_map_is_not_repeated_at_once(self):
         self.plan.note_kept(self.now, LONG_S)
-        self.assertIs(self.reads(1.1 * LONG_S, 0.1), Reading.NOTHING)
-        self.assertIs(self.reads(1.1 * SHIFT_GROWTH * LONG_S), Reading.BEGIN)
+        self.assertIs(self.read_next(1.1 * LONG_S, 0.1), Reading.NOTHING)
+        self.assertIs(
+            self.read_next(1.1 * SHIFT_GROWTH * LONG_S), Reading.BEGIN
+        )
 
-    def test_one_rank_is_glanced_at_while_passes_stay_long(self):
-        """In a burst they are, whatever the demand is."""
+    def test_one_rank_is_spot_checked_while_passes_stay_long(self):
+        """In a burst passes stay long whether or not demand has shifted."""
         self.plan.note_kept(self.now, LONG_S)
         self.assertIs(
-            self.reads(LONG_S, SPOT_CHECK_INTERVAL_S), Reading.SPOT_CHECK
+            self.read_next(LONG_S, SPOT_CHECK_INTERVAL_S), Reading.SPOT_CHECK
         )
         self.plan.note_spot_check(self.now)
-        self.assertIs(self.reads(LONG_S), Reading.NOTHING)
+        self.assertIs(self.read_next(LONG_S), Reading.NOTHING)
         self.assertIs(
-            self.reads(ON_TIME_S, SPOT_CHECK_INTERVAL_S), Reading.NOTHING
+            self.read_next(ON_TIME_S, SPOT_CHECK_INTERVAL_S), Reading.NOTHING
         )
-        self.assertIs(self.reads(LONG_S), Reading.SPOT_CHECK)
+        self.assertIs(self.read_next(LONG_S), Reading.SPOT_CHECK)
 
-    def test_a_map_that_was_kept_is_looked_at_again_within_a_bound(self):
-        """Whatever one rank tells, and however long passes were then."""
+    def test_a_kept_map_is_checked_again_in_bounded_time(self):
+        """Regardless of spot checks, and of how long passes were before."""
         self.plan.note_kept(self.now, 3 * LONG_S)
         kept_at = self.now
-        while self.reads(3 * LONG_S, 0.05) is not Reading.BEGIN:
+        while self.read_next(3 * LONG_S, 0.05) is not Reading.BEGIN:
             self.plan.note_spot_check(self.now)
             self.assertLess(self.now, kept_at + RECHECK_AFTER_S + 0.1)
         self.plan.note_kept(self.now, 3 * LONG_S)
         self.assertIs(
-            self.reads(ON_TIME_S, 2 * RECHECK_AFTER_S), Reading.NOTHING
+            self.read_next(ON_TIME_S, 2 * RECHECK_AFTER_S), Reading.NOTHING
         )
 
     def test_the_same_counts_are_read_again_after_a_change(self):
         self.plan.note_changed(self.now)
-        self.assertIs(self.reads(LONG_S, REFINE_AFTER_S / 2), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S, REFINE_AFTER_S), Reading.END)
-        # Demand may have turned within so long a span.
+        self.assertIs(
+            self.read_next(LONG_S, REFINE_AFTER_S / 2), Reading.NOTHING
+        )
+        self.assertIs(self.read_next(LONG_S, REFINE_AFTER_S), Reading.END)
+        # Demand may have shifted within so long a span.
         self.assertFalse(self.plan.is_unmixed)
 
-    def test_not_after_a_change_that_made_passes_short(self):
+    def test_no_reading_after_a_change_that_made_passes_short(self):
         self.plan.note_changed(self.now)
-        self.assertIs(self.reads(ON_TIME_S, REFINE_AFTER_S), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S), Reading.BEGIN)
+        self.assertIs(
+            self.read_next(ON_TIME_S, REFINE_AFTER_S), Reading.NOTHING
+        )
+        self.assertIs(self.read_next(LONG_S), Reading.BEGIN)
 
-    def test_now_and_then_while_nobody_tells_of_passes(self):
-        self.assertIs(self.reads(None), Reading.BEGIN)
+    def test_periodic_readings_without_reported_pass_times(self):
+        self.assertIs(self.read_next(None), Reading.BEGIN)
         self.plan.note_kept(self.now, None)
-        self.assertIs(self.reads(None), Reading.NOTHING)
-        self.assertIs(self.reads(None, NO_REPORT_INTERVAL_S), Reading.BEGIN)
+        self.assertIs(self.read_next(None), Reading.NOTHING)
+        self.assertIs(self.read_next(None, NO_REPORT_INTERVAL_S), Reading.BEGIN)
 
     def test_a_reading_that_failed_is_repeated_later(self):
         self.plan.note_begun(self.now)
         self.plan.note_failed(self.now)
-        self.assertIs(self.reads(LONG_S), Reading.NOTHING)
-        self.assertIs(self.reads(LONG_S, NO_REPORT_INTERVAL_S), Reading.BEGIN)
+        self.assertIs(self.read_next(LONG_S), Reading.NOTHING)
+        self.assertIs(
+            self.read_next(LONG_S, NO_REPORT_INTERVAL_S), Reading.BEGIN
+        )
 
 
 class TestGroupPaces(unittest.TestCase):
-    """What several entries tell, of the last moments."""
+    """Pass times that several entries reported recently."""
 
-    def test_entries_count_by_their_events(self):
+    def test_entries_are_weighted_by_their_events(self):
         paces = GroupPaces()
         paces.note('g', 3, 0.3, 1.0)
         paces.note('g', 1, 0.5, 1.1)
         paces.note('h', 1, 9.0, 1.1)
         self.assertAlmostEqual(paces.of_group('g', 1.1), 0.2)
 
-    def test_what_is_old_counts_no_more(self):
+    def test_old_reports_are_ignored(self):
         paces = GroupPaces()
         paces.note('g', 2, 0.1, 1.0)
         paces.note('g', 1, 0.2, 1.2)
@@ -148,7 +156,7 @@
         self.assertIsNone(paces.of_group('g', 1.3 + WINDOW_S))
         self.assertIsNone(paces.of_group('unknown', 1.0))
 
-    def test_noise_is_passed_over(self):
+    def test_invalid_reports_are_ignored(self):
         paces = GroupPaces()
         paces.note('g', 0, 1.0, 1.0)
         paces.note('g', 1, -1.0, 1.0)
--- a/tests/experts/test_uncertain_skew.py
+++ b/tests/experts/test_uncertain_skew.py
@@ -1,4 +1,4 @@
-"""Skews of maps that were made from few counts."""
+"""Expected skew of maps that were made from few counts."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 RANKS = 72
 SIZES = ExpertSizes(LAYERS, EXPERTS, 3, 2, 0.85)
 MANY = 1_000_000
-#: Some twenty an expert: what one span of three ranks of 72 brings.
+#: About twenty choices per expert: what one span of three ranks of 72 brings.
 FEW = 3000
 
 
 class TestExpectedSkew(unittest.TestCase):
-    """The skew of the counted shares flatters a map that was made of them."""
+    """The skew under the counted shares is too low for a map made from them."""
 
     def setUp(self):
         rng = np.random.default_rng(4)
@@ -43,22 +43,22 @@
         loads = (self.shares * RANKS).tolist()
         return np.mean(list(map(layer_skew, layers, loads)))
 
-    def test_is_told_by_few_counts(self):
+    def test_predicts_the_true_skew_from_few_counts(self):
         counts = self.count(FEW)
         layers, loads = self.plan(counts)
-        promised = np.mean(list(map(layer_skew, layers, loads)))
-        found = self.true_skew(layers)
-        self.assertGreater(found, promised + 0.2)
+        counted_skew = np.mean(list(map(layer_skew, layers, loads)))
+        actual = self.true_skew(layers)
+        self.assertGreater(actual, counted_skew + 0.2)
         expected = expected_skew(layers, counts)
-        self.assertLess(abs(expected - found), abs(promised - found) / 2)
+        self.assertLess(abs(expected - actual), abs(counted_skew - actual) / 2)
 
-    def test_is_the_skew_itself_where_counts_are_many(self):
+    def test_equals_the_true_skew_for_many_counts(self):
         counts = self.count(MANY)
         layers, _ = self.plan(counts)
         expected = expected_skew(layers, counts)
         self.assertAlmostEqual(expected, self.true_skew(layers), delta=0.03)
 
-    def test_weighs_slow_ranks(self):
+    def test_accounts_for_slow_ranks(self):
         counts = self.count(MANY)
         layers = initial_map(SIZES, RANKS)
         slowness = (4.0, *(1.0,) * (RANKS - 1))
@@ -67,7 +67,7 @@
             expected_skew(layers, counts),
         )
 
-    def test_is_the_same_each_time(self):
+    def test_is_deterministic(self):
         counts = self.count(FEW)
         layers = initial_map(SIZES, RANKS)
         self.assertEqual(
