--- a/bench/experts/choosers.py
+++ b/bench/experts/choosers.py
@@ -91,14 +91,14 @@
     def __init__(self, shape: GroupShape, every: int = 1) -> None:
         self._shape = shape
         self._every = every
-        self._turn = 0
+        self._interval = 0
 
     def choose_map(
         self, interval: IntervalEnd, current: ExpertMap
     ) -> ExpertMap:
         """Place from scratch for the estimate, if it is time."""
-        self._turn += 1
-        if self._turn % self._every:
+        self._interval += 1
+        if self._interval % self._every:
             return current
         loads = relative_loads(interval.estimate.shares, self._shape.ranks)
         target = place_from_scratch(self._shape, loads, current.version + 1)
--- a/bench/experts_large.py
+++ b/bench/experts_large.py
@@ -133,8 +133,8 @@
 def run_target(traffic: Traffic) -> dict[str, Outcome]:
     """Run the first 20 minutes of a drift over four hours."""
     every = traffic.interval_steps
-    whole = morning_drift(TARGET, SEED, DRIFT_STEPS // every)
-    part = whole.shares[: RUN_STEPS // every + 1]
+    full_drift = morning_drift(TARGET, SEED, DRIFT_STEPS // every)
+    first_intervals = full_drift.shares[: RUN_STEPS // every + 1]
     settings = PolicySettings(horizon_steps=5 * every)
     choosers: dict[str, MapChooser] = {
         'static': StaticChooser(),
@@ -143,7 +143,13 @@
         'maengelwerk': _target_chooser(MAENGELWERK, settings),
         'chanthavong': _target_chooser(CHANTHAVONG, settings),
     }
-    return run(TARGET, whole._replace(shares=part), choosers, traffic, SEED)
+    return run(
+        TARGET,
+        full_drift._replace(shares=first_intervals),
+        choosers,
+        traffic,
+        SEED,
+    )
 
 
 def main() -> None:
--- a/bench/experts_plot.py
+++ b/bench/experts_plot.py
@@ -57,9 +57,11 @@
     outcomes: dict[str, Outcome]
 
 
-def measure_curves(make: Callable[[GroupShape, int], Workload]) -> Curves:
+def measure_curves(
+    make_workload: Callable[[GroupShape, int], Workload],
+) -> Curves:
     """Run one workload with all map choosers."""
-    workload = make(SHAPE, SEED)
+    workload = make_workload(SHAPE, SEED)
     choosers: dict[str, MapChooser] = {
         'static': StaticChooser(),
         'oracle': OracleChooser(SHAPE),
@@ -82,8 +84,8 @@
     """Write the image and print its points."""
     figure = Figure(figsize=(8, 6), layout='constrained')
     grid = figure.subplots(2, 2)
-    for axes, make in zip(grid.flat, WORKLOADS, strict=True):
-        curves = measure_curves(make)
+    for axes, make_workload in zip(grid.flat, WORKLOADS, strict=True):
+        curves = measure_curves(make_workload)
         _draw(axes, curves)
         for name, outcome in curves.outcomes.items():
             sys.stdout.write(
--- a/bench/quick_experts.py
+++ b/bench/quick_experts.py
@@ -54,8 +54,8 @@
 def measure() -> dict[str, float]:
     """Run all workloads; return figures by name, relative to the baselines."""
     figures: dict[str, float] = {}
-    for make in WORKLOADS:
-        workload = make(SHAPE, SEED)
+    for make_workload in WORKLOADS:
+        workload = make_workload(SHAPE, SEED)
         choosers = make_choosers()
         outcomes = run(SHAPE, workload, choosers, Traffic(), SEED)
         figures |= _ratios_to_baselines(workload.name, outcomes)
--- a/bench/quick_search.py
+++ b/bench/quick_search.py
@@ -29,15 +29,15 @@
 
 #: Ranks, layers and experts of the largest known group and of the target size.
 GROUPS = ((192, 10, 384), (256, 60, 256))
-PLACES = 3
-SPARE = 2
+SLOTS = 3
+MAX_NEW = 2
 #: Largest number of experts that one rank fetches in one change, over all
 #: layers.
-MOST_FETCHED = 46
+MAX_FETCHES = 46
 SEED = 1
 #: Standard deviation of the logarithm of the experts' loads: the hottest rank
 #: of the initial map has 6 to 10 times the mean load.
-SPREAD = 0.9
+LOAD_SIGMA = 0.9
 
 #: Number of timed runs, of which the shortest counts, and of scans in each run.
 RUNS = 3
@@ -58,22 +58,22 @@
 def search_change(ranks: int, layers: int, experts: int) -> SearchResult:
     """Search for a change of the initial map of a group."""
     rng = np.random.default_rng(SEED)
-    weights = rng.lognormal(0, SPREAD, (layers, experts))
+    weights = rng.lognormal(0, LOAD_SIGMA, (layers, experts))
     shares = weights / weights.sum(axis=1, keepdims=True)
     loads = (shares * ranks).tolist()
-    before = initial_map(ExpertSizes(layers, experts, PLACES, SPARE, 1), ranks)
-    bounds = ChangeLimits(PLACES, SPARE, max_fetches=MOST_FETCHED)
+    before = initial_map(ExpertSizes(layers, experts, SLOTS, MAX_NEW, 1), ranks)
+    limits = ChangeLimits(SLOTS, MAX_NEW, max_fetches=MAX_FETCHES)
     after: tuple[LayerMap, ...] = ()
     took_s = math.inf
     for _ in range(RUNS):
-        search = MapSearch(before, loads, bounds)
+        search = MapSearch(before, loads, limits)
         began = time.process_time()
         after = search.run()
         took_s = min(took_s, time.process_time() - began)
     fetched = _count_fetches(before, after)
     skews = map(layer_skew, after, loads)
     scan_s = fetched * _time_scan(rng.random((ranks, experts)), weights[0])
-    weighed = _count_ranks_weighed(MapSearch(before, loads, bounds))
+    weighed = _count_ranks_weighed(MapSearch(before, loads, limits))
     return SearchResult(fmean(skews), fetched, weighed, took_s / scan_s)
 
 
@@ -108,7 +108,7 @@
     samples: NDArray[np.float64], loads: NDArray[np.float64]
 ) -> float:
     """Return the seconds to add up the loads of all ranks once."""
-    held = samples < PLACES / len(loads)
+    held = samples < SLOTS / len(loads)
     least_s = math.inf
     for _ in range(RUNS):
         began = time.process_time()
--- a/src/snipebend/experts/drift.py
+++ b/src/snipebend/experts/drift.py
@@ -52,8 +52,8 @@
         )
         experts = squares.shape[1]
         excess = terms.sum(axis=1) - experts
-        found: NDArray[np.bool_] = excess > self._limit * np.sqrt(2 * experts)
-        return found
+        drifted: NDArray[np.bool_] = excess > self._limit * np.sqrt(2 * experts)
+        return drifted
 
     def rebase(
         self,
--- a/src/snipebend/experts/layer_state.py
+++ b/src/snipebend/experts/layer_state.py
@@ -25,5 +25,5 @@
     rank_loads = [
         sum(loads[one] / copies[one] for one in held) for held in layer
     ]
-    factored = zip(slowness or (1,) * len(rank_loads), rank_loads, strict=True)
-    return max(factor * load for factor, load in factored)
+    weighted = zip(slowness or (1,) * len(rank_loads), rank_loads, strict=True)
+    return max(factor * load for factor, load in weighted)
--- a/src/snipebend/experts/layer_steps.py
+++ b/src/snipebend/experts/layer_steps.py
@@ -82,7 +82,7 @@
         self._before: Flags = self._held.copy()
         self._copies: Indices = self._held.sum(axis=0)
         #: Load of each rank, multiplied by its slowness.
-        self.heat: Floats = self._heat_of(slice(None))
+        self.heat: Floats = self._compute_heat(slice(None))
         #: Number of experts that each rank fetches.
         self.fetched: Indices = np.zeros(len(layer), dtype=np.intp)
 
@@ -124,7 +124,7 @@
         self.fetched[changed_ranks] = new.sum(axis=1)
         ranks: Flags = np.any(self._held[:, affected], axis=1)
         ranks[changed_ranks] = True
-        self.heat[ranks] = self._heat_of(ranks)
+        self.heat[ranks] = self._compute_heat(ranks)
 
     def best_step(
         self, can_fetch: Flags, max_new: int, min_gain: float
@@ -138,7 +138,7 @@
         heat = self.heat
         hot = int(heat.argmax())
         by_heat = heat.argsort()
-        options = _Options(
+        options = _StepOptions(
             self._held,
             self._before,
             self._loads,
@@ -151,13 +151,13 @@
         step = options.best(heat, may_fetch_more, self._slots)
         return step if step.gain > min_gain else None
 
-    def _heat_of(self, ranks: Flags | slice) -> Floats:
+    def _compute_heat(self, ranks: Flags | slice) -> Floats:
         parts: Floats = self._loads / self._copies
         heat: Floats = self._slowness[ranks] * (self._held[ranks] @ parts)
         return heat
 
 
-class _Options:
+class _StepOptions:
     """The candidate steps from the hottest rank to some targets.
 
     Arrays have the axes: experts of the hottest rank, targets, experts that a
@@ -204,7 +204,7 @@
         expert.
         """
         gain = np.where(
-            self._allowed(may_fetch_more, slots),
+            self._is_allowed(may_fetch_more, slots),
             self._norm_reductions(heat) / self._costs(),
             _DISALLOWED_GAIN,
         )
@@ -232,7 +232,7 @@
         total = terms.sum()
         unaffected = max(0, total - terms[self._ranks].sum())
         changed_heat = (
-            heat[self._ranks] + self._affected_slowness * self._changes()
+            heat[self._ranks] + self._affected_slowness * self._load_changes()
         )
         after = _norm_terms(np.maximum(0, changed_heat)).sum(axis=-1)
         root = 1 / _NORM_EXPONENT
@@ -256,7 +256,7 @@
         drops: Indices = np.argsort(~held, axis=1, kind='stable')[:, :max_held]
         return drops
 
-    def _changes(self) -> Floats:
+    def _load_changes(self) -> Floats:
         """Return the change of each rank's load by kind of step.
 
         The kinds are: copy (with or without a drop), move (with or without a
@@ -304,7 +304,7 @@
         swap_changes[:, :, self._affected_hot] = loads / copies
         return _prepend_no_drop(drop_changes), _prepend_no_drop(swap_changes)
 
-    def _allowed(self, may_fetch_more: Flags, slots: int) -> Flags:
+    def _is_allowed(self, may_fetch_more: Flags, slots: int) -> Flags:
         can_take = self._before | may_fetch_more[:, None]
         new = can_take[self._targets] & ~self._held[self._targets]
         transferable = new[:, self._experts].T[:, :, None]
--- a/src/snipebend/experts/map_search.py
+++ b/src/snipebend/experts/map_search.py
@@ -88,7 +88,7 @@
 
     def run(self) -> tuple[LayerMap, ...]:
         """Improve the map until no step gains enough for its loads."""
-        candidates = [self._best(layer) for layer in self._layers]
+        candidates = [self._best_step(layer) for layer in self._layers]
         max_steps = max(MIN_STEP_LIMIT, len(self._fetching)) * len(self._layers)
         for _ in range(max_steps):
             gains = [
@@ -99,19 +99,19 @@
             if step is None:
                 break
             layer = self._layers[best_index]
-            if self._still_fits(layer, step):
+            if self._can_still_fetch(layer, step):
                 self._apply(layer, step)
-            candidates[best_index] = self._best(layer)
+            candidates[best_index] = self._best_step(layer)
         return tuple(layer.layer for layer in self._layers)
 
-    def _best(self, layer: LayerSteps) -> CandidateStep | None:
+    def _best_step(self, layer: LayerSteps) -> CandidateStep | None:
         return layer.best_step(
             self._fetching < self._limits.max_fetches,
             self._limits.max_new,
             self._limits.min_gain,
         )
 
-    def _still_fits(self, layer: LayerSteps, step: CandidateStep) -> bool:
+    def _can_still_fetch(self, layer: LayerSteps, step: CandidateStep) -> bool:
         """Return whether the ranks may still fetch after other steps."""
         return all(
             self._fetching[rank] < self._limits.max_fetches
--- a/src/snipebend/experts/moves.py
+++ b/src/snipebend/experts/moves.py
@@ -43,7 +43,7 @@
     segments = [
         segment
         for layer in range(layers)
-        for segment in _hull(trace, layer)
+        for segment in _descending_hull(trace, layer)
         if segment.gain_per_load > min_gain
     ]
     segments.sort(key=_steepest_first)
@@ -95,7 +95,7 @@
     return (-segment.gain_per_load, segment.layer, segment.rounds)
 
 
-def _hull(trace: SearchTrace, layer: int) -> list[_Segment]:
+def _descending_hull(trace: SearchTrace, layer: int) -> list[_Segment]:
     """Return the descending segments of one layer's lower convex hull.
 
     The hull is traversed from the start, each time to the point of steepest
--- a/src/snipebend/experts/neighbours.py
+++ b/src/snipebend/experts/neighbours.py
@@ -69,8 +69,8 @@
     count = view.replicas[view.column, view.hot.experts]
     after = total / (count + 1)
     relieved = view.hot.load[:, None] - total / count + after
-    without = view.rank_load - view.slot_load
-    target = without[:, None, :] + after[:, :, None]
+    remaining_load = view.rank_load - view.slot_load
+    target = remaining_load[:, None, :] + after[:, :, None]
     scores = np.maximum(
         np.maximum(target, relieved[:, :, None]),
         view.after_drop[:, None, :],
@@ -85,8 +85,8 @@
     """Overwrite a replica on the hottest rank by a less loaded expert."""
     hot_loads = view.replica_load[view.column, view.hot.experts]
     added_load = view.loads / (view.replicas + 1)
-    without = view.hot.load[:, None] - hot_loads
-    after = without[:, :, None] + added_load[:, None, :]
+    remaining_load = view.hot.load[:, None] - hot_loads
+    after = remaining_load[:, :, None] + added_load[:, None, :]
     drops = view.after_drop[view.column, view.hot.slots]
     scores = np.maximum(after, drops[:, :, None])
     disallowed = view.hot.holds[:, None, :]
--- a/tests/experts/test_change_value.py
+++ b/tests/experts/test_change_value.py
@@ -17,7 +17,7 @@
 FETCH_S = 0.1
 
 
-class TestLeastSaving(unittest.TestCase):
+class TestRequiredSaving(unittest.TestCase):
     """The required saving, by age of the demand."""
 
     def test_a_shift_justifies_a_change_at_once(self):
--- a/tests/experts/test_demand.py
+++ b/tests/experts/test_demand.py
@@ -32,8 +32,8 @@
     def shift(self):
         """Permute the popularity of one half of the experts."""
         for row in self.shares:
-            moved = self.rng.permutation(self.experts)[: self.experts // 2]
-            row[moved] = row[self.rng.permutation(moved)]
+            shifted = self.rng.permutation(self.experts)[: self.experts // 2]
+            row[shifted] = row[self.rng.permutation(shifted)]
 
     def read(self, choices, deviation=0):
         """Make choices; return the counts after them.
--- a/tests/experts/test_map_search.py
+++ b/tests/experts/test_map_search.py
@@ -33,8 +33,8 @@
     ]
 
 
-def search_one(layer, loads, bounds=LIMITS, slowness=()):
-    return MapSearch((layer,), (loads,), bounds, slowness).run()[0]
+def search_one(layer, loads, limits=LIMITS, slowness=()):
+    return MapSearch((layer,), (loads,), limits, slowness).run()[0]
 
 
 class TestSearch(unittest.TestCase):
@@ -71,8 +71,8 @@
     def test_no_rank_exceeds_the_fetches_of_one_change(self):
         rng = random.Random(5)
         loads = [zipf_loads(rng) for _ in range(LAYERS)]
-        bounds = LIMITS._replace(max_fetches=3)
-        better = MapSearch((ROUND_ROBIN,) * LAYERS, loads, bounds).run()
+        limits = LIMITS._replace(max_fetches=3)
+        better = MapSearch((ROUND_ROBIN,) * LAYERS, loads, limits).run()
         for rank, fetched in enumerate(fetched_by_rank(better)):
             with self.subTest(rank=rank):
                 self.assertLessEqual(fetched, 3)
@@ -82,8 +82,8 @@
         """If layers were improved in turn, the first would use all fetches."""
         rng = random.Random(5)
         loads = [zipf_loads(rng) for _ in range(LAYERS)]
-        bounds = LIMITS._replace(max_fetches=2)
-        search = MapSearch((ROUND_ROBIN,) * LAYERS, loads, bounds)
+        limits = LIMITS._replace(max_fetches=2)
+        search = MapSearch((ROUND_ROBIN,) * LAYERS, loads, limits)
         before = search.skews
         search.run()
         for old, new in zip(before, search.skews, strict=True):
@@ -153,8 +153,8 @@
 
 def search_of(size):
     """Return the search within the limits of a group."""
-    bounds = ChangeLimits(size.places, size.spare, max_fetches=size.max_fetches)
-    return lambda layers, loads: MapSearch(layers, loads, bounds).run()
+    limits = ChangeLimits(size.places, size.spare, max_fetches=size.max_fetches)
+    return lambda layers, loads: MapSearch(layers, loads, limits).run()
 
 
 class TestLayerSteps(unittest.TestCase):
--- a/tests/experts/test_policy.py
+++ b/tests/experts/test_policy.py
@@ -89,8 +89,11 @@
         )
 
 
-def _drifted(part: float) -> np.ndarray:
-    return zipf_shares(SHAPE, 1) * (1 - part) + zipf_shares(SHAPE, 2) * part
+def _drifted(drift_share: float) -> np.ndarray:
+    return (
+        zipf_shares(SHAPE, 1) * (1 - drift_share)
+        + zipf_shares(SHAPE, 2) * drift_share
+    )
 
 
 class PolicyTest(unittest.TestCase):
@@ -108,8 +111,8 @@
         for weights in (SKEW_FIRST, COST_FIRST):
             group = _Group(weights, StoreBudget(1_000))
             decisions = []
-            for part in np.linspace(0, 1, 20):
-                group.receive_reports(_drifted(part))
+            for drift_share in np.linspace(0, 1, 20):
+                group.receive_reports(_drifted(drift_share))
                 decisions.append(group.decide())
             changes = [one for one in decisions if isinstance(one, Change)]
             loaded[weights] = sum(one.load_bytes for one in changes)
@@ -125,16 +128,16 @@
     )
     @settings(derandomize=True, deadline=None, max_examples=60)
     def test_changes_are_valid_and_within_the_store_budget(
-        self, seed, used, busy, rate
+        self, seed, utilisation, busy_s, rate
     ) -> None:
-        group = _Group(store=StoreBudget(rate, free_at=50 + busy))
-        group.context = group.context._replace(utilisation=used)
+        group = _Group(store=StoreBudget(rate, free_at=50 + busy_s))
+        group.context = group.context._replace(utilisation=utilisation)
         group.receive_reports(zipf_shares(SHAPE, seed), seed=seed)
         decision = group.decide()
         if isinstance(decision, Change):
-            seconds = SHORT_HORIZON.load_window_s - busy
+            seconds = SHORT_HORIZON.load_window_s - busy_s
             self.assertLessEqual(decision.load_bytes, rate * seconds + 1e-6)
-            self.assertLess(used, 0.9)
+            self.assertLess(utilisation, 0.9)
 
     def test_groups_share_the_store_budget(self) -> None:
         first, second = _Group(), _Group()
@@ -200,9 +203,9 @@
         variances = known.variances.copy()
         shares[0] = 1 / SHAPE.experts
         variances[0] = 1
-        part = known._replace(shares=shares, variances=variances)
+        partial_estimate = known._replace(shares=shares, variances=variances)
         decision = group.policy.decide(
-            part, group.expert_map, group.context, 50
+            partial_estimate, group.expert_map, group.context, 50
         )
         assert isinstance(decision, Change)
         self.assertTrue(all(move.layer > 0 for move in decision.moves))
