--- a/bench/routing_cost.py
+++ b/bench/routing_cost.py
@@ -91,9 +91,9 @@
         ticket = admission.ticket
         choice = router.choose(ticket, frozenset(), now, rng)
         assert isinstance(choice, Choice)
-        router.started(ticket, choice.upstream, now)
+        router.record_start(ticket, choice.upstream, now)
         chosen = perf_counter()
-        router.finished(ticket, choice.upstream, 0.1, now)
+        router.record_success(ticket, choice.upstream, 0.1, now)
         router.close(ticket, now)
         ended = perf_counter()
         spans[0].append(admitted - begun)
--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -246,23 +246,25 @@
 
     def start(self, job: Job, now: int) -> None:
         """Tell the router."""
-        self.router.started(job.ticket, str(job.engine), now * STEP_S)
+        self.router.record_start(job.ticket, str(job.engine), now * STEP_S)
 
     def end(self, job: Job, now: int) -> None:
         """Tell the router, with the time to the first token."""
         upstream = str(job.engine)
         if job.first < 0:
             outcome = AttemptOutcome.CANCELLED
-            self.router.failed(job.ticket, upstream, outcome, now * STEP_S)
+            self.router.record_failure(
+                job.ticket, upstream, outcome, now * STEP_S
+            )
             return
         latency = (job.first - job.started + 1) * STEP_S
-        self.router.finished(job.ticket, upstream, latency, now * STEP_S)
+        self.router.record_success(job.ticket, upstream, latency, now * STEP_S)
 
     def fail(self, job: Job, now: int, *, crashed: bool) -> None:
         """Tell the router."""
         outcome = AttemptOutcome.CRASHED if crashed else AttemptOutcome.FAILED
         upstream = str(job.engine)
-        self.router.failed(job.ticket, upstream, outcome, now * STEP_S)
+        self.router.record_failure(job.ticket, upstream, outcome, now * STEP_S)
 
     def close(self, job: Job, now: int) -> None:
         """Tell the router."""
--- a/src/snipebend/edge/relay_desk.py
+++ b/src/snipebend/edge/relay_desk.py
@@ -29,7 +29,7 @@
 from snipebend.relay.returning import wait_until
 from snipebend.relay.pace import PaceMeter
 from snipebend.relay.upstreams import UpstreamTable
-from snipebend.routing.retry_budget import RetryBudget, savings_of_one
+from snipebend.routing.retry_budget import RetryBudget, balance_cap_per_entry
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -127,7 +127,7 @@
         if not isinstance(admitted, Admitted):
             self.refuser.refuse(answer, admitted, facts)
             return
-        self._budget(admitted.service).note_request()
+        self._budget(admitted.service).record_request()
         self._in_work += 1
         try:
             await RelayedRequest(self, req, answer, admitted).run()
@@ -292,8 +292,8 @@
             budget = RetryBudget(self._cfg.relay.retry_ratio)
             self._budgets[service] = budget
         entries = len(self._follower.entries) + 1
-        budget.take_savings(
-            savings_of_one(self._cfg.relay.retry_slack, entries)
+        budget.update_balance_cap(
+            balance_cap_per_entry(self._cfg.relay.retry_slack, entries)
         )
         return budget
 
--- a/src/snipebend/routing/__init__.py
+++ b/src/snipebend/routing/__init__.py
@@ -1,1 +1,4 @@
-"""Candidates, scores, admission, fairness, limits, retries (pure)."""
+"""Request routing: admission, fair queuing, upstream selection and retries.
+
+Performs no I/O.
+"""
--- a/src/snipebend/routing/admission.py
+++ b/src/snipebend/routing/admission.py
@@ -1,4 +1,4 @@
-"""Lets requests in to one pool of upstreams, by slots and a fair queue."""
+"""Admission control for one pool of upstreams: slots and a fair queue."""
 
 from __future__ import annotations
 
@@ -25,28 +25,32 @@
     from snipebend.routing.fair_queue import FlowWeights
     from snipebend.routing.messages import Admission, Ticket
 
-#: Deadlines of tickets already gone that a gate may still hold.
-MAX_PAST_DEADLINES = 64
-#: A request may wait this share of the mean time that requests are held ...
+#: Deadlines of removed tickets that may remain in the heap before a compaction.
+MAX_STALE_DEADLINES = 64
+#: A request may queue for this share of the mean holding time of requests ...
 WAIT_SHARE = 0.25
-#: ... and this long in any case, ...
-LEAST_WAIT_S = 0.25
-#: ... and until so many others are done, however small the pool is.
-LEAST_QUEUE = 2
+#: ... but at least for this time ...
+MIN_WAIT_S = 0.25
+#: ... and at least until so many other requests are done, however small the
+#: pool is.
+MIN_QUEUE_TURNS = 2
 
 
-class Place(NamedTuple):
-    """What the queue needs to know of a request's priority and workspace."""
+class QueueClass(NamedTuple):
+    """The priority of a request, and the weights of its queue flow."""
 
     priority: Priority
     weights: FlowWeights
 
 
 class PoolGate:
-    """Admission to one pool of upstreams: slots, fair queue, drain rate."""
+    """Admits requests to one pool while slots are free, and queues the rest.
+
+    The measured drain rate decides whether a request would wait too long.
+    """
 
     def __init__(self) -> None:
-        """Start closed: a pool without upstreams has no slots."""
+        """Create a gate without slots, as for a pool without upstreams."""
         self.queue = FairQueue()
         self.drain = DrainRate()
         self.slots: float = 0
@@ -55,26 +59,26 @@
 
     @property
     def admitted(self) -> int:
-        """Return the number of tickets that are dispatched, not closed."""
+        """Return the number of dispatched tickets that are not closed."""
         return len(self._admitted)
 
     def admit(
-        self, ticket: Ticket, place: Place, now: float, rng: Random
+        self, ticket: Ticket, queue_class: QueueClass, now: float, rng: Random
     ) -> Admission:
-        """Admit, queue or refuse at once."""
+        """Admit, queue or refuse a request."""
         if self.admitted < self.slots and not self.queue:
             self._admitted[ticket.number] = now
             return Admitted(ticket)
-        refusal = self._refusal(ticket, place, now, rng)
+        refusal = self._check_queue(ticket, queue_class, now, rng)
         if refusal is not None:
             return refusal
-        self.queue.push(ticket, place.weights)
-        entry = (self._start_by(ticket), ticket.number)
-        heappush(self._deadlines, entry)
+        self.queue.push(ticket, queue_class.weights)
+        deadline = (self._latest_start(ticket), ticket.number)
+        heappush(self._deadlines, deadline)
         return Queued(ticket)
 
     def dispatch(self, now: float, rng: Random) -> Dispatched:
-        """Return the tickets whose turn it is, and those that ran late."""
+        """Return the tickets to dispatch now, and the expired ones."""
         refused = tuple(self._expire(now, rng))
         admitted = []
         while self.admitted < self.slots:
@@ -86,68 +90,73 @@
         return Dispatched(tuple(admitted), refused)
 
     def close(self, number: int, now: float) -> bool:
-        """Forget a ticket; return whether it was known."""
+        """Close a ticket; return whether it was open."""
         admitted_at = self._admitted.pop(number, None)
         if admitted_at is not None:
-            self.drain.note(now - admitted_at, now)
+            self.drain.record(now - admitted_at, now)
             return True
         return self.queue.remove(number) is not None
 
     def refuse_all(self) -> Dispatched:
-        """Refuse all that wait: the pool's target is gone from the fleet."""
+        """Refuse all queued tickets: the fleet has dropped the target."""
         waiting = iter(self.queue.pop, None)
         refusal = Refused(RefusalReason.UNKNOWN_TARGET)
         refused = tuple(RefusedTicket(ticket, refusal) for ticket in waiting)
         return Dispatched(refused=refused)
 
     def backlog_s(self, now: float) -> float:
-        """Return the span after which the present queue is worked off."""
-        drain = self.drain.per_s(self.admitted, now)
+        """Return the estimated time until the current queue is drained."""
+        drain = self.drain.requests_per_s(self.admitted, now)
         return (len(self.queue) + 1) / drain if drain else 0
 
-    def _refusal(
-        self, ticket: Ticket, place: Place, now: float, rng: Random
+    def _check_queue(
+        self, ticket: Ticket, queue_class: QueueClass, now: float, rng: Random
     ) -> Refused | None:
         backlog = self.backlog_s(now)
-        wait = min(backlog, self._flow_wait_s(ticket, place, now))
-        if now + wait > self._start_by(ticket):
+        wait = min(backlog, self._flow_wait_s(ticket, queue_class, now))
+        if now + wait > self._latest_start(ticket):
             return Refused(RefusalReason.DEADLINE, retry_after(backlog, rng))
-        if self._has_room(ticket, place):
+        if self._has_room(ticket, queue_class):
             return None
         return Refused(RefusalReason.QUEUE_FULL, retry_after(backlog, rng))
 
-    def _start_by(self, ticket: Ticket) -> float:
-        """Return the moment up to which waiting makes sense.
+    def _latest_start(self, ticket: Ticket) -> float:
+        """Return the latest time at which the ticket may still start.
 
-        Under lasting overload a long queue serves no more requests than a
-        short one, it only serves all of them late.
+        Under sustained overload a long queue has no more throughput than a
+        short one; it only delays every request.
         """
-        drain = self.drain.per_s(self.admitted, ticket.taken_at)
+        drain = self.drain.requests_per_s(self.admitted, ticket.issued_at)
         if not drain:
             return ticket.req.deadline_at
         longest = max(
-            LEAST_WAIT_S,
+            MIN_WAIT_S,
             WAIT_SHARE * self.drain.hold_s,
-            LEAST_QUEUE / drain,
+            MIN_QUEUE_TURNS / drain,
         )
-        return min(ticket.req.deadline_at, ticket.taken_at + longest)
+        return min(ticket.req.deadline_at, ticket.issued_at + longest)
 
-    def _flow_wait_s(self, ticket: Ticket, place: Place, now: float) -> float:
-        drain = self.drain.per_s(self.admitted, now)
+    def _flow_wait_s(
+        self, ticket: Ticket, queue_class: QueueClass, now: float
+    ) -> float:
+        drain = self.drain.requests_per_s(self.admitted, now)
         if not drain:
             return 0
         flow = (ticket.req.priority, ticket.req.workspace)
-        share = self.queue.share(flow, place.weights)
+        share = self.queue.share(flow, queue_class.weights)
         return (self.queue.length(*flow) + 1) / (drain * share)
 
-    def _has_room(self, ticket: Ticket, place: Place) -> bool:
-        """Tell whether the queue has room for one more of the workspace.
+    def _has_room(self, ticket: Ticket, queue_class: QueueClass) -> bool:
+        """Return whether the workspace may queue one more request.
 
-        A workspace may hold as many places as are still free, so that no one
-        fills the queue alone (dynamic thresholds, Choudhury and Hahne, 1998).
+        A workspace may occupy at most as many positions as are still free, so
+        that no workspace fills the queue alone (dynamic thresholds, Choudhury
+        and Hahne, 1998).
         """
         req = ticket.req
-        free = place.priority.queue_limit - self.queue.length(req.priority)
+        free = queue_class.priority.queue_limit - self.queue.length(
+            req.priority
+        )
         held = self.queue.length(req.priority, req.workspace)
         return free > held
 
@@ -157,10 +166,14 @@
             ticket = self.queue.remove(number)
             if ticket is None:
                 continue
-            again = retry_after(self.backlog_s(now), rng)
-            yield RefusedTicket(ticket, Refused(RefusalReason.DEADLINE, again))
-        if len(self._deadlines) > 2 * len(self.queue) + MAX_PAST_DEADLINES:
+            retry_after_s = retry_after(self.backlog_s(now), rng)
+            yield RefusedTicket(
+                ticket, Refused(RefusalReason.DEADLINE, retry_after_s)
+            )
+        if len(self._deadlines) > 2 * len(self.queue) + MAX_STALE_DEADLINES:
             self._deadlines = [
-                entry for entry in self._deadlines if entry[1] in self.queue
+                deadline
+                for deadline in self._deadlines
+                if deadline[1] in self.queue
             ]
             self._deadlines.sort()
--- a/src/snipebend/routing/attempts.py
+++ b/src/snipebend/routing/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts in flight: which incarnation of which upstream has them."""
+"""Tracks in-flight attempts and the upstream incarnation that runs each."""
 
 from __future__ import annotations
 
@@ -8,35 +8,37 @@
     from snipebend.routing.upstream_state import UpstreamState
 
 
-class AttemptBook:
-    """Attempts by ticket and upstream; each is counted where it started.
+class AttemptTracker:
+    """In-flight attempts by ticket and upstream.
 
-    An upstream that came back under a new incarnation isn't relieved by the
-    end of an attempt of the old one.
+    Each attempt counts against the incarnation that it started on: when it
+    ends, the count of a newer incarnation of the upstream does not change.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create a tracker without attempts."""
         self._open: dict[int, dict[str, UpstreamState]] = {}
 
-    def open(self, number: int, state: UpstreamState, now: float) -> None:
-        """Count an attempt; a repeated call counts once."""
-        attempts = self._open.setdefault(number, {})
+    def open(
+        self, ticket_number: int, state: UpstreamState, now: float
+    ) -> None:
+        """Count an attempt; repeated calls for the same attempt count once."""
+        attempts = self._open.setdefault(ticket_number, {})
         if attempts.get(state.view.name) is state:
             return
         attempts[state.view.name] = state
-        state.own.change(1, now)
+        state.outstanding.change(1, now)
 
     def close(
-        self, number: int, upstream: str, now: float
+        self, ticket_number: int, upstream: str, now: float
     ) -> UpstreamState | None:
-        """End an attempt; return its upstream if the attempt was open."""
-        state = self._open.get(number, {}).pop(upstream, None)
+        """End an attempt; return its upstream state, or None if not open."""
+        state = self._open.get(ticket_number, {}).pop(upstream, None)
         if state is not None:
-            state.own.change(-1, now)
+            state.outstanding.change(-1, now)
         return state
 
-    def close_all(self, number: int, now: float) -> None:
-        """End all attempts of a ticket."""
-        for state in self._open.pop(number, {}).values():
-            state.own.change(-1, now)
+    def close_all(self, ticket_number: int, now: float) -> None:
+        """End all open attempts of a ticket."""
+        for state in self._open.pop(ticket_number, {}).values():
+            state.outstanding.change(-1, now)
--- a/src/snipebend/routing/chooser.py
+++ b/src/snipebend/routing/chooser.py
@@ -1,4 +1,4 @@
-"""The choice for one attempt: prefix hints, suspects, reserved upstreams."""
+"""Chooses the upstream of an attempt, isolating suspect requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     NO_UPSTREAM_RETRY_S,
     retry_after,
 )
-from snipebend.routing.selection import Need, Selector
+from snipebend.routing.selection import Requirements, Selector
 
 if TYPE_CHECKING:
     from random import Random
@@ -24,10 +24,14 @@
 
 
 class Chooser:
-    """Chooses upstreams by the rules, and keeps suspects apart."""
+    """Chooses upstreams by score, and runs suspect requests alone.
+
+    Other requests avoid reserved upstreams always, and quarantine lanes while
+    these are held free.
+    """
 
     def __init__(self, rules: ScoringRules, prefixes: PrefixIndex) -> None:
-        """Start without suspects."""
+        """Create a chooser without suspects."""
         self._rules = rules
         self._prefixes = prefixes
         self.quarantine = Quarantine()
@@ -40,28 +44,32 @@
         now: float,
         rng: Random,
     ) -> Selection:
-        """Choose the upstream of the next attempt."""
+        """Return the upstream of the next attempt, or that there is none."""
         if self.quarantine.is_suspect(ticket.req.fingerprint):
-            return self._choose_alone(pool, ticket, exclude, now, rng)
+            return self._choose_isolated(pool, ticket, exclude, now, rng)
         selector = Selector(pool, self._rules, now, rng)
-        barred = exclude.union(self.quarantine.reserved)
-        held = self.quarantine.holds_lanes(now)
-        lanes = pool.lanes if held else frozenset()
-        choice = selector.choose(self._need(ticket.req, barred | lanes))
+        excluded = exclude.union(self.quarantine.reserved)
+        keeps_lanes_free = self.quarantine.keeps_lanes_free(now)
+        lanes = pool.lanes if keeps_lanes_free else frozenset()
+        choice = selector.choose(
+            self._requirements(ticket.req, excluded | lanes)
+        )
         if choice is None and lanes:
-            choice = selector.choose(self._need(ticket.req, barred))
+            choice = selector.choose(self._requirements(ticket.req, excluded))
         if choice is None:
-            return _shortage(not pool.is_empty, rng)
+            return _no_upstream(not pool.is_empty, rng)
         return choice
 
-    def _need(self, req: RoutingRequest, barred: frozenset[str]) -> Need:
+    def _requirements(
+        self, req: RoutingRequest, excluded: frozenset[str]
+    ) -> Requirements:
         adapter = ''
         if isinstance(req.target, ModelTarget):
             adapter = req.target.adapter
         matches = self._prefixes.find(req.chain)
-        return Need(adapter, req.chain, matches, barred)
+        return Requirements(adapter, req.chain, matches, excluded)
 
-    def _choose_alone(
+    def _choose_isolated(
         self,
         pool: CandidateSet,
         ticket: Ticket,
@@ -77,18 +85,18 @@
         lane = self.quarantine.reserve(
             ticket.number, ticket.req.fingerprint, tuple(states), now
         )
-        if lane is None or self._is_taken(lane, states[lane], now):
-            return _shortage(bool(states), rng)
+        if lane is None or self._is_busy(lane, states[lane], now):
+            return _no_upstream(bool(states), rng)
         return Choice(lane, states[lane].view.incarnation, alone=True)
 
-    def _is_taken(self, lane: str, state: UpstreamState, now: float) -> bool:
-        if state.own.current:
+    def _is_busy(self, lane: str, state: UpstreamState, now: float) -> bool:
+        if state.outstanding.current:
             return True
-        return bool(state.reported_others) and self.quarantine.is_patient(
-            lane, now
-        )
+        return bool(
+            state.reported_others
+        ) and self.quarantine.is_waiting_for_idle(lane, now)
 
 
-def _shortage(wait: bool, rng: Random) -> NoUpstream:
+def _no_upstream(wait: bool, rng: Random) -> NoUpstream:
     span = BUSY_RETRY_S if wait else NO_UPSTREAM_RETRY_S
-    return NoUpstream(retry_after(span, rng, least_s=span), wait)
+    return NoUpstream(retry_after(span, rng, min_s=span), wait)
--- a/src/snipebend/routing/concurrency.py
+++ b/src/snipebend/routing/concurrency.py
@@ -1,65 +1,65 @@
-"""The number of requests that an upstream takes well at the same time.
+"""An adaptive limit on the concurrent requests to one upstream.
 
-The gradient of recent to usual latency moves the limit, as in the Gradient2
-limit of Netflix's concurrency-limits; an overload lowers it by a factor, as
-in AIMD (Chiu and Jain, 1989).
+The gradient between baseline and recent latency moves the limit, as in the
+Gradient2 limit of Netflix's concurrency-limits. An overload lowers it by a
+factor, as in AIMD (Chiu and Jain, 1989).
 """
 
 from __future__ import annotations
 
 from math import sqrt
 
-#: Latency may rise by this factor over the usual before the limit falls.
-TOLERANCE = 2.0
-#: A refusal for overload leaves this share of the limit.
+#: Latency may exceed the baseline by this factor before the limit falls.
+LATENCY_TOLERANCE = 2.0
+#: Factor applied to the limit after a refusal for overload.
 OVERLOAD_FACTOR = 0.9
-#: Weight of a new sample in the recent and in the usual latency.
+#: Weights of a new sample in the averages of recent and of baseline latency.
 RECENT_WEIGHT = 0.1
-USUAL_WEIGHT = 0.002
-#: Share of the way from the old limit to the new that one sample goes.
+BASELINE_WEIGHT = 0.002
+#: Share of the difference to the target limit that one sample applies.
 SMOOTHING = 0.2
-_LEAST_GRADIENT = 0.5
-_USUAL_DECAY = 0.95
+_MIN_GRADIENT = 0.5
+_BASELINE_DECAY = 0.95
 
 
 class AdaptiveLimit:
-    """A limit between one and the ceiling that the fleet file sets."""
+    """A concurrency limit between one and the fleet file's ceiling."""
 
-    __slots__ = ('_recent', '_usual', 'ceiling', 'limit')
+    __slots__ = ('_baseline', '_recent', 'ceiling', 'limit')
 
     def __init__(self, ceiling: int) -> None:
-        """Start at the ceiling: a new upstream is spared by its slow start."""
+        """Start at the ceiling; slow start protects a new upstream."""
         self.ceiling = float(ceiling)
         self.limit = float(ceiling)
         self._recent: float = 0
-        self._usual: float = 0
+        self._baseline: float = 0
 
-    def take_ceiling(self, ceiling: int) -> None:
-        """Take over a new ceiling."""
+    def update_ceiling(self, ceiling: int) -> None:
+        """Set a new ceiling."""
         self.ceiling = float(ceiling)
         self.limit = min(self.limit, self.ceiling)
 
     def observe(self, latency_s: float, outstanding: float) -> None:
-        """Take the latency of one attempt served in."""
+        """Adjust the limit by the latency of one served attempt."""
         if latency_s <= 0:
             return
-        if not self._usual:
+        if not self._baseline:
             self._recent = latency_s
-            self._usual = latency_s
+            self._baseline = latency_s
         self._recent += RECENT_WEIGHT * (latency_s - self._recent)
-        self._usual += USUAL_WEIGHT * (latency_s - self._usual)
-        if self._usual > TOLERANCE * self._recent:
-            # An overload had raised the usual: let it fall back quickly.
-            self._usual *= _USUAL_DECAY
-        self._move(outstanding)
+        self._baseline += BASELINE_WEIGHT * (latency_s - self._baseline)
+        if self._baseline > LATENCY_TOLERANCE * self._recent:
+            # An overload raised the baseline; let it recover quickly.
+            self._baseline *= _BASELINE_DECAY
+        self._adjust(outstanding)
 
-    def overload(self) -> None:
+    def back_off(self) -> None:
         """Lower the limit after a refusal or a timeout."""
         self.limit = max(1.0, self.limit * OVERLOAD_FACTOR)
 
-    def _move(self, outstanding: float) -> None:
-        ratio = TOLERANCE * self._usual / self._recent
-        gradient = max(_LEAST_GRADIENT, min(1.0, ratio))
+    def _adjust(self, outstanding: float) -> None:
+        ratio = LATENCY_TOLERANCE * self._baseline / self._recent
+        gradient = max(_MIN_GRADIENT, min(1.0, ratio))
         if gradient == 1 and outstanding < self.limit / 2:
             return
         target = self.limit * gradient + sqrt(self.limit)
--- a/src/snipebend/routing/controller.py
+++ b/src/snipebend/routing/controller.py
@@ -1,10 +1,10 @@
-"""Admission over all pools of a fleet, and the tickets that came of it."""
+"""Admission control across all pools, and the open tickets."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from snipebend.routing.admission import Place
+from snipebend.routing.admission import QueueClass
 from snipebend.routing.candidates import CandidateSet
 from snipebend.routing.fair_queue import FlowWeights
 from snipebend.routing.limits import WorkspaceLimits
@@ -27,10 +27,10 @@
 
 
 class AdmissionController:
-    """Pools by key, the limits of workspaces, and the open tickets."""
+    """Admits requests to pools within the limits of their workspaces."""
 
     def __init__(self, data_center: str, entries: int) -> None:
-        """Start without a fleet."""
+        """Create a controller without a fleet."""
         self._data_center = data_center
         self._entries = entries
         self._table: TargetTable | None = None
@@ -43,11 +43,11 @@
 
     @property
     def open_tickets(self) -> int:
-        """Return the number of tickets not closed."""
+        """Return the number of open tickets."""
         return len(self._tickets)
 
     def update_fleet(self, fleet: Fleet) -> None:
-        """Take over a fleet; a pool that is gone keeps its work in flight."""
+        """Apply a fleet; removed pools keep their requests in flight."""
         self._table = TargetTable(fleet)
         self._priorities = {one.name: one for one in fleet.priorities}
         self._workspaces = fleet.workspaces
@@ -56,7 +56,7 @@
             self.pools[key] = Pool(key, CandidateSet(self._data_center))
 
     def update_entries(self, entries: int) -> None:
-        """Take over the number of entries that share the limits."""
+        """Set the number of entries that share the limits."""
         if entries == self._entries:
             return
         self._entries = max(1, entries)
@@ -65,20 +65,22 @@
     def update_upstreams(
         self, views: Iterable[UpstreamView], now: float
     ) -> list[str]:
-        """Replace the known upstreams; return the names of those gone."""
+        """Replace the known upstreams; return the names of removed ones."""
         if self._table is None:
             return []
-        gone: list[str] = []
+        removed: list[str] = []
         for key, members in self._table.group(views).items():
             pool = self.pools[key]
-            before = pool.candidates.members.keys()
-            pool.candidates.update(members, now, self._entries, pool.memory_s)
-            pool.open_slots(self._entries)
-            gone.extend(before - pool.candidates.members.keys())
-        return gone
+            previous = pool.candidates.members.keys()
+            pool.candidates.update(
+                members, now, self._entries, pool.report_decay_s
+            )
+            pool.update_slots(self._entries)
+            removed.extend(previous - pool.candidates.members.keys())
+        return removed
 
     def admit(self, req: RoutingRequest, now: float, rng: Random) -> Admission:
-        """Let a request in, queue it, or refuse it at once."""
+        """Admit, queue or refuse a request."""
         workspace = self.limits.find(req.workspace)
         priority = self._priorities.get(req.priority)
         if workspace is None or priority is None:
@@ -87,40 +89,40 @@
         if pool is None:
             return Refused(RefusalReason.UNKNOWN_TARGET)
         if pool.candidates.is_empty:
-            again = retry_after(NO_UPSTREAM_RETRY_S, rng)
-            return Refused(RefusalReason.NO_UPSTREAM, again)
+            retry_after_s = retry_after(NO_UPSTREAM_RETRY_S, rng)
+            return Refused(RefusalReason.NO_UPSTREAM, retry_after_s)
         hold_s = pool.gate.drain.hold_s
-        refusal = self.limits.refusal(workspace, now, hold_s, rng)
+        refusal = self.limits.check(workspace, now, hold_s, rng)
         if refusal is not None:
             return refusal
         weights = FlowWeights(priority.weight, workspace.weight)
-        place = Place(priority, weights)
+        queue_class = QueueClass(priority, weights)
         self._last_ticket += 1
         ticket = Ticket(self._last_ticket, req, now)
-        admission = pool.gate.admit(ticket, place, now, rng)
+        admission = pool.gate.admit(ticket, queue_class, now, rng)
         if not isinstance(admission, Refused):
-            self.limits.take(workspace)
+            self.limits.acquire(workspace)
             self._tickets[ticket.number] = pool
         return admission
 
     def dispatch(self, now: float, rng: Random) -> Dispatched:
-        """Return the queued tickets whose turn it is, or that ran late."""
+        """Return the tickets to dispatch now, and the expired ones."""
         parts = [
             self._dispatch_pool(pool, now, rng)
             for pool in tuple(self.pools.values())
         ]
-        refused = [late for part in parts for late in part.refused]
-        for late in refused:
-            self._forget(late.ticket)
+        refused = [expired for part in parts for expired in part.refused]
+        for expired in refused:
+            self._forget(expired.ticket)
         admitted = [ticket for part in parts for ticket in part.admitted]
         return Dispatched(tuple(admitted), tuple(refused))
 
     def pool_of_ticket(self, ticket: Ticket) -> Pool | None:
-        """Return the pool of an open ticket."""
+        """Return the pool of an open ticket, or None."""
         return self._tickets.get(ticket.number)
 
     def close(self, ticket: Ticket, now: float) -> None:
-        """Forget a ticket; safe to call twice."""
+        """Close a ticket; closing it again has no effect."""
         pool = self._tickets.get(ticket.number)
         if pool is not None:
             pool.gate.close(ticket.number, now)
@@ -141,4 +143,4 @@
 
     def _forget(self, ticket: Ticket) -> None:
         self._tickets.pop(ticket.number, None)
-        self.limits.give_back(ticket.req.workspace)
+        self.limits.release(ticket.req.workspace)
--- a/src/snipebend/routing/ejection.py
+++ b/src/snipebend/routing/ejection.py
@@ -1,7 +1,8 @@
-"""Takes upstreams that fail or straggle out, and lets them back by a probe.
+"""Ejects failing and slow upstreams, and readmits them after a probe.
 
-Outlier ejection with a circuit breaker's half-open state (Nygard, Release
-It!): after the ejection one attempt at a time probes the upstream.
+This is outlier ejection with a circuit breaker's half-open state (Nygard,
+Release It!): after the ejection time, one attempt at a time probes the
+upstream.
 """
 
 from __future__ import annotations
@@ -13,14 +14,15 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping
 
-Standing = Literal['in', 'out', 'probe']
+EjectionStatus = Literal['in', 'out', 'probe']
 
-#: Each ejection in a row doubles the span, up to this factor.
+#: Each further ejection doubles the ejection time, up to this factor.
 MAX_BACKOFF = 8
-#: A straggler's latency is this many times the median of the candidates.
+#: An upstream is a straggler above this multiple of the candidates' median
+#: latency.
 STRAGGLER_FACTOR = 4.0
-#: Below this many candidates the median says nothing.
-LEAST_FOR_MEDIAN = 4
+#: With fewer candidates the median is not meaningful.
+MIN_FOR_MEDIAN = 4
 
 
 @dataclass(slots=True)
@@ -33,29 +35,29 @@
 
 
 class Ejector:
-    """The standing of the candidates; at most half of them are out."""
+    """Ejection status of the candidates; at most half of them are ejected."""
 
     def __init__(self) -> None:
-        """Start without candidates."""
+        """Create an ejector without candidates."""
         self._health: dict[str, _Health] = {}
         self._out: dict[str, None] = {}
 
     @property
     def ejected(self) -> tuple[str, ...]:
-        """Return the upstreams that are out, the longest first."""
+        """Return the ejected upstreams, earliest ejection first."""
         return tuple(self._out)
 
-    def watch(self, names: Collection[str]) -> None:
-        """Replace the candidates; too many ejected ones come back."""
+    def update_candidates(self, names: Collection[str]) -> None:
+        """Replace the candidates; readmit ejected ones above the maximum."""
         self._health = {
             name: self._health.get(name, _Health()) for name in names
         }
         self._out = {name: None for name in self._out if name in self._health}
-        while len(self._out) > self._most():
+        while len(self._out) > self._max_ejected():
             self._readmit(next(iter(self._out)))
 
-    def standing(self, name: str, now: float) -> Standing:
-        """Tell whether an upstream may take work, or one probe."""
+    def status(self, name: str, now: float) -> EjectionStatus:
+        """Return whether an upstream can take attempts, or one probe."""
         if name not in self._out:
             return 'in'
         health = self._health[name]
@@ -64,17 +66,17 @@
         return 'probe'
 
     def start_probe(self, name: str) -> None:
-        """Note that the one probe of an ejected upstream is on its way."""
+        """Record that the probe of an ejected upstream was sent."""
         if name in self._out:
             self._health[name].probing = True
 
-    def drop_probe(self, name: str) -> None:
-        """Note that the probe ended without a verdict."""
+    def cancel_probe(self, name: str) -> None:
+        """Record that the probe ended without a result."""
         if name in self._out:
             self._health[name].probing = False
 
-    def served(self, name: str) -> bool:
-        """Count a success; return True when it brings an upstream back."""
+    def record_success(self, name: str) -> bool:
+        """Count a success; return whether it readmits the upstream."""
         health = self._health.get(name)
         if health is None:
             return False
@@ -84,8 +86,10 @@
         self._readmit(name)
         return True
 
-    def failed(self, name: str, now: float, limit: int, span_s: float) -> bool:
-        """Count a failure; return True when it ejects the upstream."""
+    def record_failure(
+        self, name: str, now: float, limit: int, span_s: float
+    ) -> bool:
+        """Count a failure; return whether it ejects the upstream."""
         health = self._health.get(name)
         if health is None:
             return False
@@ -104,8 +108,8 @@
         now: float,
         span_s: float,
     ) -> None:
-        """Eject the upstreams far slower than the median of the others."""
-        if len(latencies) < LEAST_FOR_MEDIAN:
+        """Eject upstreams far slower than the median of the candidates."""
+        if len(latencies) < MIN_FOR_MEDIAN:
             return
         bound = STRAGGLER_FACTOR * median(latencies.values())
         for name, latency in latencies.items():
@@ -113,13 +117,13 @@
             if latency > bound and health is not None and not health.out:
                 self._try_eject(name, health, now, span_s)
 
-    def _most(self) -> int:
+    def _max_ejected(self) -> int:
         return len(self._health) // 2
 
     def _try_eject(
         self, name: str, health: _Health, now: float, span_s: float
     ) -> bool:
-        if len(self._out) >= self._most():
+        if len(self._out) >= self._max_ejected():
             return False
         self._eject(name, health, now, span_s)
         return True
--- a/src/snipebend/routing/fair_queue.py
+++ b/src/snipebend/routing/fair_queue.py
@@ -1,8 +1,8 @@
-"""A queue that shares by weight, by priority first and then by workspace.
+"""A weighted fair queue over priorities, and over workspaces within them.
 
-Start-time fair queueing (Goyal, Vin and Cheng, 1996) on both levels: each
-turn goes to the flow with the least start tag, and each flow that has work
-gets its share of turns however much the others ask for.
+Both levels use start-time fair queueing (Goyal, Vin and Cheng, 1996): the flow
+with the lowest start tag is served next, and each backlogged flow gets its
+share however much the other flows request.
 """
 
 from __future__ import annotations
@@ -15,58 +15,58 @@
 if TYPE_CHECKING:
     from snipebend.routing.messages import Ticket
 
-#: Removed tickets that one workspace's line may still hold.
+#: Removed tickets that may remain in a workspace's queue before a compaction.
 MAX_REMOVED = 64
 
 
 class FairScheduler:
-    """Whose turn it is among the flows that have work."""
+    """Selects the next flow among those that are backlogged."""
 
-    __slots__ = ('_finish', '_heap', '_virtual', '_weights')
+    __slots__ = ('_finish_tags', '_heap', '_virtual_time', '_weights')
 
     def __init__(self) -> None:
-        """Start without flows."""
-        self._virtual: float = 0
-        self._finish: dict[str, float] = {}
+        """Create a scheduler without flows."""
+        self._virtual_time: float = 0
+        self._finish_tags: dict[str, float] = {}
         self._weights: dict[str, float] = {}
         self._heap: list[tuple[float, str]] = []
 
     def __len__(self) -> int:
-        """Return the number of flows that have work."""
+        """Return the number of backlogged flows."""
         return len(self._heap)
 
     @property
     def weight(self) -> float:
-        """Return the sum of the weights of the flows that have work."""
+        """Return the sum of the weights of the backlogged flows."""
         return sum(self._weights.values())
 
     def activate(self, flow: str, weight: float) -> None:
-        """Let a flow take part; one that idled gets no credit for it."""
+        """Add a flow; it gets no credit for the time it was idle."""
         if flow in self._weights:
             return
         self._weights[flow] = weight
-        start = max(self._virtual, self._finish.get(flow, float()))
+        start = max(self._virtual_time, self._finish_tags.get(flow, float()))
         heappush(self._heap, (start, flow))
 
     def peek(self) -> str:
-        """Return the flow whose turn it is."""
+        """Return the next flow."""
         return self._heap[0][1]
 
     def charge(self) -> None:
-        """Count one turn to the flow that `peek` returns."""
+        """Charge one turn to the flow that `peek` returns."""
         start, flow = heappop(self._heap)
-        self._virtual = start
+        self._virtual_time = start
         finish = start + 1 / self._weights[flow]
-        self._finish[flow] = finish
+        self._finish_tags[flow] = finish
         heappush(self._heap, (finish, flow))
 
     def retire(self) -> None:
-        """Take the flow that `peek` returns out: it has no more work."""
+        """Remove the flow that `peek` returns: its backlog is empty."""
         _, flow = heappop(self._heap)
         self._weights.pop(flow)
         if not self._heap:
-            # Nobody is left whom an old finish tag could put at a loss.
-            self._finish.clear()
+            # No flow is left that an old finish tag would put at a loss.
+            self._finish_tags.clear()
 
 
 class FlowWeights(NamedTuple):
@@ -78,114 +78,127 @@
 
 @dataclass(slots=True)
 class _PriorityClass:
-    """The flows of one priority; ``live`` counts tickets not removed."""
+    """The flows of one priority.
 
-    live: int = 0
-    turns: FairScheduler = field(default_factory=FairScheduler)
+    ``waiting`` counts its queued tickets without the removed ones, ``lengths``
+    does so per workspace.
+    """
+
+    waiting: int = 0
+    scheduler: FairScheduler = field(default_factory=FairScheduler)
     flows: dict[str, deque[Ticket]] = field(default_factory=dict)
     lengths: dict[str, int] = field(default_factory=dict)
 
 
 class FairQueue:
-    """Tickets that wait for one pool."""
+    """Queued tickets of one pool."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._turns = FairScheduler()
+        """Create an empty queue."""
+        self._scheduler = FairScheduler()
         self._classes: dict[str, _PriorityClass] = {}
-        self._live: dict[int, Ticket] = {}
+        self._queued: dict[int, Ticket] = {}
 
     def __len__(self) -> int:
-        """Return the number of tickets that wait."""
-        return len(self._live)
+        """Return the number of queued tickets."""
+        return len(self._queued)
 
     def __contains__(self, number: int) -> bool:
-        """Tell whether a ticket waits."""
-        return number in self._live
+        """Return whether a ticket is queued."""
+        return number in self._queued
 
     def length(self, priority: str, workspace: str = '') -> int:
-        """Return how many tickets of a priority (and workspace) wait."""
-        members = self._classes.get(priority)
-        if members is None:
+        """Return how many tickets of a priority (and workspace) are queued."""
+        priority_class = self._classes.get(priority)
+        if priority_class is None:
             return 0
         if workspace:
-            return members.lengths.get(workspace, 0)
-        return members.live
-
-    def share(self, req_flow: tuple[str, str], weights: FlowWeights) -> float:
-        """Return the share of turns that a flow gets while all wait."""
-        priority, workspace = req_flow
-        members = self._classes.get(priority)
-        outer = self._turns.weight
-        inner = members.turns.weight if members else float()
-        if not (members and members.live):
-            outer += weights.priority
+            return priority_class.lengths.get(workspace, 0)
+        return priority_class.waiting
+
+    def share(self, flow: tuple[str, str], weights: FlowWeights) -> float:
+        """Return the share of turns of a flow while all are backlogged."""
+        priority, workspace = flow
+        priority_class = self._classes.get(priority)
+        priority_weights = self._scheduler.weight
+        workspace_weights = (
+            priority_class.scheduler.weight if priority_class else float()
+        )
+        if not (priority_class and priority_class.waiting):
+            priority_weights += weights.priority
         if not self.length(priority, workspace):
-            inner += weights.workspace
-        return weights.priority / outer * weights.workspace / inner
+            workspace_weights += weights.workspace
+        return (
+            weights.priority
+            / priority_weights
+            * weights.workspace
+            / workspace_weights
+        )
 
     def push(self, ticket: Ticket, weights: FlowWeights) -> None:
-        """Let a ticket wait behind those of its workspace."""
+        """Queue a ticket behind those of its workspace."""
         req = ticket.req
-        members = self._classes.setdefault(req.priority, _PriorityClass())
-        flow = members.flows.setdefault(req.workspace, deque())
-        waiting = members.lengths.get(req.workspace, 0)
+        priority_class = self._classes.setdefault(
+            req.priority, _PriorityClass()
+        )
+        flow = priority_class.flows.setdefault(req.workspace, deque())
+        waiting = priority_class.lengths.get(req.workspace, 0)
         if len(flow) > waiting + MAX_REMOVED:
             self._compact(flow)
         flow.append(ticket)
-        members.live += 1
-        members.lengths[req.workspace] = waiting + 1
-        members.turns.activate(req.workspace, weights.workspace)
-        self._turns.activate(req.priority, weights.priority)
-        self._live[ticket.number] = ticket
+        priority_class.waiting += 1
+        priority_class.lengths[req.workspace] = waiting + 1
+        priority_class.scheduler.activate(req.workspace, weights.workspace)
+        self._scheduler.activate(req.priority, weights.priority)
+        self._queued[ticket.number] = ticket
 
     def remove(self, number: int) -> Ticket | None:
-        """Take a ticket out of turn; its place fades when its turn comes."""
-        ticket = self._live.pop(number, None)
+        """Remove a ticket; its position is dropped when its turn comes."""
+        ticket = self._queued.pop(number, None)
         if ticket is not None:
             self._discount(ticket)
         return ticket
 
     def pop(self) -> Ticket | None:
-        """Return the ticket whose turn it is."""
-        while self._turns:
-            members = self._classes[self._turns.peek()]
-            ticket = self._pop_of(members)
+        """Remove and return the next ticket, or None if empty."""
+        while self._scheduler:
+            priority_class = self._classes[self._scheduler.peek()]
+            ticket = self._pop_of(priority_class)
             if ticket is None:
-                self._turns.retire()
+                self._scheduler.retire()
                 continue
-            self._turns.charge()
+            self._scheduler.charge()
             return ticket
         return None
 
-    def _pop_of(self, members: _PriorityClass) -> Ticket | None:
-        while members.turns:
-            workspace = members.turns.peek()
-            ticket = self._next_live(members.flows[workspace])
+    def _pop_of(self, priority_class: _PriorityClass) -> Ticket | None:
+        while priority_class.scheduler:
+            workspace = priority_class.scheduler.peek()
+            ticket = self._next_queued(priority_class.flows[workspace])
             if ticket is None:
-                members.turns.retire()
-                members.flows.pop(workspace)
-                members.lengths.pop(workspace, None)
+                priority_class.scheduler.retire()
+                priority_class.flows.pop(workspace)
+                priority_class.lengths.pop(workspace, None)
                 continue
-            members.turns.charge()
-            self._live.pop(ticket.number)
+            priority_class.scheduler.charge()
+            self._queued.pop(ticket.number)
             self._discount(ticket)
             return ticket
         return None
 
-    def _next_live(self, flow: deque[Ticket]) -> Ticket | None:
+    def _next_queued(self, flow: deque[Ticket]) -> Ticket | None:
         while flow:
             ticket = flow.popleft()
-            if ticket.number in self._live:
+            if ticket.number in self._queued:
                 return ticket
         return None
 
     def _compact(self, flow: deque[Ticket]) -> None:
-        kept = [ticket for ticket in flow if ticket.number in self._live]
+        kept = [ticket for ticket in flow if ticket.number in self._queued]
         flow.clear()
         flow.extend(kept)
 
     def _discount(self, ticket: Ticket) -> None:
-        members = self._classes[ticket.req.priority]
-        members.live -= 1
-        members.lengths[ticket.req.workspace] -= 1
+        priority_class = self._classes[ticket.req.priority]
+        priority_class.waiting -= 1
+        priority_class.lengths[ticket.req.workspace] -= 1
--- a/src/snipebend/routing/limits.py
+++ b/src/snipebend/routing/limits.py
@@ -1,4 +1,4 @@
-"""Rate and concurrency limits of workspaces."""
+"""Rate and concurrency limits per workspace."""
 
 from __future__ import annotations
 
@@ -18,86 +18,89 @@
 
 
 @dataclass(slots=True)
-class _Tenant:
-    """One workspace: its limits and the requests it has in the entry."""
+class _WorkspaceUsage:
+    """One workspace: its limits and its requests in flight at this entry."""
 
     bucket: TokenBucket
-    max_in_hand: int
-    in_hand: int = 0
+    max_in_flight: int
+    in_flight: int = 0
 
 
 class WorkspaceLimits:
-    """Rate and concurrency of each workspace; each entry has its share."""
+    """Enforces this entry's share of each workspace's limits.
+
+    Each entry applies an equal share of the rate, burst and concurrency.
+    """
 
     def __init__(self) -> None:
-        """Start without workspaces."""
+        """Create limits without workspaces."""
         self._workspaces: dict[str, Workspace] = {}
-        self._tenants: dict[str, _Tenant] = {}
+        self._usage: dict[str, _WorkspaceUsage] = {}
         self._entries = 1
 
     def __len__(self) -> int:
-        """Return the number of workspaces that have sent requests."""
-        return len(self._tenants)
+        """Return the number of workspaces with tracked usage."""
+        return len(self._usage)
 
     def update(self, workspaces: Iterable[Workspace], entries: int) -> None:
-        """Take over the limits; what is in hand stays counted."""
+        """Apply new limits; requests in flight stay counted."""
         self._entries = entries
         self._workspaces = {one.name: one for one in workspaces}
-        for name, tenant in tuple(self._tenants.items()):
+        for name, usage in tuple(self._usage.items()):
             workspace = self._workspaces.get(name)
             if workspace is not None:
                 rate, burst = self._rate(workspace)
-                tenant.bucket.take_limits(rate, burst)
-                tenant.max_in_hand = self._most(workspace)
-            elif not tenant.in_hand:
-                self._tenants.pop(name)
+                usage.bucket.update_limits(rate, burst)
+                usage.max_in_flight = self._max_in_flight(workspace)
+            elif not usage.in_flight:
+                self._usage.pop(name)
 
     def find(self, name: str) -> Workspace | None:
-        """Return a workspace of the fleet."""
+        """Return a workspace of the fleet, or None."""
         return self._workspaces.get(name)
 
-    def refusal(
+    def check(
         self, workspace: Workspace, now: float, hold_s: float, rng: Random
     ) -> Refused | None:
-        """Return why a request can't come in now, if so."""
-        tenant = self._tenant(workspace)
-        wait = tenant.bucket.wait_s(now)
+        """Return the refusal for a request over a limit, else None."""
+        usage = self._usage_of(workspace)
+        wait = usage.bucket.wait_s(now)
         if wait:
             return Refused(RefusalReason.RATE, retry_after(wait, rng))
-        if tenant.in_hand >= tenant.max_in_hand:
-            # The next of its own requests ends after this span on average.
-            next_end = hold_s / tenant.max_in_hand
+        if usage.in_flight >= usage.max_in_flight:
+            # On average, one of the workspace's requests ends after this time.
+            next_end = hold_s / usage.max_in_flight
             return Refused(
                 RefusalReason.CONCURRENCY, retry_after(next_end, rng)
             )
         return None
 
-    def take(self, workspace: Workspace) -> None:
-        """Count a request that came in."""
-        tenant = self._tenant(workspace)
-        tenant.bucket.take()
-        tenant.in_hand += 1
+    def acquire(self, workspace: Workspace) -> None:
+        """Count an admitted request."""
+        usage = self._usage_of(workspace)
+        usage.bucket.take()
+        usage.in_flight += 1
 
-    def give_back(self, name: str) -> None:
-        """Count a request that has left."""
-        tenant = self._tenants.get(name)
-        if tenant is None:
+    def release(self, name: str) -> None:
+        """Count a request as finished."""
+        usage = self._usage.get(name)
+        if usage is None:
             return
-        tenant.in_hand -= 1
-        if not (tenant.in_hand or name in self._workspaces):
-            self._tenants.pop(name)
+        usage.in_flight -= 1
+        if not (usage.in_flight or name in self._workspaces):
+            self._usage.pop(name)
 
-    def _tenant(self, workspace: Workspace) -> _Tenant:
-        tenant = self._tenants.get(workspace.name)
-        if tenant is None:
+    def _usage_of(self, workspace: Workspace) -> _WorkspaceUsage:
+        usage = self._usage.get(workspace.name)
+        if usage is None:
             bucket = TokenBucket(*self._rate(workspace))
-            tenant = _Tenant(bucket, self._most(workspace))
-            self._tenants[workspace.name] = tenant
-        return tenant
+            usage = _WorkspaceUsage(bucket, self._max_in_flight(workspace))
+            self._usage[workspace.name] = usage
+        return usage
 
     def _rate(self, workspace: Workspace) -> tuple[float, float]:
         burst = max(1, workspace.burst / self._entries)
         return workspace.rate_per_s / self._entries, burst
 
-    def _most(self, workspace: Workspace) -> int:
+    def _max_in_flight(self, workspace: Workspace) -> int:
         return ceil(workspace.max_concurrency / self._entries)
--- a/src/snipebend/routing/messages.py
+++ b/src/snipebend/routing/messages.py
@@ -1,4 +1,4 @@
-"""The records that the router takes and gives."""
+"""Input and output records of the router."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class ModelTarget(NamedTuple):
-    """A model, with the adapter or version that the request needs, if any."""
+    """A model, and the adapter or version that the request requires, if any."""
 
     model: str
     adapter: str = ''
 
 
 class ServiceTarget(NamedTuple):
-    """A plain service of the fleet file."""
+    """A service of the fleet file that is not a model."""
 
     service: str
 
@@ -23,11 +23,11 @@
 
 
 class RoutingRequest(NamedTuple):
-    """One request as far as routing needs to know it.
+    """The attributes of a request that routing uses.
 
-    ``chain`` is the prompt's ``hash_chain``; ``fingerprint`` comes from
-    ``fingerprint_of``; ``deadline_at`` is the last moment (router's clock) at
-    which its first attempt is still worth starting.
+    ``chain`` is the prompt's ``hash_chain`` and ``fingerprint`` the result of
+    ``fingerprint_of``. ``deadline_at`` is the latest time (router's clock) at
+    which its first attempt may start.
     """
 
     workspace: str
@@ -39,15 +39,18 @@
 
 
 class Ticket(NamedTuple):
-    """A request that was let in; the number is unique within one router."""
+    """An admitted or queued request.
+
+    The number is unique within one router.
+    """
 
     number: int
     req: RoutingRequest
-    taken_at: float
+    issued_at: float
 
 
 class RefusalReason(Enum):
-    """Why a request was refused; it did not run."""
+    """Why a request was refused; a refused request has not run."""
 
     UNKNOWN_TARGET = 'unknown-target'
     UNKNOWN_WORKSPACE = 'unknown-workspace'
@@ -60,22 +63,22 @@
 
 
 class Admitted(NamedTuple):
-    """The request may be dispatched now."""
+    """The request can be sent now."""
 
     ticket: Ticket
 
 
 class Queued(NamedTuple):
-    """The request waits; ``dispatch`` returns its ticket later."""
+    """The request is queued; ``dispatch`` returns its ticket later."""
 
     ticket: Ticket
 
 
 class Refused(NamedTuple):
-    """The request is refused at once.
+    """The request is refused without queueing.
 
-    ``retry_after_s`` is the span for ``Retry-After``; zero: coming back
-    doesn't help.
+    ``retry_after_s`` is the value for ``Retry-After``; zero means that a retry
+    cannot succeed.
     """
 
     reason: RefusalReason
@@ -86,14 +89,14 @@
 
 
 class RefusedTicket(NamedTuple):
-    """A queued request that can't start before its deadline any more."""
+    """A queued request that was refused, and why."""
 
     ticket: Ticket
     refusal: Refused
 
 
 class Dispatched(NamedTuple):
-    """What left the queue: tickets to dispatch and tickets to refuse."""
+    """Tickets that left the queue: to be sent, or refused."""
 
     admitted: tuple[Ticket, ...] = ()
     refused: tuple[RefusedTicket, ...] = ()
@@ -102,8 +105,8 @@
 class Choice(NamedTuple):
     """The upstream for one attempt.
 
-    ``cached_blocks`` is the expected length of the cached prefix; ``alone``
-    says that the request is a suspect and nothing else may run beside it.
+    ``cached_blocks`` is the expected length of the cached prefix. ``alone``
+    marks a suspect request: no other request may run on the upstream.
     """
 
     upstream: str
@@ -113,10 +116,11 @@
 
 
 class NoUpstream(NamedTuple):
-    """No upstream can take the attempt now; try again after the span.
+    """No upstream can take the attempt now.
 
-    ``wait`` tells a shortage that ends soon (all upstreams full, or a suspect
-    whose upstream drains) from having no upstream at all.
+    ``retry_after_s`` is the time after which a retry is useful. ``wait`` is
+    set for a short shortage (all upstreams full, or a suspect whose upstream
+    is draining), and not set when there is no upstream at all.
     """
 
     retry_after_s: float
@@ -127,9 +131,10 @@
 
 
 class AttemptOutcome(Enum):
-    """How one attempt ended, as far as its upstream is concerned.
+    """How one attempt ended at its upstream.
 
-    ``REFUSED`` is the upstream's own true "not run" (leaving, overloaded).
+    ``REFUSED`` means that the upstream did not run it and reported so
+    (leaving, overloaded).
     """
 
     SERVED = 'served'
--- a/src/snipebend/routing/outstanding.py
+++ b/src/snipebend/routing/outstanding.py
@@ -1,18 +1,19 @@
-"""An entry's own outstanding attempts at one upstream, and their past."""
+"""The number of this entry's attempts at one upstream, with its history."""
 
 from __future__ import annotations
 
 from bisect import bisect_right
 from collections import deque
 
-#: Changes within this span are kept as one, which bounds the history.
+#: Changes within this time are merged into one, which bounds the history.
 MERGE_SPAN_S = 0.05
-#: Changes kept: at least six seconds, the age of the oldest report in use.
+#: Changes kept: they cover at least six seconds, the age of the oldest load
+#: report in use.
 MAX_CHANGES = 128
 
 
 class OutstandingCount:
-    """A count now, and what it was at a past moment."""
+    """A count, and its values at past times."""
 
     __slots__ = ('_changes', '_oldest', 'current')
 
@@ -23,7 +24,7 @@
         self._changes: deque[tuple[float, int]] = deque()
 
     def change(self, by: int, now: float) -> None:
-        """Add to the count; times never go back."""
+        """Add to the count; ``now`` must not decrease between calls."""
         self.current = max(0, self.current + by)
         changes = self._changes
         if changes and now - changes[-1][0] < MERGE_SPAN_S:
@@ -34,9 +35,9 @@
             self._oldest = changes.popleft()[1]
 
     def at(self, moment: float) -> int:
-        """Return the count at a moment, or the oldest that is known."""
-        place = bisect_right(self._changes, moment, key=_moment)
-        return self._changes[place - 1][1] if place else self._oldest
+        """Return the count at a time, or the oldest recorded count."""
+        index = bisect_right(self._changes, moment, key=_moment)
+        return self._changes[index - 1][1] if index else self._oldest
 
 
 def _moment(change: tuple[float, int]) -> float:
--- a/src/snipebend/routing/pools.py
+++ b/src/snipebend/routing/pools.py
@@ -1,4 +1,4 @@
-"""The pools of a fleet: candidates and gate of each model and service."""
+"""The pools of a fleet: one set of upstreams per model or service."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from snipebend.routing.admission import PoolGate
-from snipebend.routing.candidates import DEFAULT_MEMORY_S, CandidateSet
+from snipebend.routing.candidates import DEFAULT_REPORT_DECAY_S, CandidateSet
 from snipebend.routing.messages import ModelTarget, ServiceTarget
 
 if TYPE_CHECKING:
@@ -19,30 +19,30 @@
 
 @dataclass(slots=True)
 class Pool:
-    """The upstreams of one model or service, and the queue before them."""
+    """The upstreams of one model or service, and their admission gate."""
 
     key: str
     candidates: CandidateSet
     gate: PoolGate = field(default_factory=PoolGate)
 
     @property
-    def memory_s(self) -> float:
-        """Return how long a load report tells upstreams apart."""
-        return self.gate.drain.hold_s or DEFAULT_MEMORY_S
+    def report_decay_s(self) -> float:
+        """Return the decay time of load reports: the mean holding time."""
+        return self.gate.drain.hold_s or DEFAULT_REPORT_DECAY_S
 
-    def open_slots(self, entries: int) -> None:
+    def update_slots(self, entries: int) -> None:
         """Set how many requests this entry may have at the upstreams.
 
-        An equal share of the capacity, or what the entry had when the load
-        reports were taken and its share of what was free then. The slots of
-        all entries add up to about the capacity however late the reports
-        are: entries that each took all that seems free would stop and start
-        together.
+        The greater of an equal share of the capacity, and the number that the
+        entry had when the load reports were taken plus its share of the free
+        capacity at that time. The slots of all entries then add up to about
+        the capacity, however old the reports are. If each entry used all
+        capacity that appears free, the entries would stop and start in step.
         """
-        known = self.candidates
-        free = known.capacity - known.others - known.own_then
-        share = known.own_then + free / entries
-        self.gate.slots = max(known.capacity / entries, share)
+        pool = self.candidates
+        free = pool.capacity - pool.reported_others - pool.own_at_report
+        share = pool.own_at_report + free / entries
+        self.gate.slots = max(pool.capacity / entries, share)
 
 
 def pool_key(policy: UpstreamPolicy) -> str:
@@ -53,10 +53,10 @@
 
 
 class TargetTable:
-    """From targets and upstreams to pool keys, for one fleet."""
+    """Maps the targets and upstreams of one fleet to pool keys."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Build the tables."""
+        """Build the tables from a fleet."""
         self.policies = {policy.name: policy for policy in fleet.upstreams}
         self._services = {
             service.name: service.upstream for service in fleet.services
@@ -74,7 +74,7 @@
     def group(
         self, views: Iterable[UpstreamView]
     ) -> dict[str, list[tuple[UpstreamView, UpstreamPolicy]]]:
-        """Return the views by pool; those of an unknown policy are left out."""
+        """Return the views by pool key; omit those of an unknown policy."""
         grouped: dict[str, list[tuple[UpstreamView, UpstreamPolicy]]] = {
             key: [] for key in self.keys
         }
--- a/src/snipebend/routing/quarantine.py
+++ b/src/snipebend/routing/quarantine.py
@@ -1,8 +1,9 @@
-"""Suspects: requests that were running when an upstream died.
+"""Isolation of suspects: requests that were running when an upstream died.
 
-A suspect runs alone, on the one upstream that all entries derive from its
-fingerprint, so that a second crash proves its guilt and an innocent request
-is cleared by its own answer. Quarantined ones are refused until a deadline.
+A suspect runs alone on a lane, an upstream set aside for suspects. All entries
+derive the same lane from its fingerprint. A second crash then proves that the
+suspect is the cause, and a harmless request is cleared when it is served.
+Quarantined suspects are refused until the end of their quarantine.
 """
 
 from __future__ import annotations
@@ -19,30 +20,31 @@
 
     from snipebend.routing.views import SuspectView
 
-#: Suspects that an entry remembers on its own evidence.
-MAX_LOCAL = 4096
-#: One in this many upstreams is set aside for suspects, while there are any.
-LANE_SHARE = 8
-#: Time after a death for which all entries keep other work off the lanes.
+#: Maximum number of suspects that an entry tracks from its own observations.
+MAX_LOCAL_SUSPECTS = 4096
+#: One in this many upstreams is a lane while there are suspects.
+LANE_DIVISOR = 8
+#: Time after a death for which all entries keep other requests off the lanes.
 LANE_HOLD_S = 5.0
-#: Time that a suspect waits for others' work to leave its upstream; from then
-#: on only the agent, which is told to run it alone, can keep it apart.
-LANE_PATIENCE_S = 0.5
+#: Time that a suspect waits for the requests of other entries to leave its
+#: upstream; after that only the agent, which runs it alone, can isolate it.
+LANE_IDLE_TIMEOUT_S = 0.5
 _LANES = 'suspect-lanes'
 
 
 class Reservation(NamedTuple):
-    """The ticket that has an upstream for itself, since a moment."""
+    """The ticket that an upstream is reserved for, and since when."""
 
     ticket: int
     since: float
 
 
 def fingerprint_of(workspace: str, path: str, body: bytes) -> str:
-    """Hash what makes a resend the same request, in 32 hexadecimal digits.
+    """Return the fingerprint that a request shares with its resends.
 
-    The lengths keep the parts apart. xxh3 isn't proof against an attacker; a
-    collision only makes a request of the same workspace run alone.
+    It has 32 hexadecimal digits. Hashing the lengths separates the parts. xxh3
+    does not resist deliberate collisions; a collision only makes a request of
+    the same workspace run alone.
     """
     digest = xxh3_128()
     for part in (workspace.encode(), path.encode(), body):
@@ -52,88 +54,92 @@
 
 
 def choose_lanes(names: Sequence[str]) -> list[str]:
-    """Return the upstreams that suspects run on: an eighth, at least one."""
-    return heaviest(names, _LANES, max(1, len(names) // LANE_SHARE))
+    """Return the upstreams that are lanes: an eighth, at least one."""
+    return heaviest(names, _LANES, max(1, len(names) // LANE_DIVISOR))
 
 
 class Quarantine:
-    """The shared suspects, this entry's own evidence, and who runs where."""
+    """Tracks suspects and the upstreams that are reserved for them.
+
+    Suspects come from the control daemons and from this entry's observations.
+    """
 
     def __init__(self) -> None:
-        """Start without suspects."""
-        self._shared: dict[str, SuspectView] = {}
-        self._local: OrderedDict[str, None] = OrderedDict()
-        self._cleared: OrderedDict[str, int] = OrderedDict()
+        """Create a quarantine without suspects."""
+        self._shared_suspects: dict[str, SuspectView] = {}
+        self._local_suspects: OrderedDict[str, None] = OrderedDict()
+        self._cleared_deaths: OrderedDict[str, int] = OrderedDict()
         self._reserved: dict[str, Reservation] = {}
         self._hold_until = float('-inf')
-        self._news = False
+        self._has_new_deaths = False
 
     @property
     def reserved(self) -> dict[str, Reservation]:
-        """Return the ticket that has an upstream for itself, by upstream."""
+        """Return the reservations by upstream."""
         return self._reserved
 
     @property
     def suspects(self) -> dict[str, float]:
-        """Return each suspect with the end of its quarantine, or zero."""
+        """Return the end of each suspect's quarantine, zero for none."""
         shared = {
-            name: one.quarantined_until for name, one in self._shared.items()
+            name: one.quarantined_until
+            for name, one in self._shared_suspects.items()
         }
-        return {**dict.fromkeys(self._local, float()), **shared}
+        return {**dict.fromkeys(self._local_suspects, float()), **shared}
 
     def update(self, suspects: Iterable[SuspectView]) -> None:
-        """Replace the suspects that the control daemons share."""
-        before = self._shared
-        self._shared = {one.fingerprint: one for one in suspects}
-        self._news = self._news or any(
-            one.deaths > _deaths(before.get(one.fingerprint))
-            for one in self._shared.values()
+        """Replace the suspects reported by the control daemons."""
+        previous = self._shared_suspects
+        self._shared_suspects = {one.fingerprint: one for one in suspects}
+        self._has_new_deaths = self._has_new_deaths or any(
+            one.deaths > _death_count(previous.get(one.fingerprint))
+            for one in self._shared_suspects.values()
         )
 
-    def accuse(self, fingerprints: Iterable[str]) -> None:
-        """Suspect what ran on an upstream that this entry saw die."""
+    def mark_suspects(self, fingerprints: Iterable[str]) -> None:
+        """Mark requests that ran on an upstream that died as suspects."""
         for fingerprint in filter(None, fingerprints):
-            self._news = True
-            self._local[fingerprint] = None
-            self._cleared.pop(fingerprint, None)
-            if len(self._local) > MAX_LOCAL:
-                self._local.popitem(last=False)
+            self._has_new_deaths = True
+            self._local_suspects[fingerprint] = None
+            self._cleared_deaths.pop(fingerprint, None)
+            if len(self._local_suspects) > MAX_LOCAL_SUSPECTS:
+                self._local_suspects.popitem(last=False)
 
     def clear(self, fingerprint: str) -> None:
-        """Clear a suspect that was served, until it meets another death."""
+        """Clear a served suspect until it is involved in another death."""
         if not self.is_suspect(fingerprint):
             return
-        self._local.pop(fingerprint, None)
-        shared = self._shared.get(fingerprint)
+        self._local_suspects.pop(fingerprint, None)
+        shared = self._shared_suspects.get(fingerprint)
         if shared is not None:
-            self._cleared[fingerprint] = shared.deaths
-        if len(self._cleared) > MAX_LOCAL:
-            self._cleared.popitem(last=False)
+            self._cleared_deaths[fingerprint] = shared.deaths
+        if len(self._cleared_deaths) > MAX_LOCAL_SUSPECTS:
+            self._cleared_deaths.popitem(last=False)
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether a request has to run alone."""
-        if fingerprint in self._local:
+        """Return whether a request has to run alone."""
+        if fingerprint in self._local_suspects:
             return True
-        shared = self._shared.get(fingerprint)
+        shared = self._shared_suspects.get(fingerprint)
         if shared is None or shared.deaths < 1:
             return False
-        return shared.deaths > self._cleared.get(fingerprint, 0)
+        return shared.deaths > self._cleared_deaths.get(fingerprint, 0)
 
-    def deaths_of(self, fingerprint: str) -> int:
-        """Return the deaths in the shared list."""
-        return _deaths(self._shared.get(fingerprint))
+    def death_count(self, fingerprint: str) -> int:
+        """Return the number of deaths reported by the control daemons."""
+        return _death_count(self._shared_suspects.get(fingerprint))
 
     def blocked_until(self, fingerprint: str, now: float) -> float | None:
-        """Return the end of a quarantine that holds now."""
-        shared = self._shared.get(fingerprint)
+        """Return the end of the quarantine in force, or None."""
+        shared = self._shared_suspects.get(fingerprint)
         if shared is None or shared.quarantined_until <= now:
             return None
         return shared.quarantined_until
 
-    def holds_lanes(self, now: float) -> bool:
-        """Tell whether other work has to stay off the lanes."""
-        if self._news:
-            self._news = False
+    def keeps_lanes_free(self, now: float) -> bool:
+        """Return whether other requests have to avoid the lanes."""
+        if self._has_new_deaths:
+            self._has_new_deaths = False
             self._hold_until = now + LANE_HOLD_S
         return now < self._hold_until
 
@@ -144,7 +150,7 @@
         names: Sequence[str],
         now: float,
     ) -> str | None:
-        """Return the upstream for a suspect, or None while it is taken."""
+        """Reserve and return a suspect's lane; None while it is reserved."""
         if not names:
             return None
         since = self.release(ticket)
@@ -156,18 +162,18 @@
         )
         return lane
 
-    def is_patient(self, lane: str, now: float) -> bool:
-        """Tell whether a lane's suspect waits for others' work to leave."""
-        return now < self._reserved[lane].since + LANE_PATIENCE_S
+    def is_waiting_for_idle(self, lane: str, now: float) -> bool:
+        """Return whether a lane's suspect still waits for an idle upstream."""
+        return now < self._reserved[lane].since + LANE_IDLE_TIMEOUT_S
 
     def release(self, ticket: int) -> float | None:
-        """Give a ticket's upstream back; return since when it had it."""
-        for upstream, holder in self._reserved.items():
-            if holder.ticket == ticket:
+        """Release a ticket's reservation; return the time of its start."""
+        for upstream, reservation in self._reserved.items():
+            if reservation.ticket == ticket:
                 self._reserved.pop(upstream)
-                return holder.since
+                return reservation.since
         return None
 
 
-def _deaths(suspect: SuspectView | None) -> int:
+def _death_count(suspect: SuspectView | None) -> int:
     return suspect.deaths if suspect else 0
--- a/src/snipebend/routing/retry_after.py
+++ b/src/snipebend/routing/retry_after.py
@@ -1,4 +1,4 @@
-"""The span that a refused caller is asked to wait."""
+"""``Retry-After`` values for refused callers."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
     from random import Random
 
 #: Bounds of ``Retry-After``.
-LEAST_RETRY_S = 0.5
-MOST_RETRY_S = 60.0
-#: ``Retry-After`` is drawn from the estimate up to this much more, so that
-#: callers refused together don't come back together.
+MIN_RETRY_AFTER_S = 0.5
+MAX_RETRY_AFTER_S = 60.0
+#: ``Retry-After`` exceeds the estimate by a random share up to this one, so
+#: that callers refused at the same time do not retry at the same time.
 JITTER = 0.5
-#: When no upstream is there: about the time until one has announced itself.
+#: Estimate without any upstream: about the time until one announces itself.
 NO_UPSTREAM_RETRY_S = 2.0
-#: When the upstreams are only taken for the moment.
+#: Estimate while all upstreams are busy.
 BUSY_RETRY_S = 0.05
 
 
 def retry_after(
-    estimate_s: float, rng: Random, *, least_s: float = LEAST_RETRY_S
+    estimate_s: float, rng: Random, *, min_s: float = MIN_RETRY_AFTER_S
 ) -> float:
-    """Return the span for ``Retry-After``, with jitter."""
-    bounded = max(least_s, min(MOST_RETRY_S, estimate_s))
+    """Return ``Retry-After`` in seconds: the bounded estimate plus jitter."""
+    bounded = max(min_s, min(MAX_RETRY_AFTER_S, estimate_s))
     return bounded * (1 + JITTER * rng.random())
--- a/src/snipebend/routing/router.py
+++ b/src/snipebend/routing/router.py
@@ -1,15 +1,15 @@
-"""The façade of the routing decisions: one object, no clock, no socket.
+"""The interface of routing: one object without a clock or a socket.
 
-Life of one request::
+The calls for one request::
 
     match router.admit(req, now, rng):
-        case Refused(): answer at once
+        case Refused(): respond with the refusal
         case Queued(ticket): wait until `dispatch` returns the ticket
-        case Admitted(ticket): go on
+        case Admitted(ticket): continue
     match router.choose(ticket, exclude, now, rng):
-        case Choice(upstream): router.started(ticket, upstream, now)
-    router.finished(ticket, upstream, latency_s, now)  # or failed(...)
-    router.close(ticket, now)  # once, whatever happened, also for a queued one
+        case Choice(upstream): router.record_start(ticket, upstream, now)
+    router.record_success(ticket, upstream, latency_s, now)  # or record_failure
+    router.close(ticket, now)  # once in every case, also for a queued ticket
     router.dispatch(now, rng)  # after each close, and on a timer
 """
 
@@ -17,7 +17,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from snipebend.routing.attempts import AttemptBook
+from snipebend.routing.attempts import AttemptTracker
 from snipebend.routing.chooser import Chooser
 from snipebend.routing.controller import AdmissionController
 from snipebend.routing.messages import (
@@ -48,7 +48,7 @@
 
 
 class RouterSettings(NamedTuple):
-    """What one router knows of its own place.
+    """Settings of one router.
 
     ``entries`` is the number of entries that share the fleet's limits.
     """
@@ -61,58 +61,58 @@
 
 
 class Router:
-    """Admission and choice of the upstream, for one entry.
+    """Admits requests and chooses their upstreams, for one entry.
 
-    Engines' cache events go to ``prefixes`` directly; ``quarantine`` answers
-    questions about suspects.
+    Engines' cache events are applied to ``prefixes`` directly; ``quarantine``
+    has the state of suspects.
     """
 
     def __init__(self, cfg: RouterSettings) -> None:
-        """Start without a fleet: every request is refused."""
+        """Create a router without a fleet, which refuses every request."""
         self.prefixes = PrefixIndex(cfg.prefix_capacity)
         self._entries = cfg.entries
         self._admission = AdmissionController(cfg.data_center, cfg.entries)
         self._chooser = Chooser(cfg.rules, self.prefixes)
         self.quarantine = self._chooser.quarantine
         self._budget = RetryBudget(0)
-        self._attempts = AttemptBook()
+        self._attempts = AttemptTracker()
 
     def update_fleet(self, index: FleetIndex) -> None:
-        """Take over a fleet; work in flight is left alone.
+        """Apply a fleet without touching requests in flight.
 
-        The candidates follow with the next ``update_upstreams``.
+        The next ``update_upstreams`` updates the candidates.
         """
         self._admission.update_fleet(index.fleet)
-        self._budget.take_ratio(index.fleet.routing.retry_ratio)
+        self._budget.update_ratio(index.fleet.routing.retry_ratio)
 
     def update_entries(self, entries: int) -> None:
-        """Take over the number of entries that share the limits."""
+        """Set the number of entries that share the limits."""
         self._entries = entries
         self._admission.update_entries(entries)
 
     def update_upstreams(
         self, views: Iterable[UpstreamView], now: float
     ) -> None:
-        """Replace the known upstreams; those not named are gone."""
-        for gone in self._admission.update_upstreams(views, now):
-            self.prefixes.forget(gone)
+        """Replace the known upstreams; remove those without a view."""
+        for removed in self._admission.update_upstreams(views, now):
+            self.prefixes.forget(removed)
 
     def update_suspects(self, suspects: Iterable[SuspectView]) -> None:
-        """Replace the suspects that the control daemons share."""
+        """Replace the suspects reported by the control daemons."""
         self.quarantine.update(suspects)
 
     def admit(self, req: RoutingRequest, now: float, rng: Random) -> Admission:
-        """Let a request in, queue it, or refuse it at once."""
+        """Admit, queue or refuse a request."""
         until = self.quarantine.blocked_until(req.fingerprint, now)
         if until is not None:
             return Refused(RefusalReason.QUARANTINED, until - now)
         admission = self._admission.admit(req, now, rng)
         if not isinstance(admission, Refused):
-            self._budget.note_request()
+            self._budget.record_request()
         return admission
 
     def dispatch(self, now: float, rng: Random) -> Dispatched:
-        """Return the queued tickets whose turn it is, or that ran late."""
+        """Return the tickets to dispatch now, and the expired ones."""
         return self._admission.dispatch(now, rng)
 
     def choose(
@@ -122,14 +122,14 @@
         now: float,
         rng: Random,
     ) -> Selection:
-        """Choose the upstream of the next attempt."""
+        """Return the upstream of the next attempt, or that there is none."""
         pool = self._admission.pool_of_ticket(ticket)
         if pool is None:
             return NoUpstream(retry_after(NO_UPSTREAM_RETRY_S, rng))
         return self._chooser.choose(pool.candidates, ticket, exclude, now, rng)
 
-    def started(self, ticket: Ticket, upstream: str, now: float) -> None:
-        """Count an attempt that is handed over to an upstream."""
+    def record_start(self, ticket: Ticket, upstream: str, now: float) -> None:
+        """Record that an attempt is being sent to an upstream."""
         pool = self._admission.pool_of_ticket(ticket)
         if pool is None:
             return
@@ -140,46 +140,46 @@
         pool.candidates.ejector.start_probe(upstream)
         self.prefixes.record(upstream, ticket.req.chain)
 
-    def finished(
+    def record_success(
         self, ticket: Ticket, upstream: str, latency_s: float, now: float
     ) -> None:
-        """Count a served attempt; latency is the time to the first token."""
+        """Record a served attempt and its time to the first token."""
         state = self._attempts.close(ticket.number, upstream, now)
         self.quarantine.clear(ticket.req.fingerprint)
         pool = self._admission.pool_of_ticket(ticket)
         if state is None or pool is None:
             return
-        state.note_latency(latency_s)
-        if pool.candidates.ejector.served(upstream):
-            state.restart_ramp(now)
+        state.record_latency(latency_s)
+        if pool.candidates.ejector.record_success(upstream):
+            state.restart_slow_start(now)
 
-    def failed(
+    def record_failure(
         self,
         ticket: Ticket,
         upstream: str,
         outcome: AttemptOutcome,
         now: float,
     ) -> None:
-        """Count an attempt that ended otherwise."""
+        """Record an attempt that was not served."""
         state = self._attempts.close(ticket.number, upstream, now)
         if outcome is AttemptOutcome.CRASHED:
-            self.quarantine.accuse((ticket.req.fingerprint,))
+            self.quarantine.mark_suspects((ticket.req.fingerprint,))
         pool = self._admission.pool_of_ticket(ticket)
         if state is not None and pool is not None:
-            pool.candidates.note_failure(state, outcome, now)
+            pool.candidates.record_failure(state, outcome, now)
 
     def close(self, ticket: Ticket, now: float) -> None:
-        """Forget a ticket; safe to call twice."""
+        """Close a ticket; closing it again has no effect."""
         self._attempts.close_all(ticket.number, now)
         self.quarantine.release(ticket.number)
         self._admission.close(ticket, now)
 
     def ask_retry(self, now: float) -> bool:
-        """Take one retry from the budget, if there is one."""
+        """Take one retry from the budget; return whether it was allowed."""
         return self._budget.take(now)
 
     def dump(self) -> RouterDump:
-        """Return the state for the dump of the process."""
+        """Return the router's state for the process dump."""
         counts: dict[str, float] = {
             'entries': self._entries,
             'tickets': self._admission.open_tickets,
--- a/src/snipebend/routing/scoring.py
+++ b/src/snipebend/routing/scoring.py
@@ -1,4 +1,4 @@
-"""The score of an upstream for one request, and the guard of its load."""
+"""Scores an upstream for one request, and bounds its load."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 class ScoringRules(NamedTuple):
     """Weights and bounds, all in units of utilisation (1: limit reached).
 
-    ``choices`` upstreams are drawn in each data centre (power of d choices,
-    Mitzenmacher 2001); up to ``scan`` candidates are all looked at instead.
-    ``locality`` is what a wholly cached prompt is worth. A holder of the
-    prefix is taken only below ``guard_ratio`` times the least utilisation
-    drawn plus ``guard_slack``, and below ``guard_cap``. ``remote`` is what
-    leaving the data centre costs.
+    ``choices`` upstreams are sampled from the local data centre and from all
+    remote ones (power of d choices, Mitzenmacher 2001); up to ``scan``
+    candidates are all compared instead. ``locality`` is the value of a fully
+    cached prompt. An upstream that holds the prefix is chosen only up to
+    ``guard_ratio`` times the least utilisation sampled plus ``guard_slack``,
+    and up to ``guard_cap``. ``remote`` is the cost of leaving the data centre.
     """
 
     choices: int = 2
@@ -24,15 +24,15 @@
     guard_cap: float = 1.2
     remote: float = 0.25
 
-    def guard(self, least: float) -> float:
-        """Return the utilisation up to which locality may decide.
+    def load_bound(self, least: float) -> float:
+        """Return the highest utilisation at which a cached prefix may decide.
 
-        A holder well past its limit is never worth the wait while another
-        is less loaded.
+        Waiting for a prefix holder far above its limit never pays off while
+        another upstream is less loaded.
         """
         bound = self.guard_ratio * least + self.guard_slack
         return max(least, min(bound, self.guard_cap))
 
     def score(self, utilisation: float, cached_share: float) -> float:
-        """Return the score: the least is best."""
+        """Return the score; the lowest is best."""
         return utilisation - self.locality * cached_share
--- a/src/snipebend/routing/selection.py
+++ b/src/snipebend/routing/selection.py
@@ -1,4 +1,4 @@
-"""The choice of one upstream among the candidates of a pool."""
+"""Selects one upstream among the candidates of a pool."""
 
 from __future__ import annotations
 
@@ -15,20 +15,24 @@
     from snipebend.routing.scoring import ScoringRules
     from snipebend.routing.upstream_state import UpstreamState
 
-#: Draws for each upstream wanted, before all candidates are looked at.
-DRAWS = 3
+#: Random samples per upstream wanted; if none of them is eligible, all
+#: candidates are compared.
+SAMPLES_PER_CHOICE = 3
 
 
-class Need(NamedTuple):
-    """What an attempt needs; ``matches`` are the holders of its prefix."""
+class Requirements(NamedTuple):
+    """Requirements of an attempt.
+
+    ``matches`` lists the upstreams that hold a prefix of its prompt.
+    """
 
     adapter: str
     chain: tuple[int, ...]
     matches: Sequence[PrefixMatch]
-    barred: Container[str]
+    excluded: Container[str]
 
 
-class _Option(NamedTuple):
+class _ScoredCandidate(NamedTuple):
     score: float
     utilisation: float
     state: UpstreamState
@@ -36,85 +40,98 @@
 
 
 class Selector:
-    """Draws a few candidates and compares them with the prefix's holders."""
+    """Compares a random sample of the candidates with the prefix holders."""
 
     def __init__(
         self, pool: CandidateSet, rules: ScoringRules, now: float, rng: Random
     ) -> None:
-        """Keep what one choice is made from."""
+        """Create a selector for one choice at ``now``."""
         self._pool = pool
         self._rules = rules
         self._now = now
         self._rng = rng
 
-    def choose(self, need: Need) -> Choice | None:
-        """Return the best candidate, or None when all are barred."""
-        drawn = [
-            self._option(state, need, 0) for state in self._draw_tiers(need)
+    def choose(self, requirements: Requirements) -> Choice | None:
+        """Return the best candidate, or None if none is eligible."""
+        sampled = [
+            self._score_candidate(state, requirements, 0)
+            for state in self._sample_tiers(requirements)
         ]
-        if not drawn:
+        if not sampled:
             return None
-        least = min(option.utilisation for option in drawn)
-        bound = self._rules.guard(least)
-        hinted = [
-            option
-            for option in self._hinted(need)
-            if option.utilisation <= bound
+        least = min(candidate.utilisation for candidate in sampled)
+        bound = self._rules.load_bound(least)
+        holders = [
+            candidate
+            for candidate in self._prefix_holders(requirements)
+            if candidate.utilisation <= bound
         ]
-        best = min(drawn + hinted, key=_score)
+        best = min(sampled + holders, key=_score)
         view = best.state.view
         return Choice(view.name, view.incarnation, best.cached_blocks)
 
-    def _draw_tiers(self, need: Need) -> Iterator[UpstreamState]:
-        tiers = self._pool.tiers(need.adapter)
-        yield from self._draw(tiers.local, need.barred)
-        yield from self._draw(tiers.remote, need.barred)
+    def _sample_tiers(
+        self, requirements: Requirements
+    ) -> Iterator[UpstreamState]:
+        tiers = self._pool.tiers(requirements.adapter)
+        yield from self._sample(tiers.local, requirements.excluded)
+        yield from self._sample(tiers.remote, requirements.excluded)
 
-    def _draw(
-        self, states: Sequence[UpstreamState], barred: Container[str]
+    def _sample(
+        self, states: Sequence[UpstreamState], excluded: Container[str]
     ) -> list[UpstreamState]:
         wanted = self._rules.choices
         if len(states) > max(wanted, self._rules.scan):
-            drawn = self._draw_some(states, barred, wanted)
-            if drawn:
-                return drawn
-        return [state for state in states if self._may_take(state, barred)]
+            sampled = self._sample_some(states, excluded, wanted)
+            if sampled:
+                return sampled
+        return [state for state in states if self._is_eligible(state, excluded)]
 
-    def _draw_some(
+    def _sample_some(
         self,
         states: Sequence[UpstreamState],
-        barred: Container[str],
+        excluded: Container[str],
         wanted: int,
     ) -> list[UpstreamState]:
-        drawn: list[UpstreamState] = []
-        for _ in range(DRAWS * wanted):
+        sampled: list[UpstreamState] = []
+        for _ in range(SAMPLES_PER_CHOICE * wanted):
             state = states[int(self._rng.random() * len(states))]
-            if state not in drawn and self._may_take(state, barred):
-                drawn.append(state)
-            if len(drawn) == wanted:
+            if state not in sampled and self._is_eligible(state, excluded):
+                sampled.append(state)
+            if len(sampled) == wanted:
                 break
-        return drawn
+        return sampled
 
-    def _hinted(self, need: Need) -> Iterator[_Option]:
-        for match in need.matches:
+    def _prefix_holders(
+        self, requirements: Requirements
+    ) -> Iterator[_ScoredCandidate]:
+        for match in requirements.matches:
             state = self._pool.members.get(match.upstream)
-            if state is not None and self._may_take(state, need.barred):
-                yield self._option(state, need, match.blocks)
-
-    def _may_take(self, state: UpstreamState, barred: Container[str]) -> bool:
+            if state is not None and self._is_eligible(
+                state, requirements.excluded
+            ):
+                yield self._score_candidate(state, requirements, match.blocks)
+
+    def _is_eligible(
+        self, state: UpstreamState, excluded: Container[str]
+    ) -> bool:
         name = state.view.name
-        if name in barred or state.view.phase != 'serving':
+        if name in excluded or state.view.phase != 'serving':
             return False
-        return self._pool.ejector.standing(name, self._now) != 'out'
+        return self._pool.ejector.status(name, self._now) != 'out'
 
-    def _option(self, state: UpstreamState, need: Need, blocks: int) -> _Option:
+    def _score_candidate(
+        self, state: UpstreamState, requirements: Requirements, blocks: int
+    ) -> _ScoredCandidate:
         utilisation = state.utilisation(self._now)
-        cached_share = blocks / len(need.chain) if need.chain else 0
+        cached_share = (
+            blocks / len(requirements.chain) if requirements.chain else 0
+        )
         score = self._rules.score(utilisation, cached_share)
         if not self._pool.is_local(state):
             score += self._rules.remote
-        return _Option(score, utilisation, state, blocks)
+        return _ScoredCandidate(score, utilisation, state, blocks)
 
 
-def _score(option: _Option) -> float:
-    return option.score
+def _score(candidate: _ScoredCandidate) -> float:
+    return candidate.score
--- a/src/snipebend/routing/upstream_state.py
+++ b/src/snipebend/routing/upstream_state.py
@@ -1,4 +1,4 @@
-"""What a router knows of one upstream, from reports and from its own work."""
+"""State of one upstream: its load reports and this entry's own attempts."""
 
 from __future__ import annotations
 
@@ -13,119 +13,143 @@
     from snipebend.fleet.model import UpstreamPolicy
     from snipebend.routing.views import UpstreamView
 
-#: The share of its limit that a new upstream starts with.
+#: Share of its concurrency limit that a new upstream starts with.
 SLOW_START_FLOOR = 0.1
-#: Above this use of the KV cache, an engine soon preempts what it runs.
-KV_PRESSURE = 0.9
-#: Utilisation that a full KV cache adds.
+#: Above this KV cache use, an engine soon preempts running requests.
+KV_PRESSURE_THRESHOLD = 0.9
+#: Utilisation added for a full KV cache.
 KV_PENALTY = 1.0
-#: How much the other entries are thought to lean as this one does.
-ECHO_SHARE = 0.25
-#: Latencies taken in before an upstream can be called a straggler.
-LEAST_SAMPLES = 8
-#: Weight of one more latency in the mean.
+#: How strongly other entries are assumed to favour the same upstreams as this
+#: entry (0: not at all, 1: equally).
+HERDING_SHARE = 0.25
+#: Latency samples required before an upstream can be ejected as a straggler.
+MIN_LATENCY_SAMPLES = 8
+#: Weight of a new sample in the moving average of latencies.
 LATENCY_WEIGHT = 0.2
 
 
-class UsualLoad(NamedTuple):
-    """Means over the upstreams of a pool.
+class MeanLoad(NamedTuple):
+    """Mean load per upstream of a pool.
 
-    ``memory_s`` is the time after which a report says nothing any more of
-    the differences between them.
+    ``outstanding`` counts this entry's requests, ``reported_others`` the
+    remaining requests in the load reports. ``report_decay_s`` is the time
+    constant with which a report loses its information on how the upstreams
+    differ.
     """
 
-    own: float
-    others: float
-    memory_s: float
+    outstanding: float
+    reported_others: float
+    report_decay_s: float
 
 
 @dataclass(slots=True)
 class UpstreamState:
     """One incarnation of an upstream.
 
-    ``own_then`` is this entry's own work when the last report was taken,
-    ``reported_others`` the rest of what it counted, and ``others`` what that
-    still says now.
+    ``outstanding`` counts this entry's attempts, and ``own_at_report`` those
+    running when the last load report was taken. ``reported_others`` is the
+    remainder of the reported load, and ``estimated_others`` its estimated
+    current value, given the age of the report. ``herding`` is the extra load
+    expected from other entries per request of this entry above its mean.
     """
 
     view: UpstreamView
     policy: UpstreamPolicy
     limit: AdaptiveLimit
-    own: OutstandingCount = field(default_factory=OutstandingCount)
-    own_then: int = 0
+    outstanding: OutstandingCount = field(default_factory=OutstandingCount)
+    own_at_report: int = 0
     reported_others: int = 0
-    others: float = 0
-    echo: float = 0
-    own_mean: float = 0
+    estimated_others: float = 0
+    herding: float = 0
+    mean_outstanding: float = 0
     latency_s: float = 0
     samples: int = 0
-    ramp_from: float = 0
+    slow_start_at: float = 0
 
     @property
     def load(self) -> float:
-        """Return the requests thought to be there now."""
-        own = self.own.current
-        return max(own, self.others + own + self.echo * (own - self.own_mean))
-
-    def take_report(self, view: UpstreamView) -> None:
-        """Take a newer view of the same incarnation in."""
+        """Return the estimated number of requests at the upstream."""
+        own = self.outstanding.current
+        return max(
+            own,
+            self.estimated_others
+            + own
+            + self.herding * (own - self.mean_outstanding),
+        )
+
+    def apply_report(self, view: UpstreamView) -> None:
+        """Apply a newer view of the same incarnation."""
         self.view = view
         report = view.load
         reported = report.running + report.queued
-        self.own_then = self.own.at(report.taken_at)
-        self.reported_others = max(0, reported - self.own_then)
-        self.others = self.reported_others
-
-    def discount(self, usual: UsualLoad, entries: int, at: float) -> None:
-        """Trust an old report less: what it says fades.
-
-        After the time for which requests are held, the others' work there is
-        other work (compare Dahlin, Interpreting stale load information, 1999).
-        The best guess is then that the other entries, who see the same
-        reports and prefixes, lean as this one does.
+        self.own_at_report = self.outstanding.at(report.taken_at)
+        self.reported_others = max(0, reported - self.own_at_report)
+        self.estimated_others = self.reported_others
+
+    def discount_report(
+        self, mean: MeanLoad, entries: int, moment: float
+    ) -> None:
+        """Move the estimate towards the pool's mean as the report ages.
+
+        Once the mean holding time of requests has passed, the reported
+        requests have been replaced by others (compare Dahlin, Interpreting
+        stale load information, 1999). The best estimate is then that the other
+        entries, which receive the same reports and prefixes, favour the same
+        upstreams as this entry.
         """
-        age = max(0, at - self.view.load.taken_at)
-        trust = exp(-age / usual.memory_s)
-        difference = self.reported_others - usual.others
-        self.others = usual.others + difference * trust
-        self.echo = ECHO_SHARE * (entries - 1) * (1 - trust)
-        self.own_mean = usual.own
-
-    def ramp(self, now: float) -> float:
-        """Return the share of the limit that the slow start allows."""
+        age = max(0, moment - self.view.load.taken_at)
+        trust = exp(-age / mean.report_decay_s)
+        difference = self.reported_others - mean.reported_others
+        self.estimated_others = mean.reported_others + difference * trust
+        self.herding = HERDING_SHARE * (entries - 1) * (1 - trust)
+        self.mean_outstanding = mean.outstanding
+
+    def slow_start_share(self, now: float) -> float:
+        """Return the share of the limit that slow start allows at ``now``."""
         span = self.policy.slow_start_s
-        if span <= 0 or now >= self.ramp_from + span:
+        if span <= 0 or now >= self.slow_start_at + span:
             return 1
-        return max(SLOW_START_FLOOR, (now - self.ramp_from) / span)
+        return max(SLOW_START_FLOOR, (now - self.slow_start_at) / span)
 
     def utilisation(self, now: float) -> float:
-        """Return the load with one more request, over what it takes well."""
-        taken = (self.load + 1) / (self.limit.limit * self.ramp(now))
-        kv_use = self.view.load.kv_use
-        if kv_use > KV_PRESSURE:
-            taken += KV_PENALTY * (kv_use - KV_PRESSURE) / (1 - KV_PRESSURE)
-        return taken
+        """Return the load including one more request, relative to the limit.
 
-    def note_latency(self, latency_s: float) -> None:
-        """Take the latency of an attempt served in."""
+        Use of the KV cache above the threshold adds a penalty.
+        """
+        utilisation = (self.load + 1) / (
+            self.limit.limit * self.slow_start_share(now)
+        )
+        kv_use = self.view.load.kv_use
+        if kv_use > KV_PRESSURE_THRESHOLD:
+            utilisation += (
+                KV_PENALTY
+                * (kv_use - KV_PRESSURE_THRESHOLD)
+                / (1 - KV_PRESSURE_THRESHOLD)
+            )
+        return utilisation
+
+    def record_latency(self, latency_s: float) -> None:
+        """Record the latency of a served attempt."""
         self.limit.observe(latency_s, self.load)
         self.samples += 1
         weight = LATENCY_WEIGHT if self.samples > 1 else 1
         self.latency_s += weight * (latency_s - self.latency_s)
 
-    def restart_ramp(self, now: float) -> None:
-        """Begin the slow start again, after an ejection."""
-        self.ramp_from = now
+    def restart_slow_start(self, now: float) -> None:
+        """Restart slow start after an ejection."""
+        self.slow_start_at = now
         self.samples = 0
 
 
-def open_upstream(view: UpstreamView, policy: UpstreamPolicy) -> UpstreamState:
-    """Make the state of a new incarnation."""
+def create_upstream_state(
+    view: UpstreamView, policy: UpstreamPolicy
+) -> UpstreamState:
+    """Create the state of a new incarnation."""
     state = UpstreamState(
         view,
         policy,
         AdaptiveLimit(policy.max_concurrency),
-        ramp_from=view.joined_at,
+        slow_start_at=view.joined_at,
     )
-    state.take_report(view)
+    state.apply_report(view)
     return state
--- a/src/snipebend/routing/views.py
+++ b/src/snipebend/routing/views.py
@@ -1,4 +1,4 @@
-"""What the router is shown of the world, and what it shows of itself."""
+"""Snapshots of upstreams and suspects for the router, and of its state."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 class LoadView(NamedTuple):
-    """What an upstream said of its load, at a past moment.
+    """A load report of an upstream.
 
-    ``running`` and ``queued`` count requests of all entries, ``kv_use`` is
-    the used share of the KV cache (0 to 1) and ``taken_at`` is in seconds of
-    the router's own clock: whoever receives a report subtracts its age.
+    ``running`` and ``queued`` count requests of all entries, and ``kv_use`` is
+    the used share of the KV cache (0 to 1). ``taken_at`` is the time of the
+    measurement in seconds of the router's clock: the receiver subtracts the
+    age of the report from its own time.
     """
 
     running: int = 0
@@ -22,12 +23,11 @@
 
 
 class UpstreamView(NamedTuple):
-    """One upstream as the membership shows it.
+    """One upstream, as membership reports it.
 
-    ``policy`` names its entry in the fleet file. ``resident`` holds the
-    adapters and versions that are loaded; an empty set means that the
-    upstream doesn't tell. ``joined_at`` (router's clock) starts its slow
-    start.
+    ``policy`` names its upstream section of the fleet file. ``resident`` holds
+    the loaded adapters and versions; an empty set means that the upstream does
+    not report them. Slow start begins at ``joined_at`` (router's clock).
     """
 
     name: str
@@ -41,7 +41,10 @@
 
 
 class SuspectView(NamedTuple):
-    """A fingerprint seen running when upstreams died (router's clock)."""
+    """A suspect request, and how many upstreams died while running it.
+
+    ``quarantined_until`` is in seconds of the router's clock.
+    """
 
     fingerprint: str
     deaths: int
@@ -49,7 +52,7 @@
 
 
 class RouterDump(NamedTuple):
-    """A router's state in counts and tables of plain values."""
+    """The router's state as counts and tables of plain values."""
 
     counts: dict[str, float]
     upstreams: dict[str, dict[str, float | str]]
--- a/src/snipebend/transport/routed_request.py
+++ b/src/snipebend/transport/routed_request.py
@@ -123,7 +123,7 @@
         until = quarantine.blocked_until(req.fingerprint, now)
         if until is not None:
             return _no_upstream(Refused(Reason.QUARANTINED, until - now))
-        self._deaths_before = quarantine.deaths_of(req.fingerprint)
+        self._deaths_before = quarantine.death_count(req.fingerprint)
         return None
 
     async def _wait_for_count(self, lease: SuspectLease) -> float:
@@ -144,7 +144,9 @@
     def started(self, attempt: int, upstream: str) -> None:
         """Count an attempt as handed over."""
         self._sent[attempt] = _Sent(upstream, self._clock.now())
-        self._desk.router.started(self._ticket, upstream, self._clock.now())
+        self._desk.router.record_start(
+            self._ticket, upstream, self._clock.now()
+        )
         if self._lease is not None:
             self._lease.note_start()
 
@@ -159,7 +161,7 @@
         self.first_chunk(attempt)
         sent = self._sent.pop(attempt, None)
         if sent is not None:
-            self._desk.router.finished(
+            self._desk.router.record_success(
                 self._ticket,
                 sent.upstream,
                 sent.latency_s or 0,
@@ -211,7 +213,7 @@
 
     def _failed(self, upstream: str, outcome: AttemptOutcome) -> None:
         now = self._clock.now()
-        self._desk.router.failed(self._ticket, upstream, outcome, now)
+        self._desk.router.record_failure(self._ticket, upstream, outcome, now)
 
 
 def _refusal(refused: Refused) -> Chosen:
--- a/tests/routing/fixtures.py
+++ b/tests/routing/fixtures.py
@@ -1,4 +1,4 @@
-"""A fleet and upstream views for the tests of routing."""
+"""A fleet and upstream views for the routing tests."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 models = []
 """
 
-#: Long after the slow start of every upstream.
+#: A time at which slow start has ended for every upstream.
 NOW = 1000
 
 
@@ -69,7 +69,7 @@
     incarnation: int = 1,
     taken_at: float = 1000,
 ) -> UpstreamView:
-    """Return a view of an engine with some load."""
+    """Return a view of an engine with a load report."""
     report = LoadView(load, 0, 0, taken_at)
     return UpstreamView(name, 'engine', data_center, incarnation, load=report)
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Refusals come at once, with the span after which coming back helps."""
+"""Admission refuses early, with a useful ``Retry-After``."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class AdmissionTest(TestCase):
-    """One upstream with four slots."""
+    """Admission to one upstream with four slots."""
 
     def setUp(self) -> None:
-        """Start with an idle upstream."""
+        """Create a router with an idle upstream."""
         self.rng = Random(1)
         self.router = Router(RouterSettings('entry', 'here'))
         self.router.update_fleet(fleet_index())
         self.router.update_upstreams([upstream('u')], NOW)
 
     def test_drain_rate_decides(self) -> None:
-        """With a queue of ten and two done a second, 4 s don't suffice."""
+        """With ten queued and two served per second, even 4 s are too short."""
         tickets = self._fill(4)
         self._serve_steadily(tickets, held_s=2)
         at = NOW + 100
@@ -51,7 +51,7 @@
         self.assertGreater(len(set(spans)), 10)
         self.assertGreater(min(spans[-5:]), max(spans[:1]))
 
-    def test_rate_limit_tells_when_a_token_is_there(self) -> None:
+    def test_rate_limit_admits_again_after_refill(self) -> None:
         """Workspace ``a``: a burst of 100, then ten a second."""
         reasons = []
         for _ in range(101):
@@ -65,7 +65,7 @@
         self.assertIsInstance(again, Admitted)
 
     def test_one_workspace_does_not_fill_the_queue(self) -> None:
-        """The flood of one leaves room for the other, at once."""
+        """A flood of one workspace leaves queue room for the other."""
         self._fill(4)
         verdicts = [
             self.router.admit(request('b'), NOW, self.rng) for _ in range(200)
@@ -76,12 +76,12 @@
         verdict = self.router.admit(other, NOW, self.rng)
         self.assertIsInstance(verdict, Queued)
 
-    def test_late_ticket_is_refused_not_forgotten(self) -> None:
+    def test_expired_ticket_is_refused_and_closed(self) -> None:
         self._fill(4)
         waiting = self.router.admit(request(deadline_at=NOW + 1), NOW, self.rng)
         assert isinstance(waiting, Queued)
-        gone = self.router.dispatch(NOW + 1, self.rng)
-        self.assertEqual(gone.refused[0].ticket, waiting.ticket)
+        dispatched = self.router.dispatch(NOW + 1, self.rng)
+        self.assertEqual(dispatched.refused[0].ticket, waiting.ticket)
         self.assertEqual(self.router.dump().counts['tickets'], 4)
 
     def test_no_upstream_is_refused_at_once(self) -> None:
@@ -91,7 +91,7 @@
         self.assertEqual(verdict.reason, RefusalReason.NO_UPSTREAM)
 
     def test_entries_share_the_capacity(self) -> None:
-        """Ten entries with the same late reports don't all take the rest."""
+        """Ten entries with the same old reports do not exceed the capacity."""
         views = [upstream(f'u{number}', 1) for number in range(10)]
         routers = [
             Router(RouterSettings(f'e{number}', 'here', 10))
@@ -111,13 +111,13 @@
         for _ in range(count):
             verdict = self.router.admit(request(), NOW, self.rng)
             assert isinstance(verdict, Admitted)
-            self.router.started(verdict.ticket, 'u', NOW)
+            self.router.record_start(verdict.ticket, 'u', NOW)
             tickets.append(verdict.ticket)
         return tickets
 
     def _serve_steadily(self, tickets: list[Ticket], held_s: float) -> None:
-        """Close what runs and fill again, so that the drain is measured."""
+        """Close running requests and refill, so that the drain is measured."""
         for ticket in tickets:
-            self.router.finished(ticket, 'u', 0.1, NOW + held_s)
+            self.router.record_success(ticket, 'u', 0.1, NOW + held_s)
             self.router.close(ticket, NOW + held_s)
         self._fill(4)
--- a/tests/routing/test_fair_queue.py
+++ b/tests/routing/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Shares of a queue that everybody wants more of."""
+"""The fair queue under overload: shares, starvation and order."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class FairQueueTest(TestCase):
-    """Priorities first, then workspaces, each by weight."""
+    """Turns are shared by weight over priorities, then over workspaces."""
 
     @settings(derandomize=True, deadline=None, max_examples=40)
     @given(_WEIGHTS, _WEIGHTS)
@@ -34,12 +34,12 @@
         classes = {'high': (8, high), 'low': (1, low)}
         number = 0
         for priority, (weight, flows) in classes.items():
-            for workspace, own_weight in flows.items():
+            for workspace, workspace_weight in flows.items():
                 for _ in range(900):
                     number += 1
                     queue.push(
                         _ticket(number, priority, workspace),
-                        FlowWeights(weight, own_weight),
+                        FlowWeights(weight, workspace_weight),
                     )
         turns = 900
         got: Counter[tuple[str, str]] = Counter()
@@ -49,12 +49,14 @@
             got[ticket.req.priority, ticket.req.workspace] += 1
         for priority, (weight, flows) in classes.items():
             share = turns * weight / 9
-            for workspace, own_weight in flows.items():
-                due = share * own_weight / sum(flows.values())
-                self.assertAlmostEqual(got[priority, workspace], due, delta=3)
+            for workspace, workspace_weight in flows.items():
+                expected = share * workspace_weight / sum(flows.values())
+                self.assertAlmostEqual(
+                    got[priority, workspace], expected, delta=3
+                )
 
-    def test_flood_starves_nobody(self) -> None:
-        """Who comes late gets a share from now on, and no credit for then."""
+    def test_flood_does_not_starve_a_later_flow(self) -> None:
+        """A late flow gets its share from then on, without earlier credit."""
         queue = FairQueue()
         for number in range(500):
             queue.push(_ticket(number, 'high', 'a'), FlowWeights(8, 1))
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -1,4 +1,4 @@
-"""Bounds that hold however calls are mixed: ejection, budget, limit."""
+"""Ejection, retry budget and adaptive limit keep their bounds."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from snipebend.routing.ejection import Ejector
 from snipebend.routing.retry_budget import (
     RESERVE,
-    TRICKLE_PER_S,
+    IDLE_RETRIES_PER_S,
     RetryBudget,
-    savings_of_one,
+    balance_cap_per_entry,
 )
 
 _NAMES = ('a', 'b', 'c', 'd', 'e')
 
 
 class EjectorTest(TestCase):
-    """Ejection never takes the fleet away, and always ends by a probe."""
+    """At most half of the upstreams are ejected; a probe readmits them."""
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -32,50 +32,50 @@
             )
         )
     )
-    def test_at_most_half_are_out(
+    def test_at_most_half_are_ejected(
         self, steps: list[tuple[str, str, int]]
     ) -> None:
         ejector = Ejector()
-        watched = _NAMES
-        ejector.watch(watched)
+        candidates = _NAMES
+        ejector.update_candidates(candidates)
         for now, (action, name, count) in enumerate(steps):
             match action:
                 case 'fail':
-                    ejector.failed(name, now, 2, 5)
+                    ejector.record_failure(name, now, 2, 5)
                 case 'serve':
-                    ejector.served(name)
+                    ejector.record_success(name)
                 case 'probe':
                     ejector.start_probe(name)
                 case 'watch':
-                    watched = _NAMES[:count]
-                    ejector.watch(watched)
+                    candidates = _NAMES[:count]
+                    ejector.update_candidates(candidates)
                 case _:
-                    latencies = dict.fromkeys(watched, 1.0)
+                    latencies = dict.fromkeys(candidates, 1.0)
                     ejector.eject_stragglers(latencies | {name: 9}, now, 5)
-            self.assertLessEqual(len(ejector.ejected), len(watched) // 2)
+            self.assertLessEqual(len(ejector.ejected), len(candidates) // 2)
 
-    def test_comes_back_by_one_probe(self) -> None:
+    def test_one_probe_readmits(self) -> None:
         ejector = Ejector()
-        ejector.watch(_NAMES)
+        ejector.update_candidates(_NAMES)
         for _ in range(3):
-            ejector.failed('a', 0, 3, 5)
-        self.assertEqual(ejector.standing('a', 4), 'out')
-        self.assertEqual(ejector.standing('a', 5), 'probe')
+            ejector.record_failure('a', 0, 3, 5)
+        self.assertEqual(ejector.status('a', 4), 'out')
+        self.assertEqual(ejector.status('a', 5), 'probe')
         ejector.start_probe('a')
-        self.assertEqual(ejector.standing('a', 5), 'out')
-        ejector.failed('a', 6, 3, 5)
-        self.assertEqual(ejector.standing('a', 15), 'out')
-        self.assertEqual(ejector.standing('a', 16), 'probe')
+        self.assertEqual(ejector.status('a', 5), 'out')
+        ejector.record_failure('a', 6, 3, 5)
+        self.assertEqual(ejector.status('a', 15), 'out')
+        self.assertEqual(ejector.status('a', 16), 'probe')
         ejector.start_probe('a')
-        self.assertTrue(ejector.served('a'))
-        self.assertEqual(ejector.standing('a', 16), 'in')
+        self.assertTrue(ejector.record_success('a'))
+        self.assertEqual(ejector.status('a', 16), 'in')
 
 
 def _full_budget(slack: float, entries: int) -> RetryBudget:
     budget = RetryBudget(0.2)
-    budget.take_savings(savings_of_one(slack, entries))
+    budget.update_balance_cap(balance_cap_per_entry(slack, entries))
     for _ in range(1000):
-        budget.note_request()
+        budget.record_request()
     return budget
 
 
@@ -84,34 +84,36 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.one_of(st.none(), st.floats(0, 5))))
-    def test_bound(self, steps: list[float | None]) -> None:
+    def test_retries_stay_below_the_bound(
+        self, steps: list[float | None]
+    ) -> None:
         budget = RetryBudget(0.1)
         now = 0.0
         for pause in steps:
             if pause is None:
-                budget.note_request()
+                budget.record_request()
                 continue
             now += pause
             budget.take(now)
-            earned = 0.1 * budget.requests + TRICKLE_PER_S * now
+            earned = 0.1 * budget.requests + IDLE_RETRIES_PER_S * now
             self.assertLessEqual(budget.granted, RESERVE + earned + 1e-6)
 
-    def test_all_entries_together_keep_to_the_slack(self) -> None:
-        """Also with all that they saved, in the 10 s of an outage."""
+    def test_all_entries_together_stay_within_the_slack(self) -> None:
+        """The bound holds in a 10 s outage with all retries saved before it."""
         for entries, slack, requests in ((5, 94, 400), (14, 124, 1691)):
             budgets = [_full_budget(slack, entries) for _ in range(entries)]
             granted = 0
             for tick in range(requests):
-                mine = budgets[tick % entries]
-                mine.note_request()
+                budget = budgets[tick % entries]
+                budget.record_request()
                 now = 10 * tick / requests
-                granted += sum(mine.take(now) for _ in range(3))
+                granted += sum(budget.take(now) for _ in range(3))
             self.assertLessEqual(granted, 0.2 * requests + slack)
             self.assertGreater(granted, 0.2 * requests)
 
 
 class AdaptiveLimitTest(TestCase):
-    """The limit falls when latency rises, and comes back."""
+    """The limit falls when latency rises, and recovers."""
 
     def test_follows_latency(self) -> None:
         limit = AdaptiveLimit(32)
--- a/tests/routing/test_prefix_index.py
+++ b/tests/routing/test_prefix_index.py
@@ -1,4 +1,4 @@
-"""The prefix index under late events, gaps and little memory."""
+"""The prefix index with late events, event gaps and a small capacity."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class PrefixIndexTest(TestCase):
-    """It follows an engine's cache, and says when it can't."""
+    """The index follows an engine's cache and reports gaps in its events."""
 
-    def test_chain_is_the_engines(self) -> None:
+    def test_hash_chain_equals_the_engines(self) -> None:
         prompt = 'ä' * 200 + 'tail' * 40
-        theirs = tuple(map(_number, engine_chain(prompt)))
-        self.assertEqual(hash_chain(prompt), theirs)
+        engine_hashes = tuple(map(_number, engine_chain(prompt)))
+        self.assertEqual(hash_chain(prompt), engine_hashes)
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -101,8 +101,8 @@
         chains: set[tuple[int, ...]],
     ) -> None:
         for chain in chains:
-            known = index.find(chain)
+            found = index.find(chain)
             texts = tuple(f'{prefix:016x}' for prefix in chain)
             depth = cache.count_cached(texts)
             expected = [PrefixMatch('u', depth)] if depth else []
-            self.assertEqual(known, expected)
+            self.assertEqual(found, expected)
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that crashes upstreams, and those that ran beside it."""
+"""Isolation of a request that crashes upstreams from all others."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_router(process: str = 'entry') -> Router:
-    """Return a router before sixteen idle upstreams."""
+    """Return a router with sixteen idle upstreams."""
     router = Router(RouterSettings(process, 'here'))
     router.update_fleet(fleet_index())
     views = [upstream(f'u{number}') for number in range(16)]
@@ -33,32 +33,32 @@
 
 
 def admit(router: Router, fingerprint: str) -> Ticket:
-    """Let a request in."""
+    """Admit a request."""
     verdict = router.admit(request(fingerprint=fingerprint), NOW, _RNG)
     assert isinstance(verdict, Admitted)
     return verdict.ticket
 
 
 def choose(router: Router, ticket: Ticket, now: float = NOW) -> Selection:
-    """Choose without exclusions."""
+    """Choose an upstream without exclusions."""
     return router.choose(ticket, frozenset(), now, _RNG)
 
 
 class QuarantineTest(TestCase):
-    """Suspects apart, innocents free again, the guilty one refused."""
+    """Suspects run alone, are cleared when served, or are refused."""
 
-    def test_innocent_is_cleared_by_its_answer(self) -> None:
+    def test_harmless_suspect_is_cleared_when_served(self) -> None:
         router = make_router()
-        innocent = admit(router, 'innocent')
-        router.started(innocent, 'u3', NOW)
-        router.failed(innocent, 'u3', AttemptOutcome.CRASHED, NOW)
-        choice = choose(router, innocent)
+        harmless = admit(router, 'harmless')
+        router.record_start(harmless, 'u3', NOW)
+        router.record_failure(harmless, 'u3', AttemptOutcome.CRASHED, NOW)
+        choice = choose(router, harmless)
         assert isinstance(choice, Choice)
         self.assertTrue(choice.alone)
-        router.started(innocent, choice.upstream, NOW)
-        router.finished(innocent, choice.upstream, 0.1, NOW)
-        router.close(innocent, NOW)
-        again = choose(router, admit(router, 'innocent'))
+        router.record_start(harmless, choice.upstream, NOW)
+        router.record_success(harmless, choice.upstream, 0.1, NOW)
+        router.close(harmless, NOW)
+        again = choose(router, admit(router, 'harmless'))
         assert isinstance(again, Choice)
         self.assertFalse(again.alone)
 
@@ -68,7 +68,7 @@
         suspect = admit(router, 'bad')
         lane = choose(router, suspect)
         assert isinstance(lane, Choice)
-        router.started(suspect, lane.upstream, NOW)
+        router.record_start(suspect, lane.upstream, NOW)
         second = admit(router, 'bad')
         waits = choose(router, second)
         self.assertIsInstance(waits, NoUpstream)
@@ -90,7 +90,7 @@
         lane = choose(router, suspect)
         assert isinstance(lane, Choice)
         running = admit(router, 'good')
-        router.started(running, lane.upstream, NOW)
+        router.record_start(running, lane.upstream, NOW)
         self.assertIsInstance(choose(router, suspect), NoUpstream)
         router.close(running, NOW)
         self.assertIsInstance(choose(router, suspect), Choice)
@@ -105,7 +105,7 @@
             chosen.add(choice.upstream)
         self.assertEqual(len(chosen), 1)
 
-    def test_quarantined_is_refused_until_the_deadline(self) -> None:
+    def test_quarantined_request_is_refused_until_its_end(self) -> None:
         router = make_router()
         router.update_suspects([SuspectView('bad', 2, NOW + 30)])
         verdict = router.admit(request(fingerprint='bad'), NOW, _RNG)
@@ -113,7 +113,7 @@
         later = router.admit(request(fingerprint='bad'), NOW + 30, _RNG)
         self.assertIsInstance(later, Admitted)
 
-    def test_fingerprint_keeps_its_parts_apart(self) -> None:
+    def test_fingerprint_separates_its_parts(self) -> None:
         prints = {
             fingerprint_of('a', '/v1', b'x'),
             fingerprint_of('a/', 'v1', b'x'),
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -1,4 +1,4 @@
-"""The choice among candidates: the guard, the exclusions, the own count."""
+"""Selection: load bound, exclusions, and this entry's own attempts."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 from tests.routing.fixtures import NOW, fleet_index, request, upstream
 
 _CHAIN = hash_chain('x' * 640)
-#: Every candidate is looked at, so that the least loaded one is known.
+#: Compares all candidates, so that the least loaded one is always found.
 _ALL = ScoringRules(scan=1000)
 
 
 def make_router(rules: ScoringRules = _ALL) -> Router:
-    """Return a router over the test's fleet."""
+    """Return a router with the fixture's fleet."""
     router = Router(RouterSettings('entry', 'here', rules=rules))
     router.update_fleet(fleet_index())
     return router
 
 
 def admit(router: Router, chain: tuple[int, ...] = ()) -> Ticket:
-    """Let a request in that finds room."""
+    """Admit a request while slots are free."""
     verdict = router.admit(request(chain=chain), NOW, Random(1))
     assert isinstance(verdict, Admitted)
     return verdict.ticket
 
 
 class SelectionTest(TestCase):
-    """Whatever the hints say."""
+    """Prefix hints never override load, phase or exclusions."""
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -49,7 +49,7 @@
         st.sets(st.integers(0, 7)),
         st.integers(0, 99),
     )
-    def test_locality_never_beats_the_guard(
+    def test_locality_never_exceeds_the_load_bound(
         self, loads: list[int], holders: set[int], seed: int
     ) -> None:
         router = make_router()
@@ -65,7 +65,7 @@
         assert isinstance(choice, Choice)
         utilisation = (loads[int(choice.upstream)] + 1) / 4
         least = (min(loads) + 1) / 4
-        self.assertLessEqual(utilisation, _ALL.guard(least))
+        self.assertLessEqual(utilisation, _ALL.load_bound(least))
         holds = [
             number
             for number in holders
@@ -75,7 +75,7 @@
             self.assertGreater(choice.cached_blocks, 0)
 
     def test_own_work_corrects_a_late_report(self) -> None:
-        """Both reports are old: what was sent since goes by the own count."""
+        """Attempts sent after an old report come from this entry's count."""
         router = make_router()
         views = [upstream(name, 1, taken_at=NOW - 5) for name in ('u', 'v')]
         router.update_upstreams(views, NOW)
@@ -85,7 +85,7 @@
             ticket = admit(router)
             choice = router.choose(ticket, frozenset(), NOW, rng)
             assert isinstance(choice, Choice)
-            router.started(ticket, choice.upstream, NOW)
+            router.record_start(ticket, choice.upstream, NOW)
             router.update_upstreams(views, NOW)
             sent.append(choice.upstream)
         self.assertEqual(sent.count('u'), 3)
@@ -95,7 +95,7 @@
         views = [upstream('u'), upstream('v', 3)]
         router.update_upstreams(views, NOW)
         for _ in range(2):
-            router.started(admit(router), 'u', NOW)
+            router.record_start(admit(router), 'u', NOW)
         views = [
             upstream('u', 2, taken_at=NOW + 0.1),
             upstream('v', 3, taken_at=NOW + 0.1),
@@ -133,13 +133,13 @@
         self.assertIsInstance(none, NoUpstream)
 
     def test_crashed_upstream_gets_no_more_work(self) -> None:
-        """Membership takes seconds to drop it; routing must not wait."""
+        """Membership takes seconds to remove it; routing must not wait."""
         router = make_router()
         views = [upstream(str(number)) for number in range(4)]
         router.update_upstreams(views, NOW)
         ticket = admit(router)
-        router.started(ticket, '0', NOW)
-        router.failed(ticket, '0', AttemptOutcome.CRASHED, NOW)
+        router.record_start(ticket, '0', NOW)
+        router.record_failure(ticket, '0', AttemptOutcome.CRASHED, NOW)
         router.update_upstreams(views, NOW + 1)
         other = admit(router)
         for seed in range(20):
@@ -149,7 +149,7 @@
 
 
 class OutstandingCountTest(TestCase):
-    """The past of a count, with little memory."""
+    """The count returns its past values from a bounded history."""
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -160,7 +160,7 @@
         ),
         st.floats(0, 60),
     )
-    def test_remembers(
+    def test_returns_past_counts(
         self, changes: list[tuple[float, int]], moment: float
     ) -> None:
         count = OutstandingCount()
