--- a/src/snipebend/delivery/__init__.py
+++ b/src/snipebend/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""One request's life: claim, attempt, seal, resume, cancel, outcome."""
+"""The lifecycle of one request: claim, attempt, seal, resume, outcome."""
--- a/src/snipebend/delivery/actions.py
+++ b/src/snipebend/delivery/actions.py
@@ -1,9 +1,9 @@
-"""What the request machine asks its driver to do.
+"""Actions that the request machine requests from its driver.
 
-The driver does the actions of one step in their order. ``FinishAnswer``,
-``AbortAnswer``, ``Refuse`` and ``AnswerStored`` are final for the caller, and
-just one of them is ever asked for. ``Settle`` and ``Seal`` may still follow:
-the driver goes on until ``RequestMachine.done``.
+The driver performs the actions of one step in order. ``FinishResponse``,
+``AbortResponse``, ``Refuse`` and ``SendStoredResponse`` are final for the
+caller, and exactly one of them is requested. ``Settle`` and ``Seal`` may still
+follow: the driver continues until ``RequestMachine.done``.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class ChooseUpstream(NamedTuple):
-    """Ask routing for an upstream other than those excluded, if it can.
+    """Request an upstream from routing, avoiding those excluded.
 
     Answered by ``UpstreamChosen`` or ``NoUpstream``.
     """
@@ -33,14 +33,17 @@
 
 
 class AskRetry(NamedTuple):
-    """Ask for a place in the retry budget.
+    """Request one retry from the retry budget.
 
     Answered by ``RetryGranted`` or ``RetryDenied``.
     """
 
 
 class Claim(NamedTuple):
-    """Claim the key; answered by ``ClaimAnswered`` or ``ClaimFailed``."""
+    """Claim the idempotency key.
+
+    Answered by ``ClaimAnswered`` or ``ClaimFailed``.
+    """
 
     request: ClaimRequest
 
@@ -54,8 +57,9 @@
 class SendAttempt(NamedTuple):
     """Send the request once.
 
-    The driver never resends an attempt on its own, not even over another
-    connection: the proof that a refusal gives rests on that.
+    The driver never resends an attempt by itself, not even over another
+    connection: a refusal proves that the attempt did not run only because it
+    was sent once.
     """
 
     target: Target
@@ -63,14 +67,15 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Close the attempt's connection; its later events are ignored."""
+    """Close the attempt's connection and ignore its later events."""
 
     attempt: int
 
 
 class Seal(NamedTuple):
-    """Ask the agent over a new connection what became of an attempt.
+    """Query the agent, over a new connection, for the outcome of an attempt.
 
+    This also bars the attempt if the agent has not received it.
     Answered by ``SealAnswered`` or ``SealFailed``.
     """
 
@@ -79,31 +84,31 @@
 
 
 class RelayHead(NamedTuple):
-    """Start the answer to the caller."""
+    """Start the response to the caller."""
 
     status: int
     headers: Mapping[str, str]
 
 
 class RelayChunk(NamedTuple):
-    """Pass a piece of the body to the caller."""
+    """Forward a chunk of the body to the caller."""
 
     payload: bytes
 
 
-class FinishAnswer(NamedTuple):
-    """End the answer cleanly."""
+class FinishResponse(NamedTuple):
+    """End the response normally."""
 
 
-class AbortAnswer(NamedTuple):
-    """Break the answer off visibly: never a clean end."""
+class AbortResponse(NamedTuple):
+    """Abort the response so that the caller can detect it as incomplete."""
 
     reason: str
     outcome: Outcome
 
 
 class Refuse(NamedTuple):
-    """Answer with a problem; ``retry_after`` is in seconds, 0 for none."""
+    """Respond with a problem; ``retry_after`` is in seconds, 0 for none."""
 
     status: int
     outcome: Outcome
@@ -112,14 +117,14 @@
     retry_after: float = 0
 
 
-class AnswerStored(NamedTuple):
-    """Answer with the one kept from the execution that there was."""
+class SendStoredResponse(NamedTuple):
+    """Respond with the stored response of the earlier execution."""
 
     answer: StoredAnswer
 
 
 class SetTimer(NamedTuple):
-    """Send ``DeadlineReached`` at this wall time."""
+    """Emit ``DeadlineReached`` at this wall time."""
 
     deadline_at: float
 
@@ -134,9 +139,9 @@
     | Seal
     | RelayHead
     | RelayChunk
-    | FinishAnswer
-    | AbortAnswer
+    | FinishResponse
+    | AbortResponse
     | Refuse
-    | AnswerStored
+    | SendStoredResponse
     | SetTimer
 )
--- a/src/snipebend/delivery/attempt_events.py
+++ b/src/snipebend/delivery/attempt_events.py
@@ -1,4 +1,4 @@
-"""What can happen to one attempt on its way to an agent and back."""
+"""Events of one attempt between the entry and the agent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class AttemptRefused(NamedTuple):
-    """The agent answered that it didn't start the attempt."""
+    """The agent refused to start the attempt."""
 
     attempt: int
     reason: RefusalReason
@@ -19,7 +19,7 @@
 
 
 class AttemptStarted(NamedTuple):
-    """The head of the upstream's answer arrived."""
+    """The head of the upstream's response arrived."""
 
     attempt: int
     status: int
@@ -27,7 +27,7 @@
 
 
 class ChunkArrived(NamedTuple):
-    """A numbered piece of the answer's body; numbers start at 0."""
+    """A chunk of the response body arrived; ``seq`` starts at 0."""
 
     attempt: int
     seq: int
@@ -35,16 +35,19 @@
 
 
 class AttemptFinished(NamedTuple):
-    """The answer ended cleanly; ``chunks`` is its length in chunks, if told."""
+    """The response ended normally.
+
+    ``chunks`` is its length in chunks, None if not reported.
+    """
 
     attempt: int
     chunks: int | None = None
 
 
-class AttemptBroke(NamedTuple):
-    """The attempt ended without a clean end or a refusal.
+class AttemptBroken(NamedTuple):
+    """The attempt ended neither normally nor with a refusal.
 
-    ``sent`` is false only if no byte of it was handed to a connection.
+    ``sent`` is false only if no byte of it was written to a connection.
     """
 
     attempt: int
@@ -56,5 +59,5 @@
     | AttemptStarted
     | ChunkArrived
     | AttemptFinished
-    | AttemptBroke
+    | AttemptBroken
 )
--- a/src/snipebend/delivery/attempt_records.py
+++ b/src/snipebend/delivery/attempt_records.py
@@ -1,4 +1,4 @@
-"""The agent's memory of attempts, bounded in records and in kept bytes."""
+"""The agent's records of attempts, bounded in number and in stored bytes."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
 
 
 class AttemptPhase(Enum):
-    """Where an attempt is, as the agent knows it."""
+    """The phase of an attempt at the agent."""
 
-    #: Refused or sealed before it started: it never will.
+    #: Refused or sealed before it started; it will never start.
     BARRED = 'barred'
     RUNNING = 'running'
     FINISHED = 'finished'
-    #: The upstream broke off: whether the call took effect is unknown.
+    #: The upstream failed in the middle: whether the call took effect is
+    #: unknown.
     BROKEN = 'broken'
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """What is remembered of an attempt.
+    """The record of one attempt.
 
-    A running one stays; any other is forgotten ``retention_s`` after its
+    A running attempt is kept; any other is evicted ``retention_s`` after its
     deadline or its end, whichever is later.
     """
 
@@ -45,44 +46,46 @@
 
 
 class AttemptRecords:
-    """Records by attempt, forgotten in the order of their times.
+    """Records by attempt, evicted in the order of their expiry.
 
-    ``forgotten_until`` is the latest deadline of a started attempt that was
-    forgotten: an unseen one with a later deadline was never started.
+    ``latest_evicted_deadline`` is the latest deadline of a started attempt
+    whose record was evicted: an attempt without a record and with a later
+    deadline was never started.
     """
 
     def __init__(self, max_records: int, max_answer_bytes: int) -> None:
-        """Remember nothing yet."""
-        self.forgotten_until = float('-inf')
+        """Create a store without records."""
+        self.latest_evicted_deadline = float('-inf')
         self.running = 0
         self._max_records = max_records
         self._records: dict[AttemptId, AttemptRecord] = {}
-        self._highest: dict[str, int] = {}
+        self._highest_attempts: dict[str, int] = {}
         self._queue: list[tuple[float, AttemptId]] = []
-        self._answers = _KeptAnswers(max_answer_bytes)
+        self._answers = _StoredAnswers(max_answer_bytes)
 
     def find(self, attempt_id: AttemptId) -> AttemptRecord | None:
-        """Return the record, None if there is none (any more)."""
+        """Return the record, None if it does not exist or was evicted."""
         return self._records.get(attempt_id)
 
     def highest_attempt(self, request_id: str) -> int:
-        """Return the highest attempt remembered of a request, 0 for none."""
-        return self._highest.get(request_id, 0)
+        """Return the highest attempt on record of a request, 0 for none."""
+        return self._highest_attempts.get(request_id, 0)
 
     def add(self, attempt_id: AttemptId, record: AttemptRecord) -> None:
-        """Remember a new attempt, after ``make_room`` has been asked.
+        """Add the record of a new attempt, after a call of ``make_room``.
 
-        A running one may be added without room; it is forgotten at its end.
+        A running attempt may be added without room; its record is dropped when
+        it ends.
         """
         self._records[attempt_id] = record
-        self._highest[attempt_id.request_id] = max(
+        self._highest_attempts[attempt_id.request_id] = max(
             attempt_id.attempt,
             self.highest_attempt(attempt_id.request_id),
         )
         if record.phase is AttemptPhase.RUNNING:
             self.running += 1
         else:
-            self._forget_later(attempt_id, record, record.deadline_at)
+            self._schedule_eviction(attempt_id, record, record.deadline_at)
 
     def end(
         self,
@@ -91,7 +94,7 @@
         now: float,
         answer: StoredAnswer | None = None,
     ) -> None:
-        """Turn a running attempt into an ended one; ignore any other."""
+        """Move a running attempt to its final phase; ignore any other."""
         record = self._records.get(attempt_id)
         if record is None or record.phase is not AttemptPhase.RUNNING:
             return
@@ -100,22 +103,25 @@
         if len(self._records) > self._max_records:
             self._drop(attempt_id)
             return
-        self._forget_later(attempt_id, record, max(now, record.deadline_at))
+        self._schedule_eviction(
+            attempt_id, record, max(now, record.deadline_at)
+        )
         if answer is not None:
             record.answer = answer
             self._answers.keep(attempt_id, record)
 
-    def forget(self, now: float) -> None:
-        """Drop the records whose time has come; running ones stay."""
+    def evict_expired(self, now: float) -> None:
+        """Evict the expired records; running attempts are kept."""
         while self._queue and self._queue[0][0] <= now:
             _, attempt_id = heapq.heappop(self._queue)
             self._drop(attempt_id)
 
     def make_room(self, now: float) -> bool:
-        """Tell whether a record can be added.
+        """Return whether a record can be added, evicting one if needed.
 
-        The one to be forgotten next goes early if its deadline has passed: it
-        guards no longer against a second start, but tells resends of the first.
+        The record that expires next is evicted early if its deadline has
+        passed: it is no longer needed against a second start, and only serves
+        to tell resends about the first.
         """
         if len(self._records) < self._max_records:
             return True
@@ -128,7 +134,7 @@
         self._drop(attempt_id)
         return True
 
-    def _forget_later(
+    def _schedule_eviction(
         self,
         attempt_id: AttemptId,
         record: AttemptRecord,
@@ -140,17 +146,20 @@
     def _drop(self, attempt_id: AttemptId) -> None:
         record = self._records.pop(attempt_id)
         self._answers.drop(attempt_id)
-        if self._highest.get(attempt_id.request_id) == attempt_id.attempt:
-            self._highest.pop(attempt_id.request_id)
+        if (
+            self._highest_attempts.get(attempt_id.request_id)
+            == attempt_id.attempt
+        ):
+            self._highest_attempts.pop(attempt_id.request_id)
         if record.phase is not AttemptPhase.BARRED:
-            self.forgotten_until = max(
-                self.forgotten_until,
+            self.latest_evicted_deadline = max(
+                self.latest_evicted_deadline,
                 record.deadline_at,
             )
 
 
-class _KeptAnswers:
-    """Drops the answers that ended first once all are too long together."""
+class _StoredAnswers:
+    """Drops the oldest responses when all together exceed the size limit."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
--- a/src/snipebend/delivery/attempting.py
+++ b/src/snipebend/delivery/attempting.py
@@ -1,4 +1,4 @@
-"""An attempt under way: its refusal, its chunks, its end or its break."""
+"""Handles the events of the current attempt: refusal, chunks, end, failure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from snipebend.delivery import refusals
 from snipebend.delivery.actions import CancelAttempt, RelayHead
 from snipebend.delivery.attempt_events import (
-    AttemptBroke,
+    AttemptBroken,
     AttemptFinished,
     AttemptRefused,
     AttemptStarted,
@@ -17,134 +17,150 @@
 from snipebend.delivery.stream import ChunkFault
 from snipebend.delivery.transitions import (
     ask_retry,
-    not_run,
+    continue_after_not_run,
     seal_own,
-    settle_and_leave,
+    settle_and_end,
 )
 from snipebend.state.claims import Settlement, StoredAnswer
 
 if TYPE_CHECKING:
     from snipebend.delivery.actions import Action
     from snipebend.delivery.events import Event
-    from snipebend.delivery.life import Life
+    from snipebend.delivery.request_context import RequestContext
     from snipebend.delivery.phases import Attempting
 
 _CONTENT_TYPE = 'content-type'
 
 
-def on_attempting(life: Life, phase: Attempting, event: Event) -> list[Action]:
-    """Take an event of the current attempt; drop those of older ones."""
+def on_attempting(
+    context: RequestContext, phase: Attempting, event: Event
+) -> list[Action]:
+    """Handle an event of the current attempt; ignore those of older ones."""
     match event:
         case (
             AttemptRefused()
             | AttemptStarted()
             | ChunkArrived()
             | AttemptFinished()
-            | AttemptBroke()
+            | AttemptBroken()
         ) if event.attempt != phase.attempt:
             return []
         case AttemptRefused():
-            return _on_refused(life, phase, event)
+            return _on_refused(context, phase, event)
         case AttemptStarted():
-            return _on_started(life, phase, event)
+            return _on_started(context, phase, event)
         case ChunkArrived():
-            return _on_chunk(life, phase, event)
+            return _on_chunk(context, phase, event)
         case AttemptFinished():
-            return _on_finished(life, phase, event)
-        case AttemptBroke(sent=sent):
-            return _on_broke(life, phase, sent=sent)
+            return _on_finished(context, phase, event)
+        case AttemptBroken(sent=sent):
+            return _on_broken(context, phase, sent=sent)
     return []
 
 
 def _on_refused(
-    life: Life,
+    context: RequestContext,
     phase: Attempting,
     event: AttemptRefused,
 ) -> list[Action]:
     if not event.reason.proves_not_run:
-        return _on_broke(life, phase, sent=True)
-    life.excluded |= {phase.target.upstream}
-    return not_run(life, phase.attempt, refusals.attempt_refused(event))
+        return _on_broken(context, phase, sent=True)
+    context.excluded |= {phase.target.upstream}
+    return continue_after_not_run(
+        context, phase.attempt, refusals.attempt_refused(event)
+    )
 
 
 def _on_started(
-    life: Life,
+    context: RequestContext,
     phase: Attempting,
     event: AttemptStarted,
 ) -> list[Action]:
-    life.answer.head = RelayHead(event.status, event.headers)
-    sent = life.caller.head_sent
+    context.answer.head = RelayHead(event.status, event.headers)
+    sent = context.caller.head_sent
     if sent and sent.status != event.status:
-        # A resumed answer of another kind can't continue the one begun.
-        return [CancelAttempt(phase.attempt), *_break_off(life, phase)]
+        # A resumed response with another status cannot continue the first.
+        return [CancelAttempt(phase.attempt), *_abort_response(context, phase)]
     return []
 
 
 def _on_chunk(
-    life: Life,
+    context: RequestContext,
     phase: Attempting,
     event: ChunkArrived,
 ) -> list[Action]:
-    ready = life.answer.chunks.take(event.seq, event.payload)
-    if life.answer.head is None or isinstance(ready, ChunkFault):
-        return _on_garbled(life, phase)
-    if life.is_claimed:
+    ready = context.answer.chunks.add(event.seq, event.payload)
+    if context.answer.head is None or isinstance(ready, ChunkFault):
+        return _on_invalid_response(context, phase)
+    if context.is_claimed:
         for payload in ready:
-            life.answer.body.add(payload)
-    return life.caller.relay(life.answer.head, ready)
+            context.answer.body.add(payload)
+    return context.caller.relay(context.answer.head, ready)
 
 
 def _on_finished(
-    life: Life,
+    context: RequestContext,
     phase: Attempting,
     event: AttemptFinished,
 ) -> list[Action]:
-    if life.answer.head is None or life.answer.chunks.finish(event.chunks):
-        return _on_garbled(life, phase)
-    final = life.caller.finish(life.answer.head)
-    answer = _stored_answer(life, life.answer.head)
-    ending = settle_and_leave(life, phase.attempt, Settlement.RAN, answer)
-    return [*final, *ending]
-
-
-def _on_garbled(life: Life, phase: Attempting) -> list[Action]:
-    """Treat an answer that makes no sense as one that broke off."""
-    broken = _on_broke(life, phase, sent=True)
+    if context.answer.head is None or context.answer.chunks.finish(
+        event.chunks
+    ):
+        return _on_invalid_response(context, phase)
+    final = context.caller.finish(context.answer.head)
+    answer = _stored_answer(context, context.answer.head)
+    settlement_actions = settle_and_end(
+        context, phase.attempt, Settlement.RAN, answer
+    )
+    return [*final, *settlement_actions]
+
+
+def _on_invalid_response(
+    context: RequestContext, phase: Attempting
+) -> list[Action]:
+    """Treat an invalid response like a broken connection."""
+    broken = _on_broken(context, phase, sent=True)
     return [CancelAttempt(phase.attempt), *broken]
 
 
-def _on_broke(life: Life, phase: Attempting, *, sent: bool) -> list[Action]:
-    life.excluded |= {phase.target.upstream}
+def _on_broken(
+    context: RequestContext, phase: Attempting, *, sent: bool
+) -> list[Action]:
+    context.excluded |= {phase.target.upstream}
     if not sent:
-        lost = refusals.attempt_lost(Outcome.NOT_RUN)
-        return not_run(life, phase.attempt, lost)
-    if life.facts.repeatable:
-        return _repeat(life, phase)
-    if life.caller.head_sent and not life.is_claimed:
-        return _break_off(life, phase)
-    lost = refusals.attempt_lost(Outcome.UNKNOWN)
-    # A half answer is broken off at once, the key is settled behind it.
-    broken = life.caller.refuse(lost) if life.caller.head_sent else []
-    return [*broken, *seal_own(life, phase, lost)]
-
-
-def _repeat(life: Life, phase: Attempting) -> list[Action]:
-    """Try work again that may run more than once, if the answer allows it."""
-    life.proof.attempt_in_doubt = True
-    can_resume = life.facts.streaming and life.facts.resumable
-    if life.caller.head_sent and not can_resume:
-        return _break_off(life, phase)
-    return ask_retry(life, refusals.attempt_lost(Outcome.UNKNOWN))
-
-
-def _break_off(life: Life, phase: Attempting) -> list[Action]:
-    life.end()
-    reason = f'attempt {phase.attempt} broke off'
-    return life.caller.abort(reason, Outcome.UNKNOWN)
-
-
-def _stored_answer(life: Life, head: RelayHead) -> StoredAnswer | None:
-    body = life.answer.body.whole()
+        refusal = refusals.attempt_broken(Outcome.NOT_RUN)
+        return continue_after_not_run(context, phase.attempt, refusal)
+    if context.facts.repeatable:
+        return _retry_repeatable(context, phase)
+    if context.caller.head_sent and not context.is_claimed:
+        return _abort_response(context, phase)
+    refusal = refusals.attempt_broken(Outcome.UNKNOWN)
+    # A partial response is aborted at once; the key is settled afterwards.
+    aborted = context.caller.refuse(refusal) if context.caller.head_sent else []
+    return [*aborted, *seal_own(context, phase, refusal)]
+
+
+def _retry_repeatable(
+    context: RequestContext, phase: Attempting
+) -> list[Action]:
+    """Retry repeatable work, unless a partial response prevents that."""
+    context.proof.attempt_may_have_run = True
+    can_resume = context.facts.streaming and context.facts.resumable
+    if context.caller.head_sent and not can_resume:
+        return _abort_response(context, phase)
+    return ask_retry(context, refusals.attempt_broken(Outcome.UNKNOWN))
+
+
+def _abort_response(context: RequestContext, phase: Attempting) -> list[Action]:
+    context.end()
+    reason = f'attempt {phase.attempt} ended before its response was complete'
+    return context.caller.abort(reason, Outcome.UNKNOWN)
+
+
+def _stored_answer(
+    context: RequestContext, head: RelayHead
+) -> StoredAnswer | None:
+    body = context.answer.body.complete_body()
     if body is None:
         return None
     types = [
--- a/src/snipebend/delivery/caller_side.py
+++ b/src/snipebend/delivery/caller_response.py
@@ -1,13 +1,13 @@
-"""What the caller was given so far: one answer, and one end of it."""
+"""The response to the caller: started at most once and ended exactly once."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from snipebend.delivery.actions import (
-    AbortAnswer,
-    AnswerStored,
-    FinishAnswer,
+    AbortResponse,
+    SendStoredResponse,
+    FinishResponse,
     Refuse,
     RelayChunk,
     RelayHead,
@@ -19,46 +19,47 @@
     from snipebend.state.claims import StoredAnswer
 
 
-class CallerSide:
-    """Turns an answer's progress into actions, none after the final one.
+class CallerResponse:
+    """Translates the progress of a response into actions.
 
-    The head is held back until there is a chunk or the end, so that an attempt
-    that breaks before can still be replaced by another.
+    No action follows the final one. The head is held back until the first
+    chunk or the end arrives, so that an attempt that fails before can still be
+    replaced by another.
     """
 
     def __init__(self) -> None:
-        """Owe the caller an answer."""
+        """Create a response that has not been started."""
         self.is_closed = False
         self.head_sent: RelayHead | None = None
 
     def relay(self, head: RelayHead, payloads: list[bytes]) -> list[Action]:
-        """Pass chunks on, after the head if it wasn't sent before."""
+        """Forward chunks, preceded by the head if it was not sent yet."""
         if self.is_closed or not payloads:
             return []
         chunks = [RelayChunk(payload) for payload in payloads]
         return [*self._start(head), *chunks]
 
     def finish(self, head: RelayHead) -> list[Action]:
-        """End the answer cleanly."""
+        """End the response normally."""
         if self.is_closed:
             return []
         start = self._start(head)
         self.is_closed = True
-        return [*start, FinishAnswer()]
+        return [*start, FinishResponse()]
 
     def refuse(self, refusal: Refuse) -> list[Action]:
-        """Refuse; an answer that was begun is broken off instead."""
+        """Refuse the request; abort a response that was started."""
         if self.head_sent:
             return self.abort(refusal.title, refusal.outcome)
         return self._close(refusal)
 
     def abort(self, reason: str, outcome: Outcome) -> list[Action]:
-        """Break the answer off visibly."""
-        return self._close(AbortAnswer(reason, outcome))
+        """Abort the response visibly."""
+        return self._close(AbortResponse(reason, outcome))
 
-    def answer_stored(self, answer: StoredAnswer) -> list[Action]:
-        """Give the kept answer; one that was begun is broken off instead."""
-        return self._close(AnswerStored(answer))
+    def send_stored(self, answer: StoredAnswer) -> list[Action]:
+        """Send a stored response; a started one is aborted before this."""
+        return self._close(SendStoredResponse(answer))
 
     def _start(self, head: RelayHead) -> list[Action]:
         if self.head_sent:
--- a/src/snipebend/delivery/claim_events.py
+++ b/src/snipebend/delivery/claim_events.py
@@ -1,6 +1,6 @@
-"""Answers to claims, settlements and seals, and the lack of them.
+"""Replies to claims, settlements and seals, and their absence.
 
-They name what they answer, so that late ones are told from awaited ones.
+Each event identifies what it answers, so that late replies can be ignored.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class ClaimAnswered(NamedTuple):
-    """Answers ``Claim``."""
+    """The reply to ``Claim``."""
 
     attempt: int
     reply: ClaimReply
 
 
 class ClaimFailed(NamedTuple):
-    """No answer to ``Claim``: it may stand or not."""
+    """No reply to ``Claim``: it may have been granted or not."""
 
     attempt: int
     retry_after: float = 1
 
 
 class SettleAnswered(NamedTuple):
-    """Answers ``Settle``; names the settled attempt."""
+    """The reply to ``Settle``; identifies the settled attempt."""
 
     request_id: str
     attempt: int
@@ -35,14 +35,14 @@
 
 
 class SettleFailed(NamedTuple):
-    """No answer to ``Settle``: it may stand or not."""
+    """No reply to ``Settle``: it may have been applied or not."""
 
     request_id: str
     attempt: int
 
 
 class SealAnswered(NamedTuple):
-    """Answers ``Seal``; names the sealed attempt."""
+    """The reply to ``Seal``; identifies the sealed attempt."""
 
     request_id: str
     attempt: int
@@ -50,7 +50,7 @@
 
 
 class SealFailed(NamedTuple):
-    """No answer to ``Seal``: nothing is known."""
+    """No reply to ``Seal``: the outcome of the attempt is unknown."""
 
     request_id: str
     attempt: int
--- a/src/snipebend/delivery/claim_messages.py
+++ b/src/snipebend/delivery/claim_messages.py
@@ -1,4 +1,4 @@
-"""Claims and settlements of one request's attempts, as messages."""
+"""Builds the claim and settlement messages of one request's attempts."""
 
 from __future__ import annotations
 
@@ -9,33 +9,35 @@
 
 if TYPE_CHECKING:
     from snipebend.delivery.facts import Target
-    from snipebend.delivery.life import Life
+    from snipebend.delivery.request_context import RequestContext
     from snipebend.state.claims import Settlement, StoredAnswer
 
 
-def claim_action(life: Life, attempt: int, target: Target | None) -> Claim:
-    """Return the claim of an attempt, or the look-up without a target."""
+def claim_action(
+    context: RequestContext, attempt: int, target: Target | None
+) -> Claim:
+    """Return the claim of an attempt; without a target, only a lookup."""
     request = ClaimRequest(
-        workspace=life.facts.workspace,
-        key=life.facts.key,
-        fingerprint=life.facts.fingerprint,
-        holder=_holder(life, attempt, target),
-        expires_at=life.facts.deadline_at + life.limits.key_retention_s,
+        workspace=context.facts.workspace,
+        key=context.facts.key,
+        fingerprint=context.facts.fingerprint,
+        holder=_holder(context, attempt, target),
+        expires_at=context.facts.deadline_at + context.limits.key_retention_s,
     )
     return Claim(request)
 
 
 def own_settlement(
-    life: Life,
+    context: RequestContext,
     attempt: int,
     settlement: Settlement,
     answer: StoredAnswer | None = None,
 ) -> SettleRequest:
-    """Return the settlement of one of our own attempts."""
+    """Return the settlement of an attempt of this request."""
     return SettleRequest(
-        life.facts.workspace,
-        life.facts.key,
-        life.facts.request_id,
+        context.facts.workspace,
+        context.facts.key,
+        context.facts.request_id,
         attempt,
         settlement,
         answer,
@@ -43,15 +45,15 @@
 
 
 def holder_settlement(
-    life: Life,
+    context: RequestContext,
     holder: Holder,
     settlement: Settlement,
     answer: StoredAnswer | None = None,
 ) -> SettleRequest:
     """Return the settlement of the attempt that holds the key."""
     return SettleRequest(
-        life.facts.workspace,
-        life.facts.key,
+        context.facts.workspace,
+        context.facts.key,
         holder.request_id,
         holder.attempt,
         settlement,
@@ -59,13 +61,15 @@
     )
 
 
-def _holder(life: Life, attempt: int, target: Target | None) -> Holder:
+def _holder(
+    context: RequestContext, attempt: int, target: Target | None
+) -> Holder:
     return Holder(
-        request_id=life.facts.request_id,
+        request_id=context.facts.request_id,
         attempt=attempt,
-        entry=life.limits.entry,
+        entry=context.limits.entry,
         upstream=target.upstream if target else '',
         grpc_address=target.grpc_address if target else '',
         incarnation=target.incarnation if target else 0,
-        deadline_at=life.facts.deadline_at,
+        deadline_at=context.facts.deadline_at,
     )
--- a/src/snipebend/delivery/events.py
+++ b/src/snipebend/delivery/events.py
@@ -1,4 +1,4 @@
-"""What can happen to one caller's request at an entry."""
+"""Events of one caller's request at an entry."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 
 
 class Arrived(NamedTuple):
-    """A caller's request was read."""
+    """A caller's request was received."""
 
     request: RequestFacts
 
 
 class UpstreamChosen(NamedTuple):
-    """Answers ``ChooseUpstream``."""
+    """The reply to ``ChooseUpstream``."""
 
     target: Target
 
 
 class NoUpstream(NamedTuple):
-    """Answers ``ChooseUpstream``: nobody can take it, or admission refused.
+    """The reply to ``ChooseUpstream`` if none can take the request.
 
-    ``retry_after`` is in seconds; 0 where coming back can't help.
+    Also sent if admission refused it. ``retry_after`` is in seconds; 0 if a
+    retry cannot succeed.
     """
 
     retry_after: float
@@ -35,21 +36,21 @@
 
 
 class RetryGranted(NamedTuple):
-    """Answers ``AskRetry``: the budget allows one more attempt."""
+    """The reply to ``AskRetry``: the budget allows one more attempt."""
 
 
 class RetryDenied(NamedTuple):
-    """Answers ``AskRetry``: the budget is spent."""
+    """The reply to ``AskRetry``: the budget is exhausted."""
 
     retry_after: float
 
 
-class CallerGone(NamedTuple):
+class CallerDisconnected(NamedTuple):
     """The caller's connection closed."""
 
 
 class DeadlineReached(NamedTuple):
-    """The time of ``SetTimer`` has come."""
+    """The time of ``SetTimer`` was reached."""
 
 
 Event: TypeAlias = (
@@ -60,6 +61,6 @@
     | NoUpstream
     | RetryGranted
     | RetryDenied
-    | CallerGone
+    | CallerDisconnected
     | DeadlineReached
 )
--- a/src/snipebend/delivery/guard.py
+++ b/src/snipebend/delivery/guard.py
@@ -1,22 +1,25 @@
 """The agent's admission guard: at most one execution of each attempt.
 
-Why its memory can be bounded: an attempt carries a deadline after which the
-guard refuses it. A tombstone (a barred attempt) is thus needed only until that
-deadline, read on the guard's own clock, which never runs backwards here; no
-two clocks are compared. A started attempt is remembered longer, so that a
-resend learns how it ended. Once such a record is forgotten, the guard can't
-tell that attempt from one never seen; it says ``UNKNOWN`` for every unseen
-attempt whose deadline isn't later than the latest one forgotten. Where there
-is no room for a tombstone nothing is promised: ``UNKNOWN``, ``UNTRACKED``.
-Work that may be repeated is remembered apart: a flood of it can't take the
-room of the rest, and it is admitted even where there is no room.
-
-A suspect of killing upstreams is marked ``alone``. It starts only where nothing
-runs, and nothing starts beside it, whichever entries the attempts come from.
-
-What it relies on: an agent's incarnation grows with each start, so that no
-memory need survive a restart; and a sender sends each attempt once, so that
-a refusal answers the only delivery. Copies that arrive later find the record.
+Its memory can be bounded because an attempt carries a deadline after which the
+guard refuses it. A tombstone (the record of a barred attempt) is therefore
+needed only until that deadline. The guard reads the deadline on its own clock,
+which it never lets run backwards; no two clocks are compared. The record of a
+started attempt is kept longer, so that a resend learns how the attempt ended.
+Once that record is evicted, the guard cannot distinguish the attempt from one
+that it never received. It reports ``UNKNOWN`` for every attempt without a
+record whose deadline is not later than the latest evicted one. Without room for
+a tombstone it makes no promise and reports ``UNKNOWN`` or ``UNTRACKED``.
+Repeatable work is recorded separately: a flood of it cannot use up the room for
+other work, and it is admitted even without room.
+
+A request suspected of killing upstreams is marked ``alone``. It starts only
+while nothing else runs, and nothing starts beside it, whichever entries the
+attempts come from.
+
+The guard relies on two properties. An agent's incarnation grows with each
+start, so that no record has to survive a restart. A sender sends each attempt
+once, so that a refusal answers the only delivery; copies that arrive later find
+the record.
 """
 
 from __future__ import annotations
@@ -52,14 +55,14 @@
 
 
 class Admitted(NamedTuple):
-    """The attempt may start now.
+    """The attempt can start now.
 
-    ``Guard.finish``, ``Guard.fail`` or ``Guard.withdraw`` must follow.
+    ``AttemptGuard.finish``, ``fail`` or ``withdraw`` must follow.
     """
 
 
 class Refused(NamedTuple):
-    """The attempt isn't started."""
+    """The attempt is not started."""
 
     reason: RefusalReason
 
@@ -70,12 +73,12 @@
 class GuardLimits(NamedTuple):
     """Bounds of the guard.
 
-    ``max_running`` counts attempts at once, ``max_records`` those remembered,
-    half of them for work that may be repeated.
-    ``max_answer_bytes`` bounds all kept answers together. ``retention_s`` is
-    how long past its deadline or its end a started attempt is remembered for
-    resends, where there is room; ``max_records`` over the longest deadline is
-    the rate of attempts that the guard can follow.
+    ``max_running`` bounds concurrent attempts and ``max_records`` the recorded
+    ones, half of them for repeatable work. ``max_answer_bytes`` bounds the
+    total size of stored responses. ``retention_s`` is how long past its
+    deadline or its end the record of a started attempt is kept for resends, if
+    there is room. ``max_records`` divided by the longest deadline is the rate
+    of attempts that the guard can track.
     """
 
     max_running: int
@@ -84,18 +87,18 @@
     retention_s: float = 600
 
 
-class Guard:
-    """Admits attempts to the one upstream and answers seals."""
+class AttemptGuard:
+    """Admits attempts to the agent's upstream and answers seals."""
 
     def __init__(self, incarnation: int, limits: GuardLimits) -> None:
-        """Know no attempts yet; ``incarnation`` grows with each start."""
+        """Create a guard without records; ``incarnation`` grows per start."""
         self.incarnation = incarnation
         self.leaving = False
         self._limits = limits
         self._now = float('-inf')
-        self._alone: AttemptId | None = None
-        # By ``keep_answer``: work that may not be repeated is under ``True``.
-        self._books = {
+        self._exclusive_attempt: AttemptId | None = None
+        # By ``keep_answer``: ``True`` for work that may not be repeated.
+        self._records = {
             keep_answer: AttemptRecords(
                 limits.max_records // 2,
                 limits.max_answer_bytes if keep_answer else 0,
@@ -105,19 +108,19 @@
 
     @property
     def running(self) -> int:
-        """Return how many attempts run."""
-        return sum(book.running for book in self._books.values())
+        """Return the number of running attempts."""
+        return sum(records.running for records in self._records.values())
 
     def leave(self) -> None:
         """Refuse new attempts from now on; seals are still answered."""
         self.leaving = True
 
     def admit(self, ticket: AttemptTicket, now: float) -> Admission:
-        """Decide whether an attempt may start, at wall time ``now``."""
+        """Decide whether an attempt can start at wall time ``now``."""
         self._advance(now)
-        book = self._books[ticket.keep_answer]
-        reason = self._known_reason(ticket, book)
-        reason = reason or self._barring_reason(ticket, book)
+        records = self._records[ticket.keep_answer]
+        reason = self._check_known(ticket, records)
+        reason = reason or self._check_or_bar(ticket, records)
         if reason is not None:
             return Refused(reason)
         record = AttemptRecord(
@@ -125,9 +128,9 @@
             ticket.deadline_at,
             self._limits.retention_s,
         )
-        book.add(_id_of(ticket), record)
+        records.add(_id_of(ticket), record)
         if ticket.alone:
-            self._alone = _id_of(ticket)
+            self._exclusive_attempt = _id_of(ticket)
         return Admitted()
 
     def finish(
@@ -136,38 +139,38 @@
         attempt: int,
         answer: StoredAnswer | None,
     ) -> None:
-        """Note that an attempt ran to its end; None: its answer isn't kept."""
+        """Record that an attempt ran to its end; None stores no response."""
         attempt_id = AttemptId(request_id, attempt)
         self._end(attempt_id, AttemptPhase.FINISHED, answer)
 
     def fail(self, request_id: str, attempt: int) -> None:
-        """Note that the upstream broke off after it was sent something."""
+        """Record that the upstream failed after something was sent to it."""
         self._end(AttemptId(request_id, attempt), AttemptPhase.BROKEN)
 
     def withdraw(self, request_id: str, attempt: int) -> Refused:
-        """Bar an admitted attempt of which nothing was sent to the upstream."""
+        """Bar an admitted attempt if nothing was sent to the upstream."""
         attempt_id = AttemptId(request_id, attempt)
         self._end(attempt_id, AttemptPhase.BARRED)
-        if any(book.find(attempt_id) for book in self._books.values()):
+        if any(records.find(attempt_id) for records in self._records.values()):
             return Refused(RefusalReason.UPSTREAM_DOWN)
         return Refused(RefusalReason.UNTRACKED)
 
     def seal(self, request: SealRequest, now: float) -> SealReply:
-        """Tell what became of an attempt and bar it if it is unseen."""
+        """Return the outcome of an attempt; bar one without a record."""
         self._advance(now)
         if request.incarnation != self.incarnation:
             return SealReply(SealVerdict.UNKNOWN)
         attempt_id = AttemptId(request.request_id, request.attempt)
-        for book in self._books.values():
-            record = book.find(attempt_id)
+        for records in self._records.values():
+            record = records.find(attempt_id)
             if record is not None:
                 return SealReply(_VERDICTS[record.phase], record.answer)
-        return SealReply(self._seal_unseen(request))
+        return SealReply(self._seal_unrecorded(request))
 
     def _advance(self, now: float) -> None:
         self._now = max(self._now, now)
-        for book in self._books.values():
-            book.forget(self._now)
+        for records in self._records.values():
+            records.evict_expired(self._now)
 
     def _end(
         self,
@@ -175,20 +178,20 @@
         phase: AttemptPhase,
         answer: StoredAnswer | None = None,
     ) -> None:
-        if attempt_id == self._alone:
-            self._alone = None
-        for book in self._books.values():
-            book.end(attempt_id, phase, self._now, answer)
+        if attempt_id == self._exclusive_attempt:
+            self._exclusive_attempt = None
+        for records in self._records.values():
+            records.end(attempt_id, phase, self._now, answer)
 
-    def _known_reason(
+    def _check_known(
         self,
         ticket: AttemptTicket,
-        book: AttemptRecords,
+        records: AttemptRecords,
     ) -> RefusalReason | None:
-        """Refuse what needs no new record: it is known, or its time is over."""
+        """Refuse attempts that need no new record: known or expired ones."""
         if ticket.incarnation != self.incarnation:
             return RefusalReason.WRONG_INCARNATION
-        record = book.find(_id_of(ticket))
+        record = records.find(_id_of(ticket))
         if record is not None:
             is_barred = record.phase is AttemptPhase.BARRED
             return (
@@ -196,50 +199,50 @@
             )
         if ticket.deadline_at > self._now:
             return None
-        if ticket.deadline_at <= book.forgotten_until:
+        if ticket.deadline_at <= records.latest_evicted_deadline:
             return RefusalReason.DUPLICATE
         return RefusalReason.DEADLINE_PASSED
 
-    def _barring_reason(
+    def _check_or_bar(
         self,
         ticket: AttemptTicket,
-        book: AttemptRecords,
+        records: AttemptRecords,
     ) -> RefusalReason | None:
-        """Refuse for the state of the agent, and bar late copies as well."""
-        has_room = book.make_room(self._now)
-        reason = self._state_reason(ticket, book)
+        """Refuse because of the agent's state, and bar later copies too."""
+        has_room = records.make_room(self._now)
+        reason = self._check_state(ticket, records)
         if reason is None:
             is_safe = has_room or not ticket.keep_answer
             return None if is_safe else RefusalReason.UNTRACKED
         if not has_room:
             return RefusalReason.UNTRACKED
-        book.add(_id_of(ticket), _tombstone(ticket.deadline_at))
+        records.add(_id_of(ticket), _tombstone(ticket.deadline_at))
         return reason
 
-    def _state_reason(
+    def _check_state(
         self,
         ticket: AttemptTicket,
-        book: AttemptRecords,
+        records: AttemptRecords,
     ) -> RefusalReason | None:
-        if ticket.attempt < book.highest_attempt(ticket.request_id):
+        if ticket.attempt < records.highest_attempt(ticket.request_id):
             return RefusalReason.STALE_ATTEMPT
         if self.leaving:
             return RefusalReason.LEAVING
         if self.running >= self._limits.max_running:
             return RefusalReason.FULL
-        if self._alone or (ticket.alone and self.running):
+        if self._exclusive_attempt or (ticket.alone and self.running):
             return RefusalReason.NOT_ALONE
         return None
 
-    def _seal_unseen(self, request: SealRequest) -> SealVerdict:
-        book = self._books[True]
-        if request.deadline_at <= book.forgotten_until:
+    def _seal_unrecorded(self, request: SealRequest) -> SealVerdict:
+        records = self._records[True]
+        if request.deadline_at <= records.latest_evicted_deadline:
             return SealVerdict.UNKNOWN
         if request.deadline_at <= self._now:
             return _verdict_past_deadline(request)
-        if not book.make_room(self._now):
+        if not records.make_room(self._now):
             return SealVerdict.UNKNOWN
-        book.add(
+        records.add(
             AttemptId(request.request_id, request.attempt),
             _tombstone(request.deadline_at),
         )
@@ -255,9 +258,10 @@
 
 
 def _verdict_past_deadline(request: SealRequest) -> SealVerdict:
-    """Judge an unseen attempt that would be refused anyway.
+    """Return the verdict on an unrecorded attempt past its deadline.
 
-    Without a known deadline nothing bounds when it might still arrive.
+    Such an attempt would be refused. Without a known deadline, it could still
+    arrive at any time.
     """
     if request.deadline_at:
         return SealVerdict.NOT_RUN
--- a/src/snipebend/delivery/limits.py
+++ b/src/snipebend/delivery/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of one request's life at an entry."""
+"""Bounds on the lifecycle of one request at an entry."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class DeliveryLimits(NamedTuple):
-    """Bounds that the entry's settings give.
+    """Bounds from the entry's settings.
 
-    ``entry`` names the process in claims. ``max_deadline_s`` caps the caller's
-    deadline, ``key_retention_s`` is how long past it a claim is remembered.
-    ``max_stored_bytes`` is the longest answer kept for resends.
-    ``max_ahead_chunks`` and ``max_ahead_bytes`` bound the chunks held back
-    behind a missing one. ``max_attempts`` bounds a request's attempts whatever
-    the retry budget says, ``claim_tries`` and ``settle_tries`` the sendings of
-    one claim and of one settlement.
+    ``entry`` is the name of the process in claims. ``max_deadline_s`` caps the
+    caller's deadline, and ``key_retention_s`` is how long past it a claim is
+    kept. ``max_stored_bytes`` is the size of the longest response stored for
+    resends. ``max_ahead_chunks`` and ``max_ahead_bytes`` bound the chunks held
+    back behind a missing one. ``max_attempts`` bounds a request's attempts
+    independently of the retry budget, ``claim_tries`` and ``settle_tries`` how
+    often one claim and one settlement are sent.
     """
 
     entry: str
--- a/src/snipebend/delivery/messages.py
+++ b/src/snipebend/delivery/messages.py
@@ -1,7 +1,7 @@
 """Messages between an entry and an agent about one attempt.
 
-They travel over a connection of their own (seal) or beside the request's body
-(ticket). Deadlines are wall time in seconds.
+Seals are sent over a separate connection, tickets along with the request's
+body. Deadlines are wall time in seconds.
 """
 
 from __future__ import annotations
@@ -14,41 +14,42 @@
 
 
 class RefusalReason(Enum):
-    """Why an agent didn't start an attempt."""
+    """Why an agent did not start an attempt."""
 
     LEAVING = 'leaving'
     FULL = 'full'
     DEADLINE_PASSED = 'deadline-passed'
-    #: The attempt was addressed to an earlier life of the agent.
+    #: The attempt was addressed to an earlier incarnation of the agent.
     WRONG_INCARNATION = 'wrong-incarnation'
     #: The attempt was sealed before it arrived.
     SEALED = 'sealed'
-    #: A later attempt of the same request is known here.
+    #: The agent has a record of a later attempt of the same request.
     STALE_ATTEMPT = 'stale-attempt'
-    #: It or what runs here must run alone.
+    #: The attempt, or one that is running here, has to run alone.
     NOT_ALONE = 'not-alone'
-    #: The upstream can't be reached; nothing was sent to it.
+    #: The upstream is unreachable; nothing was sent to it.
     UPSTREAM_DOWN = 'upstream-down'
-    #: The attempt was started before, or may have been: no proof.
+    #: The attempt was started before, or may have been: proves nothing.
     DUPLICATE = 'duplicate'
-    #: No room to remember the refusal, so that a late copy might run: no proof.
+    #: No room to record the refusal, so that a late copy might run: proves
+    #: nothing.
     UNTRACKED = 'untracked'
 
     @property
     def proves_not_run(self) -> bool:
-        """Tell whether the refused attempt never ran and never will."""
+        """Return whether the refused attempt never ran and never will."""
         return self not in {RefusalReason.DUPLICATE, RefusalReason.UNTRACKED}
 
 
 class AttemptTicket(Struct, frozen=True):
-    """What an attempt carries beside the caller's request.
+    """Metadata that an attempt carries along with the caller's request.
 
-    ``incarnation`` is that of the agent it is addressed to. The agent won't
+    ``incarnation`` is that of the agent it is addressed to. The agent does not
     start it after ``deadline_at``. ``keep_answer`` is set for work that may
-    not be repeated: the agent runs it to its end, whatever becomes of the
-    connection, and keeps the answer. ``resume_from`` is the number of the
-    first chunk that is wanted. ``alone`` is set for a request suspected of
-    killing upstreams: nothing else may run beside it.
+    not be repeated: the agent runs it to its end, even if the connection
+    closes, and stores the response. ``resume_from`` is the number of the first
+    chunk requested. ``alone`` is set for a request suspected of killing
+    upstreams: nothing else may run beside it.
     """
 
     request_id: str
@@ -61,9 +62,10 @@
 
 
 class SealRequest(Struct, frozen=True):
-    """Ask what became of an attempt and bar it if it was never seen.
+    """Query the outcome of an attempt, and bar it if it was never received.
 
-    ``deadline_at`` is the attempt's; 0 where the asker doesn't know it.
+    ``deadline_at`` is the attempt's deadline; 0 if the sender does not know
+    it.
     """
 
     request_id: str
@@ -73,21 +75,21 @@
 
 
 class SealVerdict(Enum):
-    """What an agent knows of an attempt."""
+    """The state of an attempt according to its agent."""
 
-    #: Unseen or refused, and barred for good from now on.
+    #: Not received or refused, and barred permanently from now on.
     NOT_RUN = 'not-run'
-    #: Started and not ended yet.
+    #: Started and still running.
     RUNNING = 'running'
-    #: Started and ended; the reply has the answer if it was kept.
+    #: Started and finished; the reply has the response if it was stored.
     RAN = 'ran'
-    #: The agent restarted since, has forgotten attempts of that age, or the
-    #: upstream broke off in the middle.
+    #: The agent has restarted since, it has evicted records of that age, or
+    #: the upstream failed in the middle.
     UNKNOWN = 'unknown'
 
 
 class SealReply(Struct, frozen=True):
-    """The verdict, and the answer of an attempt that ran if it was kept."""
+    """The verdict, and the stored response of an attempt that ran, if any."""
 
     verdict: SealVerdict
     answer: StoredAnswer | None = None
--- a/src/snipebend/delivery/outcomes.py
+++ b/src/snipebend/delivery/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a request, as far as it could be proved."""
+"""Whether a request ran, as far as it could be proved."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Outcome(Enum):
-    """The outcome that every refusal and error carries."""
+    """The outcome reported with every refusal and error."""
 
     #: Proven: no execution was started, and none will be.
     NOT_RUN = 'not-run'
-    #: The request ran, although its answer can't be given (again).
+    #: The request ran, although its response is not available (any more).
     RAN = 'ran'
     #: Neither could be proved.
     UNKNOWN = 'unknown'
--- a/src/snipebend/delivery/phases.py
+++ b/src/snipebend/delivery/phases.py
@@ -1,4 +1,4 @@
-"""The phases of a request's life at an entry."""
+"""The phases of a request's lifecycle at an entry."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class Idle(NamedTuple):
-    """The request hasn't arrived."""
+    """The request has not arrived."""
 
 
 class Choosing(NamedTuple):
-    """Routing was asked for an upstream."""
+    """Waits for routing to choose an upstream."""
 
 
 class AskingRetry(NamedTuple):
-    """The retry budget was asked; ``refusal`` is for the case of a no."""
+    """Waits for the retry budget; ``refusal`` applies if it denies."""
 
     refusal: Refuse
 
 
 class Claiming(NamedTuple):
-    """The key was asked for.
+    """Waits for the reply to a claim of the key.
 
-    Without a ``target`` it is only looked up, for a true ``refusal``. A claim
-    that got no answer is sent again ``tries_left`` times.
+    Without a ``target`` the key is only looked up, so that ``refusal`` carries
+    a proved outcome. A claim without a reply is resent ``tries_left`` times.
     """
 
     attempt: int
@@ -38,14 +38,14 @@
 
 
 class Attempting(NamedTuple):
-    """An attempt is under way."""
+    """An attempt is in flight."""
 
     attempt: int
     target: Target
 
 
 class SealingOwn(NamedTuple):
-    """The agent was asked what became of our attempt."""
+    """Waits for the agent's reply about this request's attempt."""
 
     attempt: int
     target: Target
@@ -53,33 +53,33 @@
 
 
 class SealingHolder(NamedTuple):
-    """The agent of the attempt that holds the key was asked about it."""
+    """Waits for the reply about the attempt that holds the key."""
 
     holder: Holder
     claiming: Claiming
 
 
 class TryAgain(NamedTuple):
-    """After settling: ask for another attempt, else refuse."""
+    """After settling: request another attempt, or refuse if denied."""
 
     refusal: Refuse
 
 
 class ClaimAgain(NamedTuple):
-    """After settling the holder's attempt: claim what was claimed before."""
+    """After settling the holder's attempt: claim the key again."""
 
     claiming: Claiming
 
 
-class Leave(NamedTuple):
-    """After settling: nothing."""
+class EndRequest(NamedTuple):
+    """After settling: end the request."""
 
 
-AfterSettling: TypeAlias = TryAgain | ClaimAgain | Leave
+AfterSettling: TypeAlias = TryAgain | ClaimAgain | EndRequest
 
 
 class Settling(NamedTuple):
-    """A settlement was sent; ``tries_left`` bounds its resends."""
+    """Waits for the reply to a settlement; ``tries_left`` bounds resends."""
 
     request: SettleRequest
     tries_left: int
@@ -87,7 +87,7 @@
 
 
 class Ended(NamedTuple):
-    """Nothing is awaited any more."""
+    """The request has ended and nothing is awaited."""
 
 
 Phase: TypeAlias = (
--- a/src/snipebend/delivery/refusals.py
+++ b/src/snipebend/delivery/refusals.py
@@ -1,4 +1,4 @@
-"""The refusals and problems that a caller can be given."""
+"""The refusals that a caller can receive."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from snipebend.delivery.attempt_events import AttemptRefused
     from snipebend.delivery.events import NoUpstream
 
-#: Seconds after which a resend may find the answer of a call that runs.
+#: Seconds after which a resend may find the response of a running call.
 IN_PROGRESS_RETRY_S = 1.0
 
 
 def no_upstream(event: NoUpstream) -> Refuse:
-    """Nobody can take the request."""
+    """No upstream can take the request."""
     return Refuse(
         event.status,
         Outcome.NOT_RUN,
@@ -29,7 +29,7 @@
 
 
 def attempt_refused(event: AttemptRefused) -> Refuse:
-    """The agent didn't start the attempt."""
+    """The agent did not start the attempt."""
     is_late = event.reason is RefusalReason.DEADLINE_PASSED
     return Refuse(
         HTTPStatus.GATEWAY_TIMEOUT
@@ -42,8 +42,8 @@
     )
 
 
-def attempt_lost(outcome: Outcome) -> Refuse:
-    """The attempt broke before an answer came."""
+def attempt_broken(outcome: Outcome) -> Refuse:
+    """The attempt failed before a complete response arrived."""
     return Refuse(
         HTTPStatus.BAD_GATEWAY,
         outcome,
@@ -53,7 +53,7 @@
 
 
 def in_progress() -> Refuse:
-    """The request runs; its answer will be kept for a resend of the key."""
+    """The request is running; its response is stored for resends of the key."""
     return Refuse(
         HTTPStatus.CONFLICT,
         Outcome.UNKNOWN,
@@ -64,7 +64,7 @@
 
 
 def ran() -> Refuse:
-    """The request ran, but its answer isn't kept."""
+    """The request ran, but its response is not stored."""
     return Refuse(
         HTTPStatus.CONFLICT,
         Outcome.RAN,
@@ -74,7 +74,7 @@
 
 
 def unknown() -> Refuse:
-    """Nobody can tell whether the request ran; it won't run again."""
+    """Whether the request ran is unknown; it will not run again."""
     return Refuse(
         HTTPStatus.CONFLICT,
         Outcome.UNKNOWN,
@@ -84,7 +84,7 @@
 
 
 def key_mismatch() -> Refuse:
-    """The key belongs to another request."""
+    """The idempotency key was used with another request."""
     return Refuse(
         HTTPStatus.UNPROCESSABLE_ENTITY,
         Outcome.NOT_RUN,
@@ -94,7 +94,7 @@
 
 
 def claim_failed(retry_after: float) -> Refuse:
-    """The key can't be looked up, so an earlier sending may have run."""
+    """The key cannot be looked up, so an earlier request may have run."""
     return Refuse(
         HTTPStatus.SERVICE_UNAVAILABLE,
         Outcome.UNKNOWN,
@@ -105,7 +105,7 @@
 
 
 def deadline_reached() -> Refuse:
-    """The request's time is over."""
+    """The request's deadline has passed."""
     return Refuse(
         HTTPStatus.GATEWAY_TIMEOUT,
         Outcome.NOT_RUN,
--- a/src/snipebend/delivery/life.py
+++ b/src/snipebend/delivery/request_context.py
@@ -1,10 +1,10 @@
-"""What the phases of one request's life share."""
+"""The state that all phases of one request share."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from snipebend.delivery.caller_side import CallerSide
+from snipebend.delivery.caller_response import CallerResponse
 from snipebend.delivery.outcomes import Outcome
 from snipebend.delivery.phases import Ended, Idle
 from snipebend.delivery.stream import BodyCopy, ChunkSequencer
@@ -18,29 +18,29 @@
     from snipebend.delivery.phases import Phase
 
 
-class Proof:
-    """What is proved so far about the request not having run."""
+class NotRunProof:
+    """Tracks whether it is proved that the request has not run."""
 
     def __init__(self, *, needs_claim: bool) -> None:
-        """Prove nothing about a key that wasn't looked up."""
-        #: An earlier sending of the same key may have run.
-        self.key_in_doubt = needs_claim
-        #: One of our own attempts may have run.
-        self.attempt_in_doubt = False
+        """Start without proof for a key that was not looked up."""
+        #: An earlier request with the same key may have run.
+        self.key_may_have_run = needs_claim
+        #: An attempt of this request may have run.
+        self.attempt_may_have_run = False
 
     @property
     def outcome(self) -> Outcome:
-        """Return the outcome of a request that is given up between attempts."""
-        if self.key_in_doubt or self.attempt_in_doubt:
+        """Return the outcome of a request that ends between attempts."""
+        if self.key_may_have_run or self.attempt_may_have_run:
             return Outcome.UNKNOWN
         return Outcome.NOT_RUN
 
 
-class IncomingAnswer:
-    """The answer of the current attempt: head, order and a copy of chunks."""
+class IncomingResponse:
+    """The response of the current attempt: head, ordered chunks and a copy."""
 
     def __init__(self, limits: DeliveryLimits, next_seq: int) -> None:
-        """Expect the chunk ``next_seq`` first."""
+        """Create a response whose first chunk is ``next_seq``."""
         self.head: RelayHead | None = None
         self.body = BodyCopy(limits.max_stored_bytes)
         self.chunks = ChunkSequencer(
@@ -50,34 +50,34 @@
         )
 
 
-class Life:
-    """One request: its facts, its phase, and the answer under way."""
+class RequestContext:
+    """One request: its attributes, its phase and its current response."""
 
     def __init__(self, facts: RequestFacts, limits: DeliveryLimits) -> None:
-        """Start with a request that nothing was done for."""
+        """Create the context of a request that has just arrived."""
         self.facts = facts
         self.limits = limits
         self.phase: Phase = Idle()
-        self.caller = CallerSide()
-        self.proof = Proof(needs_claim=facts.is_claimed)
+        self.caller = CallerResponse()
+        self.proof = NotRunProof(needs_claim=facts.is_claimed)
         self.last_attempt = 0
-        self.holders_asked = 0
+        self.holders_queried = 0
         self.excluded: frozenset[str] = frozenset()
         self.now = float('-inf')
-        self.answer = IncomingAnswer(limits, 0)
+        self.answer = IncomingResponse(limits, 0)
 
     @property
     def is_claimed(self) -> bool:
-        """Tell whether attempts need a claim."""
+        """Return whether attempts require a claim."""
         return self.facts.is_claimed
 
-    def begin(self, now: float, rng: Random) -> None:
-        """Note the time and the source of randomness of one step."""
+    def begin_step(self, now: float, rng: Random) -> None:
+        """Set the time and the random source of one step."""
         self.now = now
         self.rng = rng
 
-    def jittered(self, seconds: float) -> float:
-        """Return up to half as much again, so that callers spread out."""
+    def with_jitter(self, seconds: float) -> float:
+        """Return the delay plus up to a half, to spread callers' retries."""
         return seconds * (1 + self.rng.random() / 2)
 
     def next_attempt(self) -> int:
@@ -85,11 +85,11 @@
         self.last_attempt += 1
         return self.last_attempt
 
-    def expect_rest(self) -> None:
-        """Expect the answer of a new attempt, from its first missing chunk."""
+    def expect_remaining_chunks(self) -> None:
+        """Expect a new attempt's response from the first missing chunk."""
         next_seq = self.answer.chunks.next_seq
-        self.answer = IncomingAnswer(self.limits, next_seq)
+        self.answer = IncomingResponse(self.limits, next_seq)
 
     def end(self) -> None:
-        """Await nothing more."""
+        """Enter the final phase, in which nothing is awaited."""
         self.phase = Ended()
--- a/src/snipebend/delivery/request_machine.py
+++ b/src/snipebend/delivery/request_machine.py
@@ -1,6 +1,7 @@
-"""The life of one caller's request at an entry, as a pure state machine.
+"""The lifecycle of one caller's request at an entry, as a state machine.
 
-``docs/design/0004-request-life.md`` has the phases and the reasons.
+Performs no I/O. ``docs/design/0004-request-life.md`` describes the phases and
+the reasons.
 """
 
 from __future__ import annotations
@@ -13,15 +14,18 @@
 from snipebend.delivery.claiming import on_claiming, on_sealing_holder
 from snipebend.delivery.events import (
     Arrived,
-    CallerGone,
+    CallerDisconnected,
     DeadlineReached,
     NoUpstream,
     RetryDenied,
     RetryGranted,
     UpstreamChosen,
 )
-from snipebend.delivery.giving_up import on_caller_gone, on_deadline
-from snipebend.delivery.life import Life
+from snipebend.delivery.early_termination import (
+    on_caller_disconnected,
+    on_deadline,
+)
+from snipebend.delivery.request_context import RequestContext
 from snipebend.delivery.phases import (
     AskingRetry,
     Attempting,
@@ -44,29 +48,29 @@
 
 
 class RequestMachine:
-    """Decides what is done next for one request.
+    """Decides the next actions for one request.
 
-    The first event is ``Arrived``. The driver runs the actions and reports
-    back by events until ``done``; it may forget the machine then.
+    The first event is ``Arrived``. The driver performs the actions and reports
+    their results as events until ``done``; it can then drop the machine.
     """
 
     def __init__(self, limits: DeliveryLimits) -> None:
-        """Wait for the request."""
+        """Create a machine that waits for ``Arrived``."""
         self._limits = limits
-        self._life: Life | None = None
+        self._life: RequestContext | None = None
 
     @property
     def done(self) -> bool:
-        """Tell whether nothing more is awaited or to be settled."""
+        """Return whether nothing is awaited and nothing is left to settle."""
         return self._life is not None and isinstance(self._life.phase, Ended)
 
     def step(self, event: Event, now: float, rng: Random) -> list[Action]:
-        """Take one event at wall time ``now`` in seconds."""
+        """Handle one event at wall time ``now`` in seconds."""
         if isinstance(event, Arrived):
             return self._arrive(event, now, rng)
         if self._life is None:
             return []
-        self._life.begin(now, rng)
+        self._life.begin_step(now, rng)
         return _dispatch(self._life, event)
 
     def _arrive(
@@ -78,64 +82,66 @@
         cap = now + self._limits.max_deadline_s
         deadline_at = min(event.request.deadline_at, cap)
         facts = event.request._replace(deadline_at=deadline_at)
-        self._life = Life(facts, self._limits)
-        self._life.begin(now, rng)
+        self._life = RequestContext(facts, self._limits)
+        self._life.begin_step(now, rng)
         return [SetTimer(deadline_at), *choose(self._life)]
 
 
-def _dispatch(life: Life, event: Event) -> list[Action]:
-    if isinstance(event, CallerGone):
-        return on_caller_gone(life)
+def _dispatch(context: RequestContext, event: Event) -> list[Action]:
+    if isinstance(event, CallerDisconnected):
+        return on_caller_disconnected(context)
     if isinstance(event, DeadlineReached):
-        return on_deadline(life)
-    match life.phase:
+        return on_deadline(context)
+    match context.phase:
         case Choosing():
-            return _on_choosing(life, event)
+            return _on_choosing(context, event)
         case AskingRetry() as asking:
-            return _on_asking(life, asking, event)
+            return _on_asking(context, asking, event)
         case Attempting() as attempting:
-            return on_attempting(life, attempting, event)
-    return _dispatch_proofs(life, event)
+            return on_attempting(context, attempting, event)
+    return _dispatch_claims(context, event)
 
 
-def _dispatch_proofs(life: Life, event: Event) -> list[Action]:
-    match life.phase:
+def _dispatch_claims(context: RequestContext, event: Event) -> list[Action]:
+    match context.phase:
         case Claiming() as claiming:
-            return on_claiming(life, claiming, event)
+            return on_claiming(context, claiming, event)
         case SealingOwn() as sealing:
-            return on_sealing_own(life, sealing, event)
+            return on_sealing_own(context, sealing, event)
         case SealingHolder() as sealing_holder:
-            return on_sealing_holder(life, sealing_holder, event)
+            return on_sealing_holder(context, sealing_holder, event)
         case Settling() as settling:
-            return on_settling(life, settling, event)
+            return on_settling(context, settling, event)
     return []
 
 
-def _on_choosing(life: Life, event: Event) -> list[Action]:
+def _on_choosing(context: RequestContext, event: Event) -> list[Action]:
     match event:
         case UpstreamChosen(target=target):
-            if life.is_claimed:
-                return claim(life, target, refusals.deadline_reached())
-            return send(life, life.next_attempt(), target)
+            if context.is_claimed:
+                return claim(context, target, refusals.deadline_reached())
+            return send(context, context.next_attempt(), target)
         case NoUpstream():
-            return _on_no_upstream(life, event)
+            return _on_no_upstream(context, event)
     return []
 
 
-def _on_no_upstream(life: Life, event: NoUpstream) -> list[Action]:
+def _on_no_upstream(context: RequestContext, event: NoUpstream) -> list[Action]:
     refusal = refusals.no_upstream(event)
-    if life.proof.key_in_doubt:
-        # An earlier sending may have run: look the key up before refusing,
-        # for a true outcome or the kept answer.
-        return claim(life, None, refusal)
-    return refuse(life, refusal)
+    if context.proof.key_may_have_run:
+        # An earlier request may have run: look up the key before refusing, to
+        # report a proved outcome or send the stored response.
+        return claim(context, None, refusal)
+    return refuse(context, refusal)
 
 
-def _on_asking(life: Life, phase: AskingRetry, event: Event) -> list[Action]:
+def _on_asking(
+    context: RequestContext, phase: AskingRetry, event: Event
+) -> list[Action]:
     match event:
         case RetryGranted():
-            return choose(life)
+            return choose(context)
         case RetryDenied(retry_after=retry_after):
             longest = max(retry_after, phase.refusal.retry_after)
-            return refuse(life, phase.refusal._replace(retry_after=longest))
+            return refuse(context, phase.refusal._replace(retry_after=longest))
     return []
--- a/src/snipebend/delivery/settling.py
+++ b/src/snipebend/delivery/settling.py
@@ -1,4 +1,4 @@
-"""What a seal of our own attempt and a settlement lead to."""
+"""Handles replies to seals of this request's attempts and to settlements."""
 
 from __future__ import annotations
 
@@ -14,98 +14,112 @@
 )
 from snipebend.delivery.claiming import claim_again
 from snipebend.delivery.messages import SealVerdict
-from snipebend.delivery.phases import ClaimAgain, Leave, Settling, TryAgain
+from snipebend.delivery.phases import ClaimAgain, EndRequest, Settling, TryAgain
 from snipebend.delivery.transitions import (
     ask_retry,
-    not_run,
+    continue_after_not_run,
     refuse,
-    settle_and_leave,
+    settle_and_end,
 )
 from snipebend.state.claims import Settlement
 
 if TYPE_CHECKING:
     from snipebend.delivery.actions import Action
     from snipebend.delivery.events import Event
-    from snipebend.delivery.life import Life
+    from snipebend.delivery.request_context import RequestContext
     from snipebend.delivery.messages import SealReply
     from snipebend.delivery.phases import SealingOwn
 
 
-def on_sealing_own(life: Life, phase: SealingOwn, event: Event) -> list[Action]:
-    """Take what the agent knows of our attempt."""
+def on_sealing_own(
+    context: RequestContext, phase: SealingOwn, event: Event
+) -> list[Action]:
+    """Handle the agent's reply about this request's attempt."""
     match event:
         case SealAnswered(request_id=request_id, attempt=attempt, reply=reply):
-            if (request_id, attempt) == (life.facts.request_id, phase.attempt):
-                return _on_seal(life, phase, reply)
+            if (request_id, attempt) == (
+                context.facts.request_id,
+                phase.attempt,
+            ):
+                return _on_seal(context, phase, reply)
         case SealFailed(request_id=request_id, attempt=attempt):
-            if (request_id, attempt) == (life.facts.request_id, phase.attempt):
-                # The claim is left to stand: a resend asks the agent again.
-                return _end_unsettled(life, phase)
+            if (request_id, attempt) == (
+                context.facts.request_id,
+                phase.attempt,
+            ):
+                # The claim stays in place: a resend queries the agent again.
+                return _end_unsettled(context, phase)
     return []
 
 
-def on_settling(life: Life, phase: Settling, event: Event) -> list[Action]:
-    """Go on once a settlement was answered, or give it up."""
+def on_settling(
+    context: RequestContext, phase: Settling, event: Event
+) -> list[Action]:
+    """Continue after the reply to a settlement; resend or give up if none."""
     request = phase.request
     match event:
         case SettleAnswered(request_id=request_id, attempt=attempt):
             if (request_id, attempt) == (request.request_id, request.attempt):
-                return _on_settled(life, phase)
+                return _on_settled(context, phase)
         case SettleFailed(request_id=request_id, attempt=attempt):
             if (request_id, attempt) == (request.request_id, request.attempt):
-                return _on_failed(life, phase)
+                return _on_failed(context, phase)
     return []
 
 
-def _on_seal(life: Life, phase: SealingOwn, reply: SealReply) -> list[Action]:
+def _on_seal(
+    context: RequestContext, phase: SealingOwn, reply: SealReply
+) -> list[Action]:
     match reply.verdict:
         case SealVerdict.NOT_RUN:
-            return not_run(life, phase.attempt, phase.refusal)
+            return continue_after_not_run(context, phase.attempt, phase.refusal)
         case SealVerdict.RUNNING:
-            return _end_unsettled(life, phase)
+            return _end_unsettled(context, phase)
         case SealVerdict.UNKNOWN:
-            final = life.caller.refuse(phase.refusal)
+            final = context.caller.refuse(phase.refusal)
             settlement = Settlement.UNKNOWN
         case SealVerdict.RAN:
-            final = _give_answer(life, reply)
+            final = _send_answer(context, reply)
             settlement = Settlement.RAN
-    ending = settle_and_leave(life, phase.attempt, settlement, reply.answer)
-    return [*final, *ending]
+    settlement_actions = settle_and_end(
+        context, phase.attempt, settlement, reply.answer
+    )
+    return [*final, *settlement_actions]
 
 
-def _end_unsettled(life: Life, phase: SealingOwn) -> list[Action]:
-    life.end()
-    if life.is_claimed:
-        return life.caller.refuse(refusals.in_progress())
-    return life.caller.refuse(phase.refusal)
+def _end_unsettled(context: RequestContext, phase: SealingOwn) -> list[Action]:
+    context.end()
+    if context.is_claimed:
+        return context.caller.refuse(refusals.in_progress())
+    return context.caller.refuse(phase.refusal)
 
 
-def _give_answer(life: Life, reply: SealReply) -> list[Action]:
+def _send_answer(context: RequestContext, reply: SealReply) -> list[Action]:
     if reply.answer is None:
-        return life.caller.refuse(refusals.ran())
-    return life.caller.answer_stored(reply.answer)
+        return context.caller.refuse(refusals.ran())
+    return context.caller.send_stored(reply.answer)
 
 
-def _on_settled(life: Life, phase: Settling) -> list[Action]:
+def _on_settled(context: RequestContext, phase: Settling) -> list[Action]:
     match phase.after:
         case TryAgain(refusal=refusal):
-            return ask_retry(life, refusal)
+            return ask_retry(context, refusal)
         case ClaimAgain(claiming=claiming):
-            return claim_again(life, claiming)
-        case Leave():
-            life.end()
+            return claim_again(context, claiming)
+        case EndRequest():
+            context.end()
             return []
 
 
-def _on_failed(life: Life, phase: Settling) -> list[Action]:
+def _on_failed(context: RequestContext, phase: Settling) -> list[Action]:
     if phase.tries_left > 0:
-        life.phase = phase._replace(tries_left=phase.tries_left - 1)
+        context.phase = phase._replace(tries_left=phase.tries_left - 1)
         return [Settle(phase.request)]
     match phase.after:
         case TryAgain(refusal=refusal):
-            return refuse(life, refusal)
+            return refuse(context, refusal)
         case ClaimAgain(claiming=claiming):
-            return refuse(life, claiming.refusal)
-        case Leave():
-            life.end()
+            return refuse(context, claiming.refusal)
+        case EndRequest():
+            context.end()
             return []
--- a/src/snipebend/delivery/suspect_lease.py
+++ b/src/snipebend/delivery/suspect_lease.py
@@ -1,81 +1,89 @@
-"""One request's right to run while it is suspected of killing upstreams (pure).
-
-The lease is a committed fence of the request's fingerprint, so that one entry
-at a time runs it. It lasts for the request's whole time and needs no renewal:
-an entry that is cut off from control can't outlive it. It is given back early
-only after an attempt that is known to have ended without harm. After a death,
-or an attempt whose end nobody saw, it runs out: by then the death is counted
-and the attempt's own deadline has passed.
+"""The lease that a request needs while it is suspected of killing upstreams.
+
+The lease is a committed fence on the request's fingerprint, so that only one
+entry runs it at a time. It covers the request's full duration and needs no
+renewal: an entry that is cut off from control cannot exceed it. It is released
+early only after an attempt that is known to have ended without harm. After a
+death, or after an attempt whose end was not observed, the lease expires by
+itself: by then the death has been counted and the attempt's deadline has
+passed. Performs no I/O.
 """
 
 from __future__ import annotations
 
 from snipebend.state.fences import SUSPECT_PREFIX, FenceReply, FenceRequest
 
-#: Seconds that a lease outlasts its request, for the news of a last death.
-NEWS_S = 5.0
+#: Seconds that a lease outlasts its request, so that a last death is reported
+#: before another entry runs the request.
+DEATH_REPORT_GRACE_S = 5.0
 
 
 class SuspectLease:
-    """Decides whether an attempt may start and when the lease is given back."""
+    """Decides whether an attempt can start and when the lease is released."""
 
     def __init__(
         self, fingerprint: str, holder: str, deadline_at: float
     ) -> None:
-        """Hold nothing; ``holder`` is this request's alone, in wall time."""
+        """Create a lease that is not held.
+
+        ``holder`` is unique to this request; ``deadline_at`` is wall time.
+        """
         self.fingerprint = fingerprint
-        self.expires_at = deadline_at + NEWS_S
+        self.expires_at = deadline_at + DEATH_REPORT_GRACE_S
         self._holder = holder
-        self._asked = False
-        self._held = False
-        self._is_open = False
-        self._killed = False
+        self._is_requested = False
+        self._is_held = False
+        self._is_in_doubt = False
+        self._has_killed = False
 
     @property
     def is_held(self) -> bool:
-        """Tell whether the lease was granted."""
-        return self._held
+        """Return whether the lease was granted."""
+        return self._is_held
 
     @property
     def has_killed(self) -> bool:
-        """Tell whether the last attempt ended with its upstream."""
-        return self._killed
+        """Return whether the upstream died in the last attempt."""
+        return self._has_killed
 
-    def ask(self) -> FenceRequest:
-        """Return the question for the lease."""
-        self._asked = True
+    def build_request(self) -> FenceRequest:
+        """Return the request to acquire the lease."""
+        self._is_requested = True
         return self._request(releases=False)
 
-    def answered(self, reply: FenceReply, now: float) -> float:
-        """Take the answer; return the seconds that another's lease runs."""
-        self._held = reply.granted
+    def apply_reply(self, reply: FenceReply, now: float) -> float:
+        """Apply the reply; return the seconds left of another's lease."""
+        self._is_held = reply.granted
         return 0 if reply.granted else max(0, reply.lease_until - now)
 
     def blocked_for(self, now: float) -> float:
-        """Return the seconds for which an attempt in doubt bars the next."""
-        return max(0, self.expires_at - now) if self._is_open else 0
-
-    def note_start(self) -> None:
-        """Note that an attempt is handed over."""
-        self._is_open = True
-
-    def note_end(self) -> None:
-        """Note that the attempt never ran."""
-        self._is_open = False
-
-    def note_served(self) -> None:
-        """Note that the attempt ran to its end, which clears the request."""
-        self._is_open = False
-        self._killed = False
-
-    def note_death(self) -> None:
-        """Note that the attempt ended with its upstream."""
-        self._is_open = False
-        self._killed = True
-
-    def give_back(self) -> FenceRequest | None:
-        """Return the release; None where the lease has to run out."""
-        if not self._asked or self._is_open or self._killed:
+        """Return the seconds until another attempt is allowed.
+
+        An attempt that may still run blocks the next one.
+        """
+        return max(0, self.expires_at - now) if self._is_in_doubt else 0
+
+    def record_start(self) -> None:
+        """Record that an attempt is being sent."""
+        self._is_in_doubt = True
+
+    def record_not_run(self) -> None:
+        """Record that the attempt never ran."""
+        self._is_in_doubt = False
+
+    def record_served(self) -> None:
+        """Record that the attempt ran to its end, which clears the request."""
+        self._is_in_doubt = False
+        self._has_killed = False
+
+    def record_death(self) -> None:
+        """Record that the upstream died in the attempt."""
+        self._is_in_doubt = False
+        self._has_killed = True
+
+    def build_release(self) -> FenceRequest | None:
+        """Return the request to release the lease; None if it must expire."""
+        if not self._is_requested or self._is_in_doubt or self._has_killed:
             return None
         return self._request(releases=True)
 
--- a/src/snipebend/delivery/transitions.py
+++ b/src/snipebend/delivery/transitions.py
@@ -1,4 +1,4 @@
-"""Steps from one phase of a request's life to the next."""
+"""Transitions between the phases of a request's lifecycle."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     Attempting,
     Choosing,
     Claiming,
-    Leave,
+    EndRequest,
     SealingHolder,
     SealingOwn,
     Settling,
@@ -29,123 +29,128 @@
 if TYPE_CHECKING:
     from snipebend.delivery.actions import Action, Refuse
     from snipebend.delivery.facts import Target
-    from snipebend.delivery.life import Life
+    from snipebend.delivery.request_context import RequestContext
     from snipebend.delivery.phases import AfterSettling
     from snipebend.state.claims import Holder, SettleRequest, StoredAnswer
 
 
-def choose(life: Life) -> list[Action]:
-    """Ask for an upstream."""
-    life.phase = Choosing()
-    return [ChooseUpstream(life.excluded)]
+def choose(context: RequestContext) -> list[Action]:
+    """Request an upstream from routing."""
+    context.phase = Choosing()
+    return [ChooseUpstream(context.excluded)]
 
 
-def claim(life: Life, target: Target | None, refusal: Refuse) -> list[Action]:
-    """Claim the key for a new attempt, or look it up without a target."""
-    attempt = life.next_attempt()
-    tries_left = life.limits.claim_tries - 1
-    life.phase = Claiming(attempt, target, refusal, tries_left)
-    # Whoever got the key since it was last ours may have run.
-    life.proof.key_in_doubt = True
-    return [claim_action(life, attempt, target)]
-
-
-def repeat_claim(life: Life, claiming: Claiming) -> list[Action]:
-    """Send the same claim again; the store grants an attempt once only."""
+def claim(
+    context: RequestContext, target: Target | None, refusal: Refuse
+) -> list[Action]:
+    """Claim the key for a new attempt; without a target, only look it up."""
+    attempt = context.next_attempt()
+    tries_left = context.limits.claim_tries - 1
+    context.phase = Claiming(attempt, target, refusal, tries_left)
+    # Another request may have got the key since this one last held it, and
+    # may have run.
+    context.proof.key_may_have_run = True
+    return [claim_action(context, attempt, target)]
+
+
+def repeat_claim(context: RequestContext, claiming: Claiming) -> list[Action]:
+    """Resend the same claim; the store grants an attempt only once."""
     tries_left = claiming.tries_left - 1
-    life.phase = claiming._replace(tries_left=tries_left)
-    return [claim_action(life, claiming.attempt, claiming.target)]
+    context.phase = claiming._replace(tries_left=tries_left)
+    return [claim_action(context, claiming.attempt, claiming.target)]
 
 
-def send(life: Life, attempt: int, target: Target) -> list[Action]:
-    """Send an attempt, from the first chunk that the caller lacks."""
-    life.phase = Attempting(attempt, target)
-    life.expect_rest()
+def send(context: RequestContext, attempt: int, target: Target) -> list[Action]:
+    """Send an attempt that starts at the first chunk the caller lacks."""
+    context.phase = Attempting(attempt, target)
+    context.expect_remaining_chunks()
     ticket = AttemptTicket(
-        request_id=life.facts.request_id,
+        request_id=context.facts.request_id,
         attempt=attempt,
         incarnation=target.incarnation,
-        deadline_at=life.facts.deadline_at,
-        keep_answer=not life.facts.repeatable,
-        resume_from=life.answer.chunks.next_seq,
+        deadline_at=context.facts.deadline_at,
+        keep_answer=not context.facts.repeatable,
+        resume_from=context.answer.chunks.next_seq,
         alone=target.alone,
     )
     return [SendAttempt(target, ticket)]
 
 
-def ask_retry(life: Life, refusal: Refuse) -> list[Action]:
-    """Ask the retry budget, unless the caller has its answer already."""
-    if life.caller.is_closed:
-        life.end()
+def ask_retry(context: RequestContext, refusal: Refuse) -> list[Action]:
+    """Request a retry, unless the caller already has its final response."""
+    if context.caller.is_closed:
+        context.end()
         return []
-    if _is_out_of_attempts(life):
-        return refuse(life, refusal)
-    life.phase = AskingRetry(refusal)
+    if _has_no_attempts_left(context):
+        return refuse(context, refusal)
+    context.phase = AskingRetry(refusal)
     return [AskRetry()]
 
 
-def refuse(life: Life, refusal: Refuse) -> list[Action]:
-    """Give the refusal with the outcome as far as it is proved; end."""
-    life.end()
-    proved = refusal._replace(outcome=life.proof.outcome)
-    return life.caller.refuse(proved)
+def refuse(context: RequestContext, refusal: Refuse) -> list[Action]:
+    """Refuse with the outcome as far as it is proved, and end."""
+    context.end()
+    proved = refusal._replace(outcome=context.proof.outcome)
+    return context.caller.refuse(proved)
 
 
-def not_run(life: Life, attempt: int, refusal: Refuse) -> list[Action]:
-    """Go on after an attempt that is proved not to have run."""
-    life.proof.key_in_doubt = False
-    if life.is_claimed:
-        request = own_settlement(life, attempt, Settlement.NOT_RUN)
-        return settle(life, request, TryAgain(refusal))
-    return ask_retry(life, refusal)
+def continue_after_not_run(
+    context: RequestContext, attempt: int, refusal: Refuse
+) -> list[Action]:
+    """Continue after an attempt that is proved not to have run."""
+    context.proof.key_may_have_run = False
+    if context.is_claimed:
+        request = own_settlement(context, attempt, Settlement.NOT_RUN)
+        return settle(context, request, TryAgain(refusal))
+    return ask_retry(context, refusal)
 
 
 def settle(
-    life: Life,
+    context: RequestContext,
     request: SettleRequest,
     after: AfterSettling,
 ) -> list[Action]:
-    """Settle a claim and go on once that is answered."""
-    life.phase = Settling(request, life.limits.settle_tries - 1, after)
+    """Settle a claim, and continue with ``after`` once it is answered."""
+    context.phase = Settling(request, context.limits.settle_tries - 1, after)
     return [Settle(request)]
 
 
-def settle_and_leave(
-    life: Life,
+def settle_and_end(
+    context: RequestContext,
     attempt: int,
     settlement: Settlement,
     answer: StoredAnswer | None = None,
 ) -> list[Action]:
-    """Settle our own attempt as the last thing to do, if it is claimed."""
-    if not life.is_claimed:
-        life.end()
+    """Settle this request's attempt, if it is claimed, and then end."""
+    if not context.is_claimed:
+        context.end()
         return []
-    request = own_settlement(life, attempt, settlement, answer)
-    return settle(life, request, Leave())
+    request = own_settlement(context, attempt, settlement, answer)
+    return settle(context, request, EndRequest())
 
 
 def seal_own(
-    life: Life, attempting: Attempting, refusal: Refuse
+    context: RequestContext, attempting: Attempting, refusal: Refuse
 ) -> list[Action]:
-    """Ask what became of our own attempt."""
-    life.phase = SealingOwn(attempting.attempt, attempting.target, refusal)
+    """Query the outcome of this request's attempt."""
+    context.phase = SealingOwn(attempting.attempt, attempting.target, refusal)
     request = SealRequest(
-        life.facts.request_id,
+        context.facts.request_id,
         attempting.attempt,
         attempting.target.incarnation,
-        life.facts.deadline_at,
+        context.facts.deadline_at,
     )
     return [Seal(attempting.target.grpc_address, request)]
 
 
 def seal_holder(
-    life: Life,
+    context: RequestContext,
     holder: Holder,
     claiming: Claiming,
 ) -> list[Action]:
-    """Ask what became of the attempt that holds the key."""
-    life.holders_asked += 1
-    life.phase = SealingHolder(holder, claiming)
+    """Query the outcome of the attempt that holds the key."""
+    context.holders_queried += 1
+    context.phase = SealingHolder(holder, claiming)
     request = SealRequest(
         holder.request_id,
         holder.attempt,
@@ -155,6 +160,6 @@
     return [Seal(holder.grpc_address, request)]
 
 
-def _is_out_of_attempts(life: Life) -> bool:
-    is_late = life.now >= life.facts.deadline_at
-    return is_late or life.last_attempt >= life.limits.max_attempts
+def _has_no_attempts_left(context: RequestContext) -> bool:
+    is_late = context.now >= context.facts.deadline_at
+    return is_late or context.last_attempt >= context.limits.max_attempts
--- a/src/snipebend/transport/attempt_stream.py
+++ b/src/snipebend/transport/attempt_stream.py
@@ -13,7 +13,7 @@
 from multidict import CIMultiDict
 
 from snipebend.delivery.attempt_events import (
-    AttemptBroke,
+    AttemptBroken,
     AttemptFinished,
     AttemptRefused,
     AttemptStarted,
@@ -134,7 +134,7 @@
             case Broken(attempt=attempt, ran=ran):
                 if frame.died:
                     self.note_death(attempt, frame.alone)
-                return AttemptBroke(attempt, sent=ran)
+                return AttemptBroken(attempt, sent=ran)
             case Declined(attempt=attempt, reason=reason):
                 return AttemptRefused(attempt, reason)
             case Accepted(request_id=request_id):
@@ -155,7 +155,7 @@
             sent,
             exc,
         )
-        await self.post([AttemptBroke(ticket.attempt, sent)])
+        await self.post([AttemptBroken(ticket.attempt, sent)])
 
 
 def _is_last(frame: Frame) -> bool:
--- a/src/snipebend/transport/caller_api.py
+++ b/src/snipebend/transport/caller_api.py
@@ -12,8 +12,8 @@
 from result import Err, Ok, Result
 
 from snipebend.delivery.actions import (
-    AbortAnswer,
-    AnswerStored,
+    AbortResponse,
+    SendStoredResponse,
     Refuse,
     RelayHead,
 )
@@ -171,7 +171,7 @@
             case RelayHead() as head:
                 await self._relay(req, resp, head, record, delivery)
                 return
-            case AnswerStored() as stored:
+            case SendStoredResponse() as stored:
                 record.ended(Outcome.RAN, stored.answer.status)
                 _write_stored(resp, stored)
             case Refuse() as refusal:
@@ -210,7 +210,7 @@
     ) -> AsyncIterator[bytes]:
         try:
             async for piece in delivery.body():
-                if isinstance(piece, AbortAnswer):
+                if isinstance(piece, AbortResponse):
                     record.ended(piece.outcome)
                     yield _error_event(piece) if streams else b''
                     raise BrokenAnswerError
@@ -247,7 +247,7 @@
     resp.media = {'object': 'list', 'data': models}
 
 
-def _write_stored(resp: Response, stored: AnswerStored) -> None:
+def _write_stored(resp: Response, stored: SendStoredResponse) -> None:
     resp.status = falcon.code_to_http_status(stored.answer.status)
     resp.content_type = stored.answer.content_type
     resp.data = stored.answer.body
@@ -265,7 +265,7 @@
     )
 
 
-def _error_event(abort: AbortAnswer) -> bytes:
+def _error_event(abort: AbortResponse) -> bytes:
     problem = Problem(
         HTTPStatus.BAD_GATEWAY,
         'Answer broken off',
--- a/src/snipebend/transport/delivery_driver.py
+++ b/src/snipebend/transport/delivery_driver.py
@@ -7,15 +7,15 @@
 from typing import TYPE_CHECKING, TypeAlias
 
 from snipebend.delivery.actions import (
-    AbortAnswer,
+    AbortResponse,
     Action,
-    AnswerStored,
-    FinishAnswer,
+    SendStoredResponse,
+    FinishResponse,
     Refuse,
     RelayChunk,
     RelayHead,
 )
-from snipebend.delivery.events import Arrived, CallerGone, Event
+from snipebend.delivery.events import Arrived, CallerDisconnected, Event
 from snipebend.delivery.request_machine import RequestMachine
 from snipebend.transport.delivery_io import DeliveryIo, Inbox, Resources
 
@@ -25,8 +25,8 @@
     from snipebend.transport.forward import Outgoing
     from snipebend.transport.routed_request import RoutedRequest
 
-Answer: TypeAlias = RelayHead | Refuse | AnswerStored
-_ToCaller: TypeAlias = Answer | RelayChunk | FinishAnswer | AbortAnswer
+Answer: TypeAlias = RelayHead | Refuse | SendStoredResponse
+_ToCaller: TypeAlias = Answer | RelayChunk | FinishResponse | AbortResponse
 
 
 class Delivery:
@@ -62,27 +62,27 @@
     ) -> Answer | None:
         """Go on until the answer begins; None: the caller is gone."""
         self._inbox.post(Arrived(facts))
-        connection.when_gone(lambda: self._inbox.post(CallerGone()))
+        connection.when_gone(lambda: self._inbox.post(CallerDisconnected()))
         while not self.done:
             output = await self._next_output()
-            if isinstance(output, (RelayHead, Refuse, AnswerStored)):
+            if isinstance(output, (RelayHead, Refuse, SendStoredResponse)):
                 return output
         return None
 
-    async def body(self) -> AsyncIterator[bytes | AbortAnswer]:
+    async def body(self) -> AsyncIterator[bytes | AbortResponse]:
         """Yield the pieces of the body; an abort comes last if it comes."""
         while not self.done:
             output = await self._next_output()
             if isinstance(output, RelayChunk):
                 yield self._join_chunks(output)
-            elif isinstance(output, AbortAnswer):
+            elif isinstance(output, AbortResponse):
                 yield output
-            if isinstance(output, (FinishAnswer, AbortAnswer)):
+            if isinstance(output, (FinishResponse, AbortResponse)):
                 return
 
     async def settle(self) -> None:
         """Do what is left after the caller's answer, and end all tasks."""
-        self._inbox.post(CallerGone())
+        self._inbox.post(CallerDisconnected())
         try:
             while not self._machine.done:
                 await self._pump()
@@ -119,9 +119,11 @@
 
     def _perform(self, action: Action) -> None:
         match action:
-            case RelayHead() | RelayChunk() | FinishAnswer() | AbortAnswer():
+            case (
+                RelayHead() | RelayChunk() | FinishResponse() | AbortResponse()
+            ):
                 self._outputs.append(action)
-            case Refuse() | AnswerStored():
+            case Refuse() | SendStoredResponse():
                 self._outputs.append(action)
             case _:
                 self.io.perform(action)
--- a/src/snipebend/transport/delivery_io.py
+++ b/src/snipebend/transport/delivery_io.py
@@ -18,7 +18,7 @@
     Settle,
 )
 from snipebend.delivery.attempt_events import (
-    AttemptBroke,
+    AttemptBroken,
     AttemptFinished,
     AttemptRefused,
     ChunkArrived,
@@ -166,7 +166,7 @@
                 self._routed.finished(attempt)
             case AttemptRefused(attempt=attempt, reason=reason):
                 self._routed.refused(attempt, reason)
-            case AttemptBroke(attempt=attempt, sent=sent):
+            case AttemptBroken(attempt=attempt, sent=sent):
                 self._routed.broke(attempt, was_sent=sent)
 
     def close(self) -> None:
--- a/src/snipebend/transport/routed_request.py
+++ b/src/snipebend/transport/routed_request.py
@@ -148,7 +148,7 @@
             self._ticket, upstream, self._clock.now()
         )
         if self._lease is not None:
-            self._lease.note_start()
+            self._lease.record_start()
 
     def first_chunk(self, attempt: int) -> None:
         """Note the time to the first chunk."""
@@ -171,7 +171,7 @@
             self._desk.deaths.clear(fingerprint)
             self._desk.on_served(fingerprint, self._lease is not None)
         if self._lease is not None:
-            self._lease.note_served()
+            self._lease.record_served()
 
     def refused(self, attempt: int, reason: RefusalReason) -> None:
         """Report an attempt that the agent didn't start."""
@@ -180,7 +180,7 @@
             return
         self._free_retry = reason in _TAKES_OUT
         if self._lease is not None and reason.proves_not_run:
-            self._lease.note_end()
+            self._lease.record_not_run()
         if reason is RefusalReason.LEAVING:
             self._desk.note_leaving(sent.upstream)
         is_down = reason is RefusalReason.UPSTREAM_DOWN
@@ -201,13 +201,13 @@
             sent.broken = AttemptOutcome.CRASHED
             self._desk.note_down(sent.upstream)
             if self._lease is not None:
-                self._lease.note_death()
+                self._lease.record_death()
 
     def broke(self, attempt: int, *, was_sent: bool) -> None:
         """Report an attempt that broke off."""
         sent = self._sent.pop(attempt, None)
         if self._lease is not None and not was_sent:
-            self._lease.note_end()
+            self._lease.record_not_run()
         if sent is not None:
             self._failed(sent.upstream, sent.broken)
 
--- a/src/snipebend/transport/suspect_leases.py
+++ b/src/snipebend/transport/suspect_leases.py
@@ -61,10 +61,10 @@
         former = self._releasing.get(lease.fingerprint)
         if former is not None:
             await asyncio.wait((former,))
-        answer = await self._control.take_fence(lease.ask())
+        answer = await self._control.take_fence(lease.build_request())
         if answer.is_err():
             return UNASKED_RETRY_S
-        wait_s = lease.answered(answer.unwrap(), self._clock.wall())
+        wait_s = lease.apply_reply(answer.unwrap(), self._clock.wall())
         logger.info(
             'event=suspect_lease fingerprint={} granted={} wait_s={:.1f}',
             lease.fingerprint,
@@ -75,7 +75,7 @@
 
     def close(self, lease: SuspectLease) -> None:
         """Give a lease back if its last attempt allows it."""
-        req = lease.give_back()
+        req = lease.build_release()
         if req is None:
             return
         fingerprint = lease.fingerprint
--- a/src/snipebend/transport/upstream_api.py
+++ b/src/snipebend/transport/upstream_api.py
@@ -12,7 +12,7 @@
 from msgspec import DecodeError, json
 from msgspec.structs import replace
 
-from snipebend.delivery.guard import Guard, GuardLimits, Refused
+from snipebend.delivery.guard import AttemptGuard, GuardLimits, Refused
 from snipebend.delivery.messages import AttemptTicket, SealReply, SealRequest
 from snipebend.kernel.service import Service
 from snipebend.transport.asgi import (
@@ -96,7 +96,7 @@
             'configuration',
             ConfigurationFollower,
         )
-        self._guard = Guard(
+        self._guard = AttemptGuard(
             int(registry.clock.wall() * _MS_PER_S),
             GuardLimits(self._cfg.upstream.max_running),
         )
--- a/tests/delivery/driver.py
+++ b/tests/delivery/driver.py
@@ -1,4 +1,4 @@
-"""The entry's side of a schedule: what the machine asks for, with faults."""
+"""Performs the machine's actions in a schedule, with injected faults."""
 
 from __future__ import annotations
 
@@ -40,49 +40,51 @@
     from snipebend.delivery.actions import Action
     from snipebend.delivery.events import Event
     from snipebend.state.claims import ClaimRequest, SettleRequest
-    from tests.delivery.pieces import Sending
+    from tests.delivery.pieces import SentRequest
     from tests.delivery.world import World
 
-#: Bytes of the longest answer that the claim store keeps.
+#: Size of the longest response that the claim store keeps.
 MAX_STORED_BYTES = 4096
 
 
-def perform(world: World, sending: Sending, action: Action) -> None:
+def perform(world: World, sent_request: SentRequest, action: Action) -> None:
     match action:
         case ChooseUpstream(exclude=exclude):
-            world.later(world.step, sending, _choose(world, exclude))
+            world.later(world.step, sent_request, _choose(world, exclude))
         case AskRetry():
-            granted = world.happens(0.8)
+            granted = world.occurs(0.8)
             answer = RetryGranted() if granted else RetryDenied(2)
-            world.later(world.step, sending, answer)
+            world.later(world.step, sent_request, answer)
         case Claim() | Settle() | Seal():
-            _call(world, sending, action)
+            _call(world, sent_request, action)
         case SendAttempt(target=target, ticket=ticket):
             agent = world.agents[target.upstream]
-            send_attempt(world, sending, agent, ticket)
+            send_attempt(world, sent_request, agent, ticket)
         case CancelAttempt(attempt=attempt):
-            sending.conns[attempt].is_open = False
+            sent_request.conns[attempt].is_open = False
         case RelayChunk(payload=payload):
-            sending.got.append(payload)
+            sent_request.got.append(payload)
         case RelayHead() | SetTimer():
             return
         case final:
-            sending.finals.append(final)
+            sent_request.finals.append(final)
             world.count_final(final)
 
 
 def _choose(world: World, exclude: frozenset[str]) -> Event:
     names = [name for name in world.agents if name not in exclude]
-    if not names or world.happens(world.mix.no_upstream):
+    if not names or world.occurs(world.rates.no_upstream):
         return NoUpstream(retry_after=1)
     name = world.rng.choice(names)
-    return UpstreamChosen(Target(name, world.seen[name], name, name))
+    return UpstreamChosen(
+        Target(name, world.known_incarnations[name], name, name)
+    )
 
 
 def _call(
-    world: World, sending: Sending, action: Claim | Settle | Seal
+    world: World, sent_request: SentRequest, action: Claim | Settle | Seal
 ) -> None:
-    """Make a call whose request or answer may be lost, late or doubled."""
+    """Make a call whose request or reply may be lost, late or duplicated."""
     request = action.request
     match action:
         case Claim():
@@ -94,13 +96,13 @@
         case Seal():
             serve = partial(_seal, world, action)
             failed = SealFailed(request.request_id, request.attempt)
-    fate = world.draw_fate()
-    is_barred = isinstance(action, Seal) and not world.mix.seals_answered
-    if is_barred or fate in {'lost', 'late'}:
-        world.later(world.step, sending, failed)
-    if is_barred:
+    fate = world.choose_fate()
+    is_unanswered = isinstance(action, Seal) and not world.rates.seals_answered
+    if is_unanswered or fate in {'lost', 'late'}:
+        world.later(world.step, sent_request, failed)
+    if is_unanswered:
         return
-    answer = partial(_answer, world, sending, serve, failed)
+    answer = partial(_reply, world, sent_request, serve, failed)
     match fate:
         case 'late':
             world.later(serve)
@@ -111,15 +113,15 @@
             world.later(answer)
 
 
-def _answer(
+def _reply(
     world: World,
-    sending: Sending,
+    sent_request: SentRequest,
     serve: Callable[[], Event],
     failed: Event,
 ) -> None:
     event = serve()
-    is_lost = world.happens(world.mix.lost)
-    world.later(world.step, sending, failed if is_lost else event)
+    is_lost = world.occurs(world.rates.lost)
+    world.later(world.step, sent_request, failed if is_lost else event)
 
 
 def _claim(world: World, request: ClaimRequest) -> Event:
--- a/tests/delivery/engines.py
+++ b/tests/delivery/engines.py
@@ -1,4 +1,4 @@
-"""The way of an attempt to an agent and of its answer back."""
+"""Delivery of attempts to agents, and of their responses to the entry."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from snipebend.delivery.attempt_events import (
-    AttemptBroke,
+    AttemptBroken,
     AttemptFinished,
     AttemptRefused,
     AttemptStarted,
@@ -19,30 +19,30 @@
 if TYPE_CHECKING:
     from snipebend.delivery.attempt_events import AttemptEvent
     from snipebend.delivery.messages import AttemptTicket
-    from tests.delivery.pieces import Agent, Sending
+    from tests.delivery.pieces import Agent, SentRequest
     from tests.delivery.world import World
 
 
 def send_attempt(
     world: World,
-    sending: Sending,
+    sent_request: SentRequest,
     agent: Agent,
     ticket: AttemptTicket,
 ) -> None:
-    conn = Conn(sending, ticket.attempt)
-    sending.conns[ticket.attempt] = conn
-    if world.happens(world.mix.unsent):
-        push(world, conn, AttemptBroke(ticket.attempt, sent=False))
+    conn = Conn(sent_request, ticket.attempt)
+    sent_request.conns[ticket.attempt] = conn
+    if world.occurs(world.rates.unsent):
+        push(world, conn, AttemptBroken(ticket.attempt, sent=False))
         return
-    unread = Conn(sending, ticket.attempt, is_open=False)
+    unread = Conn(sent_request, ticket.attempt, is_open=False)
     arrive = partial(_arrive, world, agent, ticket)
-    fate = world.draw_fate()
+    fate = world.choose_fate()
     if fate in {'lost', 'late'}:
-        push(world, conn, AttemptBroke(ticket.attempt, sent=True))
+        push(world, conn, AttemptBroken(ticket.attempt, sent=True))
     match fate:
         case 'late':
             world.later(arrive, unread)
-        case 'doubled' if world.happens(0.5):
+        case 'doubled' if world.occurs(0.5):
             world.later(arrive, conn, unread)
         case 'doubled':
             world.later(arrive, unread, conn)
@@ -51,31 +51,31 @@
 
 
 def push(world: World, conn: Conn, event: AttemptEvent) -> None:
-    """Put an event on its way; what is under way survives a cancel."""
+    """Queue an event; queued events are delivered despite a cancel."""
     if not conn.is_open:
         return
     is_chunk = isinstance(event, ChunkArrived)
-    if world.happens(world.mix.broken):
-        broke = AttemptBroke(conn.attempt, sent=True)
-        if world.happens(0.5):
-            # Given up for silent: what was under way still comes.
-            world.later(world.step, conn.sending, broke)
+    if world.occurs(world.rates.broken):
+        broke = AttemptBroken(conn.attempt, sent=True)
+        if world.occurs(0.5):
+            # The attempt timed out; events already queued still arrive.
+            world.later(world.step, conn.sent_request, broke)
         else:
             event = broke
             conn.is_open = False
-    elif is_chunk and world.happens(world.mix.lost / 4):
+    elif is_chunk and world.occurs(world.rates.lost / 4):
         return
     conn.queue.append(event)
     world.later(_pump, world, conn)
-    if is_chunk and world.happens(world.mix.doubled):
+    if is_chunk and world.occurs(world.rates.doubled):
         conn.queue.append(event)
         world.later(_pump, world, conn)
 
 
 def break_all(world: World, agent: Agent) -> None:
-    """Break every connection of an agent; what ran there yields no more."""
+    """Break all connections of an agent and stop its executions."""
     for conn in agent.running:
-        push(world, conn, AttemptBroke(conn.attempt, sent=True))
+        push(world, conn, AttemptBroken(conn.attempt, sent=True))
         conn.is_open = False
     agent.running = []
 
@@ -85,25 +85,25 @@
     agent: Agent,
     ticket: AttemptTicket,
     conn: Conn,
-    behind: Conn | None = None,
+    copy_conn: Conn | None = None,
 ) -> None:
-    """Let an attempt arrive, and a copy of it some time behind.
+    """Deliver an attempt, and a copy of it some time later.
 
-    The answer to a copy is read by nobody. A copy may overtake the attempt on
-    its way to one life of the agent, but no further: a refusal for the wrong
-    incarnation is a proof only because an attempt is sent once.
+    The response to a copy is not read. A copy may overtake the attempt on the
+    way to one incarnation of the agent, but not beyond that: a refusal for the
+    wrong incarnation is a proof only because an attempt is sent once.
     """
     _admit(world, agent, ticket, conn)
     incarnation = agent.incarnation
 
-    def arrive_behind(late: Conn) -> None:
+    def arrive_later(late: Conn) -> None:
         if late.is_open and agent.incarnation != incarnation:
-            push(world, late, AttemptBroke(ticket.attempt, sent=True))
+            push(world, late, AttemptBroken(ticket.attempt, sent=True))
         else:
             _admit(world, agent, ticket, late)
 
-    if behind is not None:
-        world.later(arrive_behind, behind)
+    if copy_conn is not None:
+        world.later(arrive_later, copy_conn)
 
 
 def _admit(
@@ -114,7 +114,7 @@
 ) -> None:
     admission = agent.guard.admit(ticket, world.now + agent.skew)
     if not isinstance(admission, Refused):
-        if not world.happens(world.mix.unsent):
+        if not world.occurs(world.rates.unsent):
             _start(world, agent, ticket, conn)
             return
         admission = agent.guard.withdraw(ticket.request_id, ticket.attempt)
@@ -127,10 +127,10 @@
     ticket: AttemptTicket,
     conn: Conn,
 ) -> None:
-    work = conn.sending.work
+    work = conn.sent_request.work
     stem = work.name
     if not work.resumable:
-        # Such an engine never gives the same answer twice.
+        # Such an engine never produces the same response twice.
         stem = f'{stem}/{ticket.request_id}/{ticket.attempt}'
     payloads = [f'{stem}/{seq};'.encode() for seq in range(work.chunks)]
     run = Run(ticket.request_id, work, tuple(payloads))
@@ -158,4 +158,4 @@
     chunks = [event for event in front if isinstance(event, ChunkArrived)]
     may_swap = len(chunks) == 2
     index = world.rng.randrange(2) if may_swap else 0
-    world.step(conn.sending, conn.queue.pop(index))
+    world.step(conn.sent_request, conn.queue.pop(index))
--- a/tests/delivery/faults.py
+++ b/tests/delivery/faults.py
@@ -1,4 +1,4 @@
-"""Planted faults: each switches one mechanism of the delivery off."""
+"""Injected faults: each disables one mechanism of delivery."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     request_machine,
     transitions,
 )
-from snipebend.delivery.actions import FinishAnswer
-from snipebend.delivery.caller_side import CallerSide
-from snipebend.delivery.guard import Guard
+from snipebend.delivery.actions import FinishResponse
+from snipebend.delivery.caller_response import CallerResponse
+from snipebend.delivery.guard import AttemptGuard
 from snipebend.delivery.messages import RefusalReason, SealVerdict
 
 if TYPE_CHECKING:
@@ -26,55 +26,55 @@
 _FAR = 1e9
 
 
-def _retry_without_seal(life, phase, refusal):
-    return transitions.not_run(life, phase.attempt, refusal)
+def _retry_without_seal(context, phase, refusal):
+    return transitions.continue_after_not_run(context, phase.attempt, refusal)
 
 
 def _seal_without_tombstone(self, request):
     return SealVerdict.NOT_RUN
 
 
-def _bar_without_tombstone(self, ticket, book):
-    return self._state_reason(ticket, book)
+def _bar_without_tombstone(self, ticket, records):
+    return self._check_state(ticket, records)
 
 
-def _any_incarnation(self, ticket, now, genuine=Guard.admit):
+def _any_incarnation(self, ticket, now, genuine=AttemptGuard.admit):
     return genuine(self, replace(ticket, incarnation=self.incarnation), now)
 
 
-def _seal_any_incarnation(self, request, now, genuine=Guard.seal):
+def _seal_any_incarnation(self, request, now, genuine=AttemptGuard.seal):
     return genuine(self, replace(request, incarnation=self.incarnation), now)
 
 
-def _any_deadline(self, ticket, now, genuine=Guard.admit):
+def _any_deadline(self, ticket, now, genuine=AttemptGuard.admit):
     return genuine(self, replace(ticket, deadline_at=_FAR), now)
 
 
-def _any_attempt(life, phase, event, genuine=attempting.on_attempting):
+def _any_attempt(context, phase, event, genuine=attempting.on_attempting):
     if hasattr(event, 'attempt') and hasattr(event, '_replace'):
         event = event._replace(attempt=phase.attempt)
-    return genuine(life, phase, event)
+    return genuine(context, phase, event)
 
 
-def _send_unclaimed(life, target, refusal, genuine=transitions.claim):
+def _send_unclaimed(context, target, refusal, genuine=transitions.claim):
     if target is None:
-        return genuine(life, target, refusal)
-    life.proof.key_in_doubt = False
-    return transitions.send(life, life.next_attempt(), target)
+        return genuine(context, target, refusal)
+    context.proof.key_may_have_run = False
+    return transitions.send(context, context.next_attempt(), target)
 
 
 def _finish_cleanly(self, reason, outcome):
-    return self._close(FinishAnswer())
+    return self._close(FinishResponse())
 
 
-def _refuse_without_lookup(life, event):
-    life.proof.key_in_doubt = False
+def _refuse_without_lookup(context, event):
+    context.proof.key_may_have_run = False
     refusal = request_machine.refusals.no_upstream(event)
-    return transitions.refuse(life, refusal)
+    return transitions.refuse(context, refusal)
 
 
-def _pass_for_unseen(self, request, now, genuine=Guard.seal):
-    self._books[True].forgotten_until = -_FAR
+def _treat_evicted_as_unrecorded(self, request, now, genuine=AttemptGuard.seal):
+    self._records[True].latest_evicted_deadline = -_FAR
     return genuine(self, request, now)
 
 
@@ -82,52 +82,54 @@
     return True
 
 
-def _run_beside_holder(life, phase, holder):
-    life.proof.key_in_doubt = False
-    return transitions.send(life, phase.attempt, phase.target)
+def _run_beside_holder(context, phase, holder):
+    context.proof.key_may_have_run = False
+    return transitions.send(context, phase.attempt, phase.target)
 
 
-def _free_unsealed(life, holder, phase):
-    return claiming._free_and_claim(life, holder, phase)
+def _release_unsealed(context, holder, phase):
+    return claiming._release_and_claim(context, holder, phase)
 
 
-def _forget_doubt(life, phase, genuine=attempting._repeat):
-    actions = genuine(life, phase)
-    life.proof.attempt_in_doubt = False
+def _ignore_attempt_doubt(context, phase, genuine=attempting._retry_repeatable):
+    actions = genuine(context, phase)
+    context.proof.attempt_may_have_run = False
     return actions
 
 
-def _hold_back(life):
+def _ignore_deadline(context):
     return []
 
 
-#: The name of each fault, and what is put in the place of what.
+#: For each fault: the patched object, its attribute and the replacement.
 FAULTS = MappingProxyType(
     {
         'retry without a seal': (
             (attempting, 'seal_own', _retry_without_seal),
         ),
         'seal without a tombstone': (
-            (Guard, '_seal_unseen', _seal_without_tombstone),
+            (AttemptGuard, '_seal_unrecorded', _seal_without_tombstone),
         ),
         'refusal without a tombstone': (
-            (Guard, '_barring_reason', _bar_without_tombstone),
+            (AttemptGuard, '_check_or_bar', _bar_without_tombstone),
         ),
         'incarnation ignored': (
-            (Guard, 'admit', _any_incarnation),
-            (Guard, 'seal', _seal_any_incarnation),
+            (AttemptGuard, 'admit', _any_incarnation),
+            (AttemptGuard, 'seal', _seal_any_incarnation),
         ),
-        'deadline ignored': ((Guard, 'admit', _any_deadline),),
+        'deadline ignored': ((AttemptGuard, 'admit', _any_deadline),),
         'chunks of old attempts accepted': (
             (request_machine, 'on_attempting', _any_attempt),
         ),
         'claim skipped': ((request_machine, 'claim', _send_unclaimed),),
-        'clean end after a break': ((CallerSide, 'abort', _finish_cleanly),),
+        'clean end after a break': (
+            (CallerResponse, 'abort', _finish_cleanly),
+        ),
         'refused without looking the key up': (
             (request_machine, '_on_no_upstream', _refuse_without_lookup),
         ),
         'forgotten attempts pass for unseen': (
-            (Guard, 'seal', _pass_for_unseen),
+            (AttemptGuard, 'seal', _treat_evicted_as_unrecorded),
         ),
         'a duplicate counts as proof': (
             (
@@ -137,22 +139,22 @@
             ),
         ),
         'a broken repeatable attempt counts as not run': (
-            (attempting, '_repeat', _forget_doubt),
+            (attempting, '_retry_repeatable', _ignore_attempt_doubt),
         ),
         'no answer at the deadline': (
-            (request_machine, 'on_deadline', _hold_back),
+            (request_machine, 'on_deadline', _ignore_deadline),
         ),
         'holder freed without a seal': (
-            (claiming, 'seal_holder', _free_unsealed),
+            (claiming, 'seal_holder', _release_unsealed),
         ),
     }
 )
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
-    """Run with one fault in place."""
+def injected(name: str) -> Iterator[None]:
+    """Run with one fault injected."""
     with ExitStack() as stack:
-        for owner, attribute, put in FAULTS[name]:
-            stack.enter_context(patch.object(owner, attribute, put))
+        for owner, attribute, replacement in FAULTS[name]:
+            stack.enter_context(patch.object(owner, attribute, replacement))
         yield
--- a/tests/delivery/pieces.py
+++ b/tests/delivery/pieces.py
@@ -1,10 +1,10 @@
-"""What a schedule is made of: work, sendings, connections and agents."""
+"""The parts of a schedule: work, requests, connections and agents."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from snipebend.delivery.guard import Guard
+from snipebend.delivery.guard import AttemptGuard
 from snipebend.delivery.limits import DeliveryLimits
 from snipebend.delivery.request_machine import RequestMachine
 
@@ -15,10 +15,10 @@
     from snipebend.delivery.guard import GuardLimits
 
 
-class Mix(NamedTuple):
-    """How often things go wrong, as shares of messages or of steps.
+class FaultRates(NamedTuple):
+    """Fault rates, as shares of messages or of steps.
 
-    An agent remembers one of the numbers of attempts in ``max_records``.
+    The record limit of an agent is picked from ``max_records``.
     """
 
     lost: float = 0.08
@@ -26,21 +26,21 @@
     doubled: float = 0.12
     unsent: float = 0.04
     broken: float = 0.05
-    chaos: float = 0.15
+    process_faults: float = 0.15
     no_upstream: float = 0.1
     seals_answered: bool = True
     max_records: tuple[int, ...] = (4, 8, 128)
 
-    def without_loss(self) -> Mix:
-        """Return the mix for the end of a schedule."""
+    def without_loss(self) -> FaultRates:
+        """Return the rates without message loss, for the end of a schedule."""
         return self._replace(lost=0, late=0, doubled=0, unsent=0, broken=0)
 
 
-DEFAULT_MIX = Mix()
+DEFAULT_RATES = FaultRates()
 
 
 class Work(NamedTuple):
-    """One piece of work of a caller; ``key`` is empty where it has none."""
+    """One piece of work of a caller; ``key`` is empty if it has none."""
 
     name: str
     key: str
@@ -50,15 +50,15 @@
 
 
 class Run(NamedTuple):
-    """One execution at an engine, and the whole answer that it gives."""
+    """One execution at an engine, and its complete response."""
 
     request_id: str
     work: Work
     payloads: tuple[bytes, ...]
 
 
-class Sending:
-    """One request at an entry: its machine and what its caller got."""
+class SentRequest:
+    """One request at an entry: its machine and what its caller received."""
 
     def __init__(self, entry: str, facts: RequestFacts, work: Work) -> None:
         self.entry = entry
@@ -68,7 +68,7 @@
         self.runs_before = 0
         self.crashed = False
         self.timer_fired = False
-        self.held_back = False
+        self.lacks_final = False
         self.got: list[bytes] = []
         self.finals: list[Action] = []
         self.conns: dict[int, Conn] = {}
@@ -79,16 +79,16 @@
 
 
 class Conn:
-    """One attempt's connection: its events arrive in their order."""
+    """One attempt's connection, which delivers events in order."""
 
     def __init__(
         self,
-        sending: Sending,
+        sent_request: SentRequest,
         attempt: int,
         *,
         is_open: bool = True,
     ) -> None:
-        self.sending = sending
+        self.sent_request = sent_request
         self.attempt = attempt
         self.is_open = is_open
         self.queue: list[AttemptEvent] = []
@@ -107,4 +107,4 @@
 
     def restart(self) -> None:
         self.incarnation += 1
-        self.guard = Guard(self.incarnation, self.limits)
+        self.guard = AttemptGuard(self.incarnation, self.limits)
--- a/tests/delivery/test_guard.py
+++ b/tests/delivery/test_guard.py
@@ -1,10 +1,15 @@
-"""The agent's guard: what it refuses, what it remembers, and how much."""
+"""The agent's guard: its refusals, its records and their bounds."""
 
 from __future__ import annotations
 
 import unittest
 
-from snipebend.delivery.guard import Admitted, Guard, GuardLimits, Refused
+from snipebend.delivery.guard import (
+    Admitted,
+    AttemptGuard,
+    GuardLimits,
+    Refused,
+)
 from snipebend.delivery.messages import (
     AttemptTicket,
     RefusalReason,
@@ -36,11 +41,11 @@
     return SealRequest(request_id, attempt, 7, 100)
 
 
-class GuardTest(unittest.TestCase):
-    """One guard, incarnation 7."""
+class AttemptGuardTest(unittest.TestCase):
+    """A guard of incarnation 7."""
 
     def setUp(self) -> None:
-        self.guard = Guard(7, LIMITS)
+        self.guard = AttemptGuard(7, LIMITS)
 
     def assert_refused(
         self,
@@ -69,7 +74,7 @@
         self.assertEqual(self.guard.running, 1)
 
     def test_a_suspect_runs_alone(self) -> None:
-        # Of the two books, each counts for the other.
+        # Repeatable and other work is recorded separately, but counts together.
         self.guard.admit(_ticket('a', keep_answer=False), 0)
         early = _ticket('bad', alone=True)
         self.assert_refused(early, RefusalReason.NOT_ALONE)
@@ -83,11 +88,11 @@
         seal = self.guard.seal(_seal('c'), 0)
         self.assertIs(seal.verdict, SealVerdict.NOT_RUN)
 
-    def test_any_end_of_a_suspect_lets_others_in(self) -> None:
+    def test_any_end_of_a_suspect_admits_others(self) -> None:
         for number, end in enumerate((self.guard.fail, self.guard.withdraw)):
             name = f'bad {number}'
             self.guard.admit(_ticket(name, alone=True), 0)
-            # The end of another attempt doesn't end its being alone.
+            # The end of another attempt does not end the exclusive run.
             end('stranger', 1)
             beside = _ticket(f'early {number}')
             self.assert_refused(beside, RefusalReason.NOT_ALONE)
@@ -106,7 +111,7 @@
             [SealVerdict.RUNNING, SealVerdict.NOT_RUN, SealVerdict.NOT_RUN],
         )
 
-    def test_seal_tells_the_end(self) -> None:
+    def test_seal_reports_the_outcome(self) -> None:
         answer = StoredAnswer(200, 'text/plain', b'12345678')
         for answered in ('a', 'b'):
             self.guard.admit(_ticket(answered), 0)
@@ -114,7 +119,7 @@
         self.guard.admit(_ticket('c'), 0)
         self.guard.fail('c', 1)
         replies = [self.guard.seal(_seal(name), 1) for name in ('a', 'b', 'c')]
-        # Two answers are over the bound together: the older one is dropped.
+        # Both responses together exceed the limit: the older one is dropped.
         self.assertEqual(
             [reply.answer for reply in replies], [None, answer, None]
         )
@@ -127,12 +132,12 @@
         reply = self.guard.seal(_seal('r99'), 1)
         self.assertIs(reply.verdict, SealVerdict.UNKNOWN)
         self.assert_refused(_ticket('late'), RefusalReason.UNTRACKED)
-        # Past the deadline the tombstones are gone and not needed any more.
+        # After the deadline the tombstones are evicted and no longer needed.
         self.assert_refused(_ticket('r1'), RefusalReason.DEADLINE_PASSED, 101)
         fresh = _ticket('next', deadline_at=200)
         self.assertEqual(self.guard.admit(fresh, 101), Admitted())
 
-    def test_a_flood_of_repeatable_work(self) -> None:
+    def test_repeatable_work_does_not_use_up_the_room(self) -> None:
         for index in range(100):
             name = f'r{index}'
             ticket = _ticket(name, keep_answer=False)
@@ -151,13 +156,13 @@
         seal = self.guard.seal(_seal('f'), 0)
         self.assertIs(seal.verdict, SealVerdict.NOT_RUN)
 
-    def test_a_clock_that_runs_back(self) -> None:
+    def test_a_clock_that_runs_backwards(self) -> None:
         self.guard.seal(_seal(), 0)
         self.guard.seal(_seal('other'), 101)
-        # The tombstone was forgotten; the deadline must still count as passed.
+        # The tombstone was evicted; the deadline must still count as passed.
         self.assert_refused(_ticket(), RefusalReason.DEADLINE_PASSED, 50)
 
-    def test_what_was_forgotten_is_in_doubt(self) -> None:
+    def test_evicted_attempts_are_unknown(self) -> None:
         self.guard.admit(_ticket('a'), 0)
         self.guard.finish('a', 1, None)
         self.assertIs(self.guard.seal(_seal('a'), 129).verdict, SealVerdict.RAN)
--- a/tests/delivery/test_request_machine.py
+++ b/tests/delivery/test_request_machine.py
@@ -1,4 +1,4 @@
-"""Single paths through the machine that the search doesn't look at."""
+"""Paths through the request machine that the search does not check."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from snipebend.delivery.actions import (
-    AbortAnswer,
+    AbortResponse,
     AskRetry,
     CancelAttempt,
     ChooseUpstream,
@@ -20,7 +20,7 @@
     Settle,
 )
 from snipebend.delivery.attempt_events import (
-    AttemptBroke,
+    AttemptBroken,
     AttemptFinished,
     AttemptRefused,
     AttemptStarted,
@@ -34,7 +34,7 @@
 )
 from snipebend.delivery.events import (
     Arrived,
-    CallerGone,
+    CallerDisconnected,
     DeadlineReached,
     RetryDenied,
     RetryGranted,
@@ -73,7 +73,7 @@
 
 
 class MachineTest(unittest.TestCase):
-    """A machine and the actions of its last step."""
+    """Each test checks the actions of the machine's last step."""
 
     def start(self, facts: RequestFacts, *events: Event) -> list[Action]:
         self.machine = RequestMachine(DeliveryLimits('e1', max_deadline_s=60))
@@ -96,20 +96,20 @@
         self.assertEqual(len(actions), 1)
         return actions[0]
 
-    def test_a_running_holder_is_told_at_once(self) -> None:
+    def test_a_running_holder_is_reported_at_once(self) -> None:
         seal = self.start_one(_facts(), ClaimAnswered(1, IN_PROGRESS))
         self.assertEqual(seal.grpc_address, 'g:2')
         self.assertEqual(seal.request.deadline_at, 90)
         reply = SealReply(SealVerdict.RUNNING)
         refusal = self.then_one(SealAnswered('other', 2, reply))
-        told = (refusal.status, refusal.outcome)
-        self.assertEqual(told, (409, Outcome.UNKNOWN))
+        reported = (refusal.status, refusal.outcome)
+        self.assertEqual(reported, (409, Outcome.UNKNOWN))
         self.assertGreater(refusal.retry_after, 0)
         self.assertTrue(self.machine.done)
 
     def test_an_unanswered_seal_leaves_the_claim(self) -> None:
-        broke = AttemptBroke(1, sent=True)
-        seal = self.start_one(_facts(), GRANTED, broke)
+        broken = AttemptBroken(1, sent=True)
+        seal = self.start_one(_facts(), GRANTED, broken)
         self.assertIsInstance(seal, Seal)
         refusal = self.then_one(SealFailed('r', 1))
         self.assertIs(refusal.outcome, Outcome.UNKNOWN)
@@ -118,8 +118,8 @@
     def test_claimed_work_outlives_its_caller(self) -> None:
         head = AttemptStarted(1, 200, {'Content-Type': 'text/plain'})
         self.start(_facts(), GRANTED, head, ChunkArrived(1, 0, b'a'))
-        final = self.then_one(CallerGone())
-        self.assertIsInstance(final, AbortAnswer)
+        final = self.then_one(CallerDisconnected())
+        self.assertIsInstance(final, AbortResponse)
         settle = self.then_one(ChunkArrived(1, 1, b'b'), AttemptFinished(1, 2))
         self.assertIs(settle.request.settlement, Settlement.RAN)
         self.assertEqual(settle.request.answer.body, b'ab')
@@ -142,7 +142,7 @@
             _facts(repeatable=True), head, ChunkArrived(1, 0, b'a')
         )
         self.assertEqual(relayed, [RelayHead(200, {}), RelayChunk(b'a')])
-        asked = self.then(ChunkArrived(1, 2, b'c'), AttemptBroke(1, sent=True))
+        asked = self.then(ChunkArrived(1, 2, b'c'), AttemptBroken(1, sent=True))
         self.assertEqual(asked, [AskRetry()])
         choose = self.then_one(RetryGranted())
         self.assertEqual(choose.exclude, frozenset(('u1',)))
@@ -151,18 +151,18 @@
         self.assertEqual((send.ticket.attempt, send.ticket.resume_from), (2, 1))
         late = self.then(ChunkArrived(1, 1, b'x'), AttemptFinished(1, 3))
         self.assertEqual(late, [])
-        final = self.then_one(AttemptBroke(2, sent=True), RetryDenied(3))
+        final = self.then_one(AttemptBroken(2, sent=True), RetryDenied(3))
         self.assertIs(final.outcome, Outcome.UNKNOWN)
-        self.assertIsInstance(final, AbortAnswer)
+        self.assertIsInstance(final, AbortResponse)
 
-    def test_a_gap_is_no_clean_end(self) -> None:
+    def test_a_missing_chunk_aborts_the_response(self) -> None:
         facts = _facts(key='')
         self.start(facts, AttemptStarted(1, 200, {}), ChunkArrived(1, 0, b'a'))
         cancel, final = self.then(AttemptFinished(1, 2))
         self.assertEqual(cancel, CancelAttempt(1))
-        self.assertIsInstance(final, AbortAnswer)
+        self.assertIsInstance(final, AbortResponse)
 
-    def test_a_refused_attempt_is_proved(self) -> None:
+    def test_a_refused_attempt_is_proved_not_run(self) -> None:
         refused = AttemptRefused(1, RefusalReason.FULL, retry_after=5)
         settle = self.start_one(_facts(), GRANTED, refused)
         self.assertIsInstance(settle, Settle)
--- a/tests/delivery/test_search.py
+++ b/tests/delivery/test_search.py
@@ -1,4 +1,4 @@
-"""A seeded search over schedules, and the faults that it must catch."""
+"""A seeded search over schedules, which must detect injected faults."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from collections import Counter
 
 from tests.delivery.checks import find_faults
-from tests.delivery.faults import FAULTS, planted
+from tests.delivery.faults import FAULTS, injected
 from tests.delivery.world import World
 
 SCHEDULES = 2500
 STEPS = 150
 
-#: Every way in which a request can end; a search that misses one is vacuous.
+#: All final actions and outcomes; the search is too weak if it misses one.
 ENDINGS = frozenset(
     (
-        'FinishAnswer',
-        'AnswerStored',
-        'AbortAnswer unknown',
-        'AbortAnswer not-run',
+        'FinishResponse',
+        'SendStoredResponse',
+        'AbortResponse unknown',
+        'AbortResponse not-run',
         'Refuse not-run',
         'Refuse ran',
         'Refuse unknown',
@@ -27,7 +27,7 @@
 )
 
 
-def _is_caught() -> bool:
+def _is_detected() -> bool:
     for seed in range(SCHEDULES):
         world = World(seed)
         world.play(STEPS)
@@ -37,9 +37,9 @@
 
 
 class SearchTest(unittest.TestCase):
-    """Schedules of loss, delay, doubling, crashes and resends."""
+    """Schedules with loss, delay, duplication, crashes and resends."""
 
-    def test_promises_hold(self) -> None:
+    def test_invariants_hold(self) -> None:
         endings: Counter[str] = Counter()
         steps = 0
         for seed in range(SCHEDULES):
@@ -54,10 +54,10 @@
             f'{dict(endings)}\n',
         )
 
-    def test_planted_faults_are_caught(self) -> None:
+    def test_injected_faults_are_detected(self) -> None:
         for name in FAULTS:
-            with self.subTest(fault=name), planted(name):
-                self.assertTrue(_is_caught())
+            with self.subTest(fault=name), injected(name):
+                self.assertTrue(_is_detected())
 
 
 if __name__ == '__main__':
--- a/tests/delivery/test_stream.py
+++ b/tests/delivery/test_stream.py
@@ -1,4 +1,4 @@
-"""Chunks in order, each once, within bounds."""
+"""Chunks are released in order and once each, within bounds."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 
 
 class StreamTest(unittest.TestCase):
-    """The sequencer of an entry, the numberer and the copy of an agent."""
+    """The sequencer of the entry, the numberer of the agent, and the copy."""
 
     @settings(derandomize=True, deadline=None)
     @given(
         order=st.permutations(range(3, 9)),
-        again=st.lists(st.integers(0, 8)),
+        duplicates=st.lists(st.integers(0, 8)),
     )
     def test_any_order_with_copies(
         self,
         order: list[int],
-        again: list[int],
+        duplicates: list[int],
     ) -> None:
         sequencer = ChunkSequencer(3, max_chunks=6, max_bytes=100)
-        handed_on = []
-        for seq in (*order[:4], *again, *order[4:]):
-            ready = sequencer.take(seq, bytes([seq]))
+        released = []
+        for seq in (*order[:4], *duplicates, *order[4:]):
+            ready = sequencer.add(seq, bytes([seq]))
             self.assertIsInstance(ready, list)
-            handed_on.extend(ready)
-        self.assertEqual(b''.join(handed_on), bytes(range(3, 9)))
+            released.extend(ready)
+        self.assertEqual(b''.join(released), bytes(range(3, 9)))
         self.assertIsNone(sequencer.finish(9))
         self.assertIs(sequencer.finish(10), ChunkFault.INCOMPLETE)
 
-    def test_bounds_on_what_is_held_back(self) -> None:
+    def test_bounds_on_buffered_chunks(self) -> None:
         by_count = ChunkSequencer(0, max_chunks=2, max_bytes=100)
-        verdicts = [by_count.take(seq, b'x') for seq in (1, 2, 3)]
+        verdicts = [by_count.add(seq, b'x') for seq in (1, 2, 3)]
         self.assertEqual(verdicts, [[], [], ChunkFault.TOO_FAR_AHEAD])
         by_size = ChunkSequencer(0, max_chunks=9, max_bytes=3)
-        self.assertEqual(by_size.take(1, b'xxx'), [])
+        self.assertEqual(by_size.add(1, b'xxx'), [])
         self.assertIs(by_size.finish(None), ChunkFault.INCOMPLETE)
-        self.assertIs(by_size.take(2, b'x'), ChunkFault.TOO_FAR_AHEAD)
+        self.assertIs(by_size.add(2, b'x'), ChunkFault.TOO_FAR_AHEAD)
 
     def test_numbers_of_a_resumed_answer(self) -> None:
         resumes = ChunkNumberer(2, engine_resumes=True)
@@ -55,13 +55,13 @@
         self.assertEqual(numbers, [None, None, 2, 3])
         self.assertEqual((resumes.chunks, repeats.chunks), (4, 4))
 
-    def test_copy_is_whole_or_none(self) -> None:
+    def test_copy_is_complete_or_none(self) -> None:
         copy = BodyCopy(4)
         copy.add(b'ab')
         copy.add(b'cd')
-        self.assertEqual(copy.whole(), b'abcd')
+        self.assertEqual(copy.complete_body(), b'abcd')
         copy.add(b'e')
-        self.assertIsNone(copy.whole())
+        self.assertIsNone(copy.complete_body())
 
 
 if __name__ == '__main__':
--- a/tests/delivery/world.py
+++ b/tests/delivery/world.py
@@ -1,8 +1,8 @@
 """Entries, agents, a claim store and callers under a seeded schedule.
 
-What is under way waits in one bag; each step takes a random piece out, so
-that anything may overtake anything. Messages are lost, late or doubled,
-processes crash, callers leave and send again, and clocks differ.
+Pending calls are kept in one list; each step runs a random one, so that any
+message can overtake any other. Messages are lost, late or duplicated,
+processes crash, callers disconnect and resend, and clocks differ.
 """
 
 from __future__ import annotations
@@ -12,62 +12,66 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from snipebend.delivery.events import Arrived, CallerGone, DeadlineReached
+from snipebend.delivery.events import (
+    Arrived,
+    CallerDisconnected,
+    DeadlineReached,
+)
 from snipebend.delivery.facts import RequestFacts
 from snipebend.delivery.guard import GuardLimits
 from snipebend.state.claim_book import ClaimBook
 from tests.delivery.driver import perform
 from tests.delivery.engines import break_all
-from tests.delivery.pieces import DEFAULT_MIX, Agent, Sending, Work
+from tests.delivery.pieces import DEFAULT_RATES, Agent, SentRequest, Work
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from snipebend.delivery.actions import Action
     from snipebend.delivery.events import Event
-    from tests.delivery.pieces import Mix, Run
+    from tests.delivery.pieces import FaultRates, Run
 
-MAX_SENDINGS = 14
+MAX_SENT_REQUESTS = 14
 ENTRIES = ('e1', 'e2', 'e3')
 UPSTREAMS = ('u1', 'u2', 'u3')
 
 
 class World:
-    """One schedule."""
+    """One schedule, determined by its seed."""
 
-    def __init__(self, seed: int, mix: Mix = DEFAULT_MIX) -> None:
+    def __init__(self, seed: int, rates: FaultRates = DEFAULT_RATES) -> None:
         self.rng = Random(seed)
-        self.mix = mix
+        self.rates = rates
         self.now: float = 0
         self.steps = 0
         self.store = ClaimBook()
-        self.sendings: list[Sending] = []
+        self.sent_requests: list[SentRequest] = []
         self.runs: list[Run] = []
         self.finals: Counter[str] = Counter()
         self.agents = self._make_agents()
-        self.seen = dict.fromkeys(UPSTREAMS, 1)
-        self._bag: list[Callable[[], object]] = []
+        self.known_incarnations = dict.fromkeys(UPSTREAMS, 1)
+        self._pending: list[Callable[[], object]] = []
         self._works = [self._make_work(index) for index in range(5)]
 
     def play(self, steps: int) -> None:
-        """Run a schedule with faults, then let everything end."""
+        """Run a schedule with faults, then let all requests end."""
         for work in self._works:
             self.send(work)
         for _ in range(steps):
-            if self.happens(self.mix.chaos) or not self._bag:
-                self._do_chaos()
+            if self.occurs(self.rates.process_faults) or not self._pending:
+                self._inject_fault()
             else:
-                self._take_out()
-        self.mix = self.mix.without_loss()
+                self._run_pending()
+        self.rates = self.rates.without_loss()
         for _ in range(12):
-            while self._bag:
-                self._take_out()
+            while self._pending:
+                self._run_pending()
             self._pass_time()
 
     def send(self, work: Work) -> None:
         """Send a piece of work, as a new request, through any entry."""
         facts = RequestFacts(
-            request_id=f'r{len(self.sendings)}',
+            request_id=f'r{len(self.sent_requests)}',
             workspace='w',
             key=work.key,
             fingerprint=work.name,
@@ -76,39 +80,39 @@
             resumable=work.resumable,
             deadline_at=self.now + self.rng.uniform(2, 30),
         )
-        sending = Sending(self.rng.choice(ENTRIES), facts, work)
-        sending.runs_before = len(self.runs)
-        self.sendings.append(sending)
-        self.step(sending, Arrived(facts))
-
-    def step(self, sending: Sending, event: Event) -> None:
-        """Give an event to a request's machine and do what it asks for."""
-        if sending.crashed:
+        sent_request = SentRequest(self.rng.choice(ENTRIES), facts, work)
+        sent_request.runs_before = len(self.runs)
+        self.sent_requests.append(sent_request)
+        self.step(sent_request, Arrived(facts))
+
+    def step(self, sent_request: SentRequest, event: Event) -> None:
+        """Pass an event to a request's machine and perform its actions."""
+        if sent_request.crashed:
             return
-        is_end = isinstance(event, CallerGone | DeadlineReached)
-        for action in sending.machine.step(event, self.now, self.rng):
-            perform(self, sending, action)
-        if is_end and not sending.finals:
-            sending.held_back = True
+        needs_final = isinstance(event, CallerDisconnected | DeadlineReached)
+        for action in sent_request.machine.step(event, self.now, self.rng):
+            perform(self, sent_request, action)
+        if needs_final and not sent_request.finals:
+            sent_request.lacks_final = True
 
     def later(self, call: Callable[..., object], *arguments: object) -> None:
-        """Put a call into the bag."""
-        self._bag.append(partial(call, *arguments))
+        """Add a pending call."""
+        self._pending.append(partial(call, *arguments))
 
-    def happens(self, share: float) -> bool:
-        """Draw whether something goes wrong."""
+    def occurs(self, share: float) -> bool:
+        """Return whether a fault with this rate occurs."""
         return self.rng.random() < share
 
-    def draw_fate(self) -> str:
-        """Draw what becomes of a message."""
-        mix = self.mix
-        rest = 1 - mix.lost - mix.late - mix.doubled
+    def choose_fate(self) -> str:
+        """Return the random fate of a message."""
+        rates = self.rates
+        arrives = 1 - rates.lost - rates.late - rates.doubled
         fates = ('lost', 'late', 'doubled', 'arrives')
-        weights = (mix.lost, mix.late, mix.doubled, rest)
+        weights = (rates.lost, rates.late, rates.doubled, arrives)
         return self.rng.choices(fates, weights)[0]
 
     def count_final(self, final: Action) -> None:
-        """Count the ends of requests by their kind and outcome."""
+        """Count final actions by their class and outcome."""
         outcome = getattr(final, 'outcome', None)
         name = type(final).__name__
         self.finals[f'{name} {outcome.value}' if outcome else name] += 1
@@ -116,7 +120,7 @@
     def _make_agents(self) -> dict[str, Agent]:
         limits = GuardLimits(
             max_running=self.rng.choice((1, 2)),
-            max_records=self.rng.choice(self.mix.max_records),
+            max_records=self.rng.choice(self.rates.max_records),
             max_answer_bytes=self.rng.choice((0, 4096)),
             retention_s=self.rng.choice((0, 5, 60)),
         )
@@ -130,25 +134,27 @@
             name=f'work{index}',
             key='' if index == 2 else f'key{index}',
             repeatable=index > 2,
-            resumable=self.happens(0.5),
+            resumable=self.occurs(0.5),
             chunks=self.rng.randint(1, 4),
         )
 
-    def _take_out(self) -> None:
+    def _run_pending(self) -> None:
         self.steps += 1
-        call = self._bag.pop(self.rng.randrange(len(self._bag)))
+        call = self._pending.pop(self.rng.randrange(len(self._pending)))
         call()
 
-    def _do_chaos(self) -> None:
+    def _inject_fault(self) -> None:
         self.steps += 1
         agent = self.agents[self.rng.choice(UPSTREAMS)]
         match self.rng.randrange(10):
             case 0 | 1:
                 self._pass_time()
-            case 2 | 3 if len(self.sendings) < MAX_SENDINGS:
+            case 2 | 3 if len(self.sent_requests) < MAX_SENT_REQUESTS:
                 self.send(self.rng.choice(self._works))
             case 4:
-                self.step(self.rng.choice(self.sendings), CallerGone())
+                self.step(
+                    self.rng.choice(self.sent_requests), CallerDisconnected()
+                )
             case 5:
                 self._crash_entry()
             case 6:
@@ -158,30 +164,30 @@
                 self._crash_engine(agent)
             case 8:
                 self._refresh_view()
-            case 9 if self.happens(0.2):
+            case 9 if self.occurs(0.2):
                 agent.guard.leave()
 
     def _pass_time(self) -> None:
         self.now += self.rng.uniform(0, 6)
-        for sending in self.sendings:
-            is_due = sending.facts.deadline_at <= self.now
-            if is_due and not sending.timer_fired:
-                sending.timer_fired = True
-                self.later(self.step, sending, DeadlineReached())
+        for sent_request in self.sent_requests:
+            is_due = sent_request.facts.deadline_at <= self.now
+            if is_due and not sent_request.timer_fired:
+                sent_request.timer_fired = True
+                self.later(self.step, sent_request, DeadlineReached())
 
     def _crash_entry(self) -> None:
         entry = self.rng.choice(ENTRIES)
-        for sending in self.sendings:
-            if sending.entry == entry and not sending.machine.done:
-                sending.crashed = True
-                for conn in sending.conns.values():
+        for sent_request in self.sent_requests:
+            if sent_request.entry == entry and not sent_request.machine.done:
+                sent_request.crashed = True
+                for conn in sent_request.conns.values():
                     conn.is_open = False
 
     def _crash_engine(self, agent: Agent) -> None:
         for conn in agent.running:
-            agent.guard.fail(conn.sending.request_id, conn.attempt)
+            agent.guard.fail(conn.sent_request.request_id, conn.attempt)
         break_all(self, agent)
 
     def _refresh_view(self) -> None:
         for agent in self.agents.values():
-            self.seen[agent.name] = agent.incarnation
+            self.known_incarnations[agent.name] = agent.incarnation
