--- a/bench/subset_cost.py
+++ b/bench/subset_cost.py
@@ -105,11 +105,11 @@
 
     def choose(self) -> tuple[str, ...]:
         """Return the names that the watcher is shown."""
-        return self.subset.names(self.pools, ENTRIES)
+        return self.subset.select(self.pools, ENTRIES)
 
     def tell(self) -> int:
         """Make the next difference as it is sent; return its bytes."""
-        shown = self.directory.pick(self.choose(), 0)
+        shown = self.directory.select(self.choose(), 0)
         self.told = len(msgpack.encode(self.view.advance(shown, 1)))
         return self.told
 
--- a/src/snipebend/hashing/__init__.py
+++ b/src/snipebend/hashing/__init__.py
@@ -1,1 +1,1 @@
-"""Hashes by which processes agree without talking."""
+"""Hashing by which processes make the same choice without communication."""
--- a/src/snipebend/hashing/rendezvous.py
+++ b/src/snipebend/hashing/rendezvous.py
@@ -1,7 +1,8 @@
-"""Rendezvous hashing: processes agree on a choice without talking.
+"""Rendezvous hashing: processes make the same choice without communication.
 
-Thaler and Ravishankar, 1998: each name is weighed by a hash with the key, and
-the heaviest wins; a name that comes or goes moves only its own keys.
+See Thaler and Ravishankar, 1998: the weight of each name is its hash together
+with the key, and the name with the highest weight is chosen. Adding or removing
+a name reassigns only the keys of that name.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
     return xxh64_intdigest(f'{key}\n{name}'.encode())
 
 
-def heaviest(names: Iterable[str], key: str, count: int) -> list[str]:
-    """Return the names of the largest weights for a key, heaviest first."""
+def select_heaviest(names: Iterable[str], key: str, count: int) -> list[str]:
+    """Return the names with the highest weights for a key, highest first."""
     ranked = sorted(((weigh(name, key), name) for name in names), reverse=True)
     return [name for _, name in ranked[:count]]
--- a/src/snipebend/membership/__init__.py
+++ b/src/snipebend/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Announcements, heartbeats, failure suspicion and leaving (pure)."""
+"""Upstream membership: announcements, leases, failure suspicion and leaving.
+
+Performs no I/O.
+"""
--- a/src/snipebend/membership/confirmations.py
+++ b/src/snipebend/membership/confirmations.py
@@ -1,63 +1,67 @@
-"""Which process has which configuration in force, as far as is known (pure)."""
+"""Tracks the configuration revision that each process has in force.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-#: Leases after which a process that says nothing is forgotten altogether.
-_FORGET_LEASES = 12
+#: Number of leases after which an unresponsive process is removed.
+_RETENTION_LEASES = 12
 
 
 class Confirmation(NamedTuple):
-    """A process's latest word, and until when it counts."""
+    """A process's latest confirmation, its expiry and its removal time."""
 
     revision: int
-    fresh_until: float
-    forget_at: float
+    valid_until: float
+    evict_at: float
 
 
 class Confirmations:
-    """The latest word of each process.
+    """The latest confirmation of each process.
 
-    A process counts while it may trust its configuration without a new word;
-    after that it refuses new work or is known to serve on an old one.
+    A confirmation is valid while the process may use its configuration without
+    renewal. After that the process refuses new requests, or its policy is to
+    keep serving on an old configuration.
     """
 
     def __init__(self, now: float, lease_s: float) -> None:
-        """Begin with none; they are complete one lease later."""
+        """Start without confirmations; they are complete after one lease."""
         self._complete_at = now + lease_s
         self._latest: dict[str, Confirmation] = {}
 
-    def note(
+    def record(
         self, process: str, revision: int, now: float, lease_s: float
     ) -> None:
-        """Keep a word; the revision of a process only grows."""
+        """Record a confirmation; a process's revision never decreases."""
         known = self._latest.get(process)
         newest = max(revision, known.revision) if known else revision
         self._latest[process] = Confirmation(
-            newest, now + lease_s, now + _FORGET_LEASES * lease_s
+            newest, now + lease_s, now + _RETENTION_LEASES * lease_s
         )
 
     def fresh(self, now: float) -> dict[str, int]:
-        """Return the revisions of the processes that count."""
+        """Return the revisions of processes with a valid confirmation."""
         return {
             process: known.revision
             for process, known in self._latest.items()
-            if known.fresh_until > now
+            if known.valid_until > now
         }
 
-    def lapsed(self, now: float) -> tuple[str, ...]:
-        """Return the processes that fell silent lately; forget the others."""
-        gone = [
+    def expired(self, now: float) -> tuple[str, ...]:
+        """Return the unresponsive processes; remove those of long ago."""
+        removed = [
             process
             for process, known in self._latest.items()
-            if known.forget_at <= now
+            if known.evict_at <= now
         ]
-        for process in gone:
+        for process in removed:
             self._latest.pop(process)
-        silent = self._latest.keys() - self.fresh(now).keys()
-        return tuple(sorted(silent))
+        unresponsive = self._latest.keys() - self.fresh(now).keys()
+        return tuple(sorted(unresponsive))
 
-    def complete(self, now: float) -> bool:
-        """Tell whether all processes with a fresh lease have been heard."""
+    def is_complete(self, now: float) -> bool:
+        """Return whether all processes with a valid lease have reported."""
         return now >= self._complete_at
--- a/src/snipebend/membership/directory.py
+++ b/src/snipebend/membership/directory.py
@@ -1,8 +1,8 @@
-"""The directory of upstreams, made from their announcements (pure).
+"""The directory of upstreams, built from their announcements.
 
-An upstream is listed while its lease holds and suspected when it has missed
-an announcement. News of an incarnation that has left, that was replaced or
-whose lease has ended long ago never brings it back.
+An upstream is listed while its lease is valid, and suspected when it has missed
+an announcement. Late announcements never restore an incarnation that has left,
+that was replaced, or whose lease expired long ago. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -11,19 +11,20 @@
 
 from msgspec.structs import replace
 
-from snipebend.membership.directory_delta import same_member
+from snipebend.membership.directory_delta import is_same_member
 from snipebend.membership.messages import Announcement, Phase
 from snipebend.membership.wheel import DeadlineWheel
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: Seconds after which an upstream that said nothing is dropped.
+#: Seconds without an announcement after which an upstream is removed.
 ANNOUNCEMENT_LEASE_S = 5.0
-#: Seconds after which it is suspected: it takes new work only if no other can.
+#: Seconds without an announcement after which an upstream is suspected: it gets
+#: new requests only if no other upstream can take them.
 SUSPICION_S = 2.5
-#: Seconds for which the last word of a dropped upstream is remembered, so
-#: that a late copy can't bring it back.
+#: Seconds for which the last announcement of a removed upstream is kept, so
+#: that a late copy cannot restore it.
 TOMBSTONE_S = 60.0
 _TICK_S = 0.25
 
@@ -31,76 +32,86 @@
 class Member(NamedTuple):
     """An upstream's latest announcement.
 
-    ``heard_at`` is when it came in, ``joined_at`` when this incarnation was
-    first heard of.
+    ``received_at`` is the time of its receipt, ``joined_at`` the time of the
+    first announcement of this incarnation.
     """
 
     announcement: Announcement
-    heard_at: float
+    received_at: float
     joined_at: float
 
     def is_suspected(self, now: float) -> bool:
-        """Tell whether an announcement is overdue."""
-        return now >= self.heard_at + SUSPICION_S
+        """Return whether an announcement is overdue."""
+        return now >= self.received_at + SUSPICION_S
 
 
 class UpstreamDirectory:
-    """The latest announcement of each upstream, until its lease ends."""
+    """The latest announcement of each upstream, until its lease expires."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty directory."""
         self._members: dict[str, Member] = {}
         self._leases = DeadlineWheel(_TICK_S)
-        self._last_words: dict[str, Announcement] = {}
-        self._tombstones = DeadlineWheel(_TICK_S)
-        #: Grows when a member comes, goes or changes in more than its load.
+        self._last_announcements: dict[str, Announcement] = {}
+        self._tombstone_deadlines = DeadlineWheel(_TICK_S)
+        #: Incremented when a member joins, leaves, or changes in more than its
+        #: load.
         self.version = 0
 
     def record(self, announcement: Announcement, now: float) -> bool:
-        """Keep an announcement; return False for a late or repeated copy."""
+        """Record an announcement; return False for a late or repeated copy."""
         name = announcement.upstream
         self.expire(now)
         known = self._members.get(name)
-        last = known.announcement if known else self._last_words.get(name)
+        last = (
+            known.announcement if known else self._last_announcements.get(name)
+        )
         if last is not None and not _is_newer(announcement, last):
             return False
         joined_at = now
         if last is not None and last.incarnation == announcement.incarnation:
             announcement = _keep_leaving(announcement, last)
             joined_at = known.joined_at if known else now
-        if known is None or not same_member(known.announcement, announcement):
+        if known is None or not is_same_member(
+            known.announcement, announcement
+        ):
             self.version += 1
         self._members[name] = Member(announcement, now, joined_at)
         self._leases.renew(name, now + ANNOUNCEMENT_LEASE_S)
-        self._last_words.pop(name, None)
-        self._tombstones.drop(name)
+        self._last_announcements.pop(name, None)
+        self._tombstone_deadlines.remove(name)
         return True
 
     def members(self, now: float) -> tuple[Member, ...]:
-        """Return the members whose lease holds; drop the others."""
+        """Return the members with a valid lease; remove the others."""
         self.expire(now)
         return tuple(self._members.values())
 
     def fresh(self, now: float) -> tuple[Announcement, ...]:
-        """Return the announcements whose lease holds; drop the others."""
+        """Return the announcements with a valid lease; remove the others."""
         return tuple(member.announcement for member in self.members(now))
 
-    def pick(
+    def select(
         self, names: Iterable[str], now: float
     ) -> tuple[Announcement, ...]:
-        """Return what is fresh of these members, in their order."""
+        """Return the announcements of these members that are still valid.
+
+        They are in the order of ``names``.
+        """
         self.expire(now)
         known = map(self._members.get, names)
         return tuple(member.announcement for member in known if member)
 
     def expire(self, now: float) -> None:
-        """Drop the members whose lease has ended."""
-        for name in self._leases.due(now):
+        """Remove the members whose lease has expired."""
+        for name in self._leases.pop_expired(now):
             self.version += 1
-            self._last_words[name] = self._members.pop(name).announcement
-            self._tombstones.renew(name, now + TOMBSTONE_S)
-        for forgotten in self._tombstones.due(now):
-            self._last_words.pop(forgotten)
+            self._last_announcements[name] = self._members.pop(
+                name
+            ).announcement
+            self._tombstone_deadlines.renew(name, now + TOMBSTONE_S)
+        for removed in self._tombstone_deadlines.pop_expired(now):
+            self._last_announcements.pop(removed)
 
 
 def _is_newer(announcement: Announcement, known: Announcement) -> bool:
@@ -110,8 +121,8 @@
     )
 
 
-def _keep_leaving(news: Announcement, last: Announcement) -> Announcement:
-    """Who is leaving stays so: only a new incarnation serves again."""
+def _keep_leaving(current: Announcement, last: Announcement) -> Announcement:
+    """Keep a leaving upstream leaving until a new incarnation starts."""
     if last.phase is Phase.LEAVING:
-        return replace(news, phase=Phase.LEAVING)
-    return news
+        return replace(current, phase=Phase.LEAVING)
+    return current
--- a/src/snipebend/membership/directory_delta.py
+++ b/src/snipebend/membership/directory_delta.py
@@ -1,8 +1,8 @@
-"""The directory as differences: what one watcher must be told (pure).
+"""Encodes the directory for one watcher as a sequence of deltas.
 
-A full list costs about 180 bytes an upstream. A watcher gets it once; then it
-hears of upstreams that came, changed or went, and of loads that changed as
-three small numbers each.
+A full list takes about 180 bytes per upstream. A watcher receives it once.
+After that it receives the upstreams that joined, changed or left, and three
+small numbers for each changed load. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 from snipebend.membership.messages import Announcement, Phase
 
-#: A count is told again once it has moved by more than this share of what was
-#: told last, so that what a watcher knows is never further off.
+#: A count is sent again once it differs by more than this share from the value
+#: last sent, which bounds the error of a watcher's copy.
 CHANGE_SHARE = 0.1
-#: Likewise for the use of a KV cache, in percent of the cache.
+#: The same bound for the use of a KV cache, in percent of the cache.
 KV_STEP_PERCENT = 5
 _PERCENT = 100
 
 
 class Joined(Struct, frozen=True, array_like=True):
-    """An upstream that is new or changed, under its number in this watch."""
+    """A new or changed upstream; ``number`` identifies it in this watch."""
 
     number: int
     announcement: Announcement
 
 
 class LoadChange(Struct, frozen=True, array_like=True):
-    """The load that an upstream reported last."""
+    """The latest reported load of an upstream."""
 
     number: int
     running: int
@@ -37,14 +37,14 @@
 
 
 class KvChange(Struct, frozen=True, array_like=True):
-    """The use of an upstream's KV cache, in whole percent."""
+    """The latest reported KV cache use of an upstream, in whole percent."""
 
     number: int
     percent: int
 
 
 class DirectoryDelta(Struct, frozen=True):
-    """One difference; ``reset`` marks the first one of a watch."""
+    """One delta; ``reset`` marks the first one of a watch."""
 
     revision: int
     reset: bool = False
@@ -52,16 +52,16 @@
     left: tuple[int, ...] = ()
     loads: tuple[LoadChange, ...] = ()
     kv_uses: tuple[KvChange, ...] = ()
-    #: How many entries follow the directory: they share the limits.
+    #: Number of entries that follow the directory, which share the limits.
     entries: int = 0
 
     def is_empty(self) -> bool:
-        """Tell whether it changes nothing."""
+        """Return whether the delta changes nothing."""
         changes = (self.joined, self.left, self.loads, self.kv_uses)
         return not self.reset and not any(changes)
 
 
-class _Known(NamedTuple):
+class _SentUpstream(NamedTuple):
     number: int
     announcement: Announcement
 
@@ -72,91 +72,93 @@
 
 
 class WatcherView:
-    """What one watcher has been told; makes the next difference."""
+    """Tracks what was sent to one watcher, and computes the next delta."""
 
     def __init__(self) -> None:
-        """Begin with a watcher that knows nothing."""
-        self._known: dict[str, _Known] = {}
+        """Create the view of a watcher to which nothing was sent."""
+        self._sent: dict[str, _SentUpstream] = {}
         self._next_number = 0
-        self._begun = False
+        self._is_started = False
 
     def advance(
         self,
         fresh: tuple[Announcement, ...],
         revision: int,
     ) -> DirectoryDelta:
-        """Return the difference to ``fresh`` and take it as told."""
+        """Return the delta to ``fresh``, and record it as sent."""
         joined: list[Joined] = []
         changes = _Changes([], [])
         for announcement in fresh:
-            known = self._known.get(announcement.upstream)
-            if known is None or not same_member(
+            known = self._sent.get(announcement.upstream)
+            if known is None or not is_same_member(
                 known.announcement, announcement
             ):
-                joined.append(self._number(announcement, known))
+                joined.append(self._add_joined(announcement, known))
             else:
-                self._tell_use(known, announcement, changes)
+                self._add_load_changes(known, announcement, changes)
         delta = DirectoryDelta(
             revision,
-            not self._begun,
+            not self._is_started,
             tuple(joined),
-            self._forget(fresh),
+            self._remove_missing(fresh),
             tuple(changes.loads),
             tuple(changes.kv_uses),
         )
-        self._begun = True
+        self._is_started = True
         return delta
 
-    def _tell_use(
-        self, known: _Known, news: Announcement, changes: _Changes
+    def _add_load_changes(
+        self, known: _SentUpstream, current: Announcement, changes: _Changes
     ) -> None:
-        """Tell what moved far enough; the rest stays as it was told."""
-        told = known.announcement
-        if not _same_load(told, news):
-            changes.loads.append(_load_change(known.number, news))
-            told = structs.replace(
-                told, running=news.running, queued=news.queued
+        """Add the loads that changed enough; others keep their sent value."""
+        sent = known.announcement
+        if not _is_same_load(sent, current):
+            changes.loads.append(_load_change(known.number, current))
+            sent = structs.replace(
+                sent, running=current.running, queued=current.queued
             )
-        if not _same_kv_use(told, news):
-            percent = round(news.kv_use * _PERCENT)
+        if not _is_same_kv_use(sent, current):
+            percent = round(current.kv_use * _PERCENT)
             changes.kv_uses.append(KvChange(known.number, percent))
-            told = structs.replace(told, kv_use=percent / _PERCENT)
-        if told is not known.announcement:
-            self._keep(known.number, told)
+            sent = structs.replace(sent, kv_use=percent / _PERCENT)
+        if sent is not known.announcement:
+            self._record_sent(known.number, sent)
 
-    def _number(
+    def _add_joined(
         self,
         announcement: Announcement,
-        known: _Known | None,
+        known: _SentUpstream | None,
     ) -> Joined:
         number = self._next_number
         if known is None:
             self._next_number += 1
         else:
             number = known.number
-        self._keep(number, announcement)
+        self._record_sent(number, announcement)
         return Joined(number, announcement)
 
-    def _keep(self, number: int, announcement: Announcement) -> None:
-        self._known[announcement.upstream] = _Known(number, announcement)
+    def _record_sent(self, number: int, announcement: Announcement) -> None:
+        self._sent[announcement.upstream] = _SentUpstream(number, announcement)
 
-    def _forget(self, fresh: tuple[Announcement, ...]) -> tuple[int, ...]:
+    def _remove_missing(
+        self, fresh: tuple[Announcement, ...]
+    ) -> tuple[int, ...]:
         names = {announcement.upstream for announcement in fresh}
-        gone = self._known.keys() - names
-        return tuple(sorted(self._known.pop(name).number for name in gone))
+        removed = self._sent.keys() - names
+        return tuple(sorted(self._sent.pop(name).number for name in removed))
 
 
 class DirectoryCopy:
-    """A watcher's copy of the directory."""
+    """A watcher's copy of the directory, built from deltas."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty copy."""
         self.revision = 0
         self.entries = 1
         self._by_number: dict[int, Announcement] = {}
 
     def apply(self, delta: DirectoryDelta) -> None:
-        """Take a difference in; the first of a watch replaces everything."""
+        """Apply a delta; the first one of a watch replaces everything."""
         if delta.reset:
             self._by_number.clear()
         for joined in delta.joined:
@@ -164,24 +166,24 @@
         for number in delta.left:
             self._by_number.pop(number, None)
         for load in delta.loads:
-            self._take_load(load)
+            self._apply_load(load)
         for use in delta.kv_uses:
-            self._take_kv_use(use)
+            self._apply_kv_use(use)
         self.revision = delta.revision
         self.entries = max(1, delta.entries)
 
     def upstreams(self) -> tuple[Announcement, ...]:
-        """Return the upstreams with their last known loads."""
+        """Return the upstreams with their last received loads."""
         return tuple(self._by_number.values())
 
     def serving(self) -> int:
-        """Return how many upstreams take new work."""
+        """Return how many upstreams accept new requests."""
         return sum(
             upstream.phase is Phase.SERVING
             for upstream in self._by_number.values()
         )
 
-    def _take_load(self, load: LoadChange) -> None:
+    def _apply_load(self, load: LoadChange) -> None:
         known = self._by_number.get(load.number)
         if known is not None:
             self._by_number[load.number] = structs.replace(
@@ -190,7 +192,7 @@
                 queued=load.queued,
             )
 
-    def _take_kv_use(self, use: KvChange) -> None:
+    def _apply_kv_use(self, use: KvChange) -> None:
         known = self._by_number.get(use.number)
         if known is not None:
             self._by_number[use.number] = structs.replace(
@@ -198,8 +200,8 @@
             )
 
 
-def same_member(one: Announcement, other: Announcement) -> bool:
-    """Tell whether two announcements differ in load and sequence at most."""
+def is_same_member(one: Announcement, other: Announcement) -> bool:
+    """Return whether announcements differ at most in load and sequence."""
     return _membership_of(one) == _membership_of(other)
 
 
@@ -214,19 +216,19 @@
     )
 
 
-def _same_load(told: Announcement, news: Announcement) -> bool:
-    return _is_near(told.running, news.running) and _is_near(
-        told.queued, news.queued
+def _is_same_load(sent: Announcement, current: Announcement) -> bool:
+    return _is_within_share(sent.running, current.running) and _is_within_share(
+        sent.queued, current.queued
     )
 
 
-def _same_kv_use(told: Announcement, news: Announcement) -> bool:
-    moved = abs(news.kv_use - told.kv_use) * _PERCENT
-    return round(moved) < KV_STEP_PERCENT
+def _is_same_kv_use(sent: Announcement, current: Announcement) -> bool:
+    difference = abs(current.kv_use - sent.kv_use) * _PERCENT
+    return round(difference) < KV_STEP_PERCENT
 
 
-def _is_near(told: int, news: int) -> bool:
-    return abs(news - told) <= CHANGE_SHARE * told
+def _is_within_share(sent: int, current: int) -> bool:
+    return abs(current - sent) <= CHANGE_SHARE * sent
 
 
 def _load_change(number: int, announcement: Announcement) -> LoadChange:
--- a/src/snipebend/membership/messages.py
+++ b/src/snipebend/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages about upstreams: announcements and the directory."""
+"""Membership messages: announcements of upstreams and the directory."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class Phase(Enum):
-    """Where an upstream is in its life."""
+    """The lifecycle phase of an upstream."""
 
     SERVING = 'serving'
     LEAVING = 'leaving'
-    #: It doesn't answer its agent; it may come back.
+    #: The upstream does not respond to its agent; it may recover.
     DOWN = 'down'
 
 
 class Announcement(Struct, frozen=True):
-    """What an agent says of its upstream, again and again.
+    """An agent's periodic report on its upstream.
 
-    ``incarnation`` grows with each start of the agent, ``sequence`` with each
-    announcement, so that late copies can be told from news. ``kv_use`` is the
-    used share of an engine's KV cache (0 to 1), 0 while it isn't known.
+    ``incarnation`` grows with each start of the agent and ``sequence`` with
+    each announcement, which allows the receiver to discard late copies.
+    ``kv_use`` is the used share of an engine's KV cache (0 to 1), 0 if unknown.
     """
 
     upstream: str
@@ -39,7 +39,7 @@
 
 
 class EngineLoad(Struct, frozen=True):
-    """What is read of an engine's ``GET /load``."""
+    """The fields used from an engine's response to ``GET /load``."""
 
     kv_used_blocks: int = 0
     kv_blocks: int = 0
@@ -53,15 +53,16 @@
 
 
 class AnnounceReply(Struct, frozen=True):
-    """The receiver's configuration revision."""
+    """The configuration revision of the control daemon that replied."""
 
     revision: int
 
 
 class DirectoryRequest(Struct, frozen=True):
-    """Ask for the upstreams known right now; ``process`` names the asker.
+    """Request the currently listed upstreams.
 
-    A watch shows at most ``max_upstreams`` of each policy; 0: all of them.
+    ``process`` is the name of the requesting process. A watch returns at most
+    ``max_upstreams`` of each policy, or all if it is 0.
     """
 
     process: str
@@ -70,7 +71,7 @@
 
 
 class Directory(Struct, frozen=True):
-    """All upstreams whose announcements are fresh."""
+    """All upstreams whose lease is valid."""
 
     upstreams: tuple[Announcement, ...]
     revision: int = 0
--- a/src/snipebend/membership/subset.py
+++ b/src/snipebend/membership/subset.py
@@ -1,20 +1,21 @@
-"""The bounded subset of upstreams that one entry watches and uses."""
+"""Selects the bounded subset of upstreams that one entry watches and uses."""
 
 from __future__ import annotations
 
 from math import ceil
 from typing import TYPE_CHECKING
 
-from snipebend.hashing.rendezvous import heaviest
+from snipebend.hashing.rendezvous import select_heaviest
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-#: Up to this many upstreams of a pool, every entry watches all.
+#: Every entry watches all upstreams of pools up to this size.
 SMALL_POOL = 20
-#: Entries that watch each upstream on average. The number for one upstream
-#: is about Poisson: its deviation is one in the root of this, here 16 %.
-WATCHERS = 40
+#: Mean number of entries that watch each upstream. The number for one upstream
+#: is approximately Poisson distributed: its relative standard deviation is one
+#: over the square root of the mean, here 16 %.
+MEAN_WATCHERS = 40
 _EXACT_BITS = 4
 
 
@@ -22,8 +23,8 @@
     """Return how many upstreams of one pool an entry watches."""
     if upstreams <= SMALL_POOL:
         return upstreams
-    even = ceil(WATCHERS * upstreams / max(1, entries))
-    return min(upstreams, max(SMALL_POOL, even))
+    equal_share = ceil(MEAN_WATCHERS * upstreams / max(1, entries))
+    return min(upstreams, max(SMALL_POOL, equal_share))
 
 
 def choose_subset(
@@ -34,22 +35,22 @@
 ) -> frozenset[str]:
     """Return the upstreams of one pool that an entry watches.
 
-    Rendezvous hashing: when an upstream comes or goes, only the entries that
-    watch it change their subset. There are never more than ``bound``.
+    Uses rendezvous hashing: when an upstream joins or leaves, only the entries
+    that watch it change their subset. The subset never exceeds ``bound``.
     """
     size = subset_size(entries, len(upstreams))
     if bound is not None:
         size = min(size, bound)
     if size >= len(upstreams):
         return frozenset(upstreams)
-    return frozenset(heaviest(upstreams, entry, size))
+    return frozenset(select_heaviest(upstreams, entry, size))
 
 
 def round_entries(entries: int) -> int:
-    """Return a count that doesn't change with each entry.
+    """Return a rounded count that does not change with every entry.
 
-    It is rounded down, so that subsets only get larger by it: exact below 16,
-    then to steps of 6 to 12 %.
+    It is rounded down, so that rounding can only enlarge subsets. Counts below
+    16 are exact, larger ones are rounded in steps of 6 to 12 %.
     """
     step = 1 << max(0, entries.bit_length() - _EXACT_BITS)
     return entries - entries % step
--- a/src/snipebend/membership/upstream_health.py
+++ b/src/snipebend/membership/upstream_health.py
@@ -1,28 +1,28 @@
-"""Whether an upstream still answers, as its agent sees it (pure)."""
+"""Health of an upstream, as observed by its agent. Performs no I/O."""
 
 from __future__ import annotations
 
 
 class UpstreamHealth:
-    """Counts an upstream as down once it was silent past a deadline.
+    """Marks an upstream as down if it does not respond within a timeout.
 
-    A refused connection counts at once: nothing listens there. It is up again
-    with its next answer.
+    A refused connection marks it at once, as nothing listens at its address.
+    The next response marks it as up again.
     """
 
     def __init__(self, silent_after_s: float, now: float) -> None:
-        """Begin as up; ``silent_after_s`` is in seconds."""
+        """Start as up; ``silent_after_s`` is the timeout in seconds."""
         self._silent_after_s = silent_after_s
         self._up_until = now + silent_after_s
 
-    def answered(self, now: float) -> None:
-        """Note any answer, whatever its status."""
+    def record_response(self, now: float) -> None:
+        """Record a response, whatever its status."""
         self._up_until = now + self._silent_after_s
 
-    def refused(self, now: float) -> None:
-        """Note that nothing listens."""
+    def record_refusal(self, now: float) -> None:
+        """Record a refused connection."""
         self._up_until = now
 
     def is_down(self, now: float) -> bool:
-        """Tell whether the deadline has passed."""
+        """Return whether the timeout has passed."""
         return now >= self._up_until
--- a/src/snipebend/membership/watcher_subset.py
+++ b/src/snipebend/membership/watcher_subset.py
@@ -1,8 +1,8 @@
-"""Which upstreams one watcher of the directory is shown (pure).
+"""Selects the upstreams that one watcher of the directory receives.
 
-The pools are made once for all watchers and each change of the members. A pool
-that didn't change stays the same object, so that a watcher chooses anew only
-in the pools that did.
+The pools are built once per membership change, for all watchers. An unchanged
+pool stays the same object, so that a watcher selects again only from the pools
+that changed. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Pool(NamedTuple):
-    """The upstreams of one policy, sorted: those in service, those leaving."""
+    """The serving and the leaving upstreams of one policy, sorted."""
 
     serving: tuple[str, ...] = ()
     leaving: tuple[str, ...] = ()
@@ -28,8 +28,8 @@
 Pools = dict[str, Pool]
 
 
-def group_pools(members: Iterable[Announcement], before: Pools) -> Pools:
-    """Return the pools by policy; those that are as before are kept."""
+def group_pools(members: Iterable[Announcement], previous: Pools) -> Pools:
+    """Return the pools by policy; unchanged ones are the same objects."""
     serving: dict[str, list[str]] = {}
     leaving: dict[str, list[str]] = {}
     for member in members:
@@ -41,59 +41,62 @@
             tuple(sorted(serving.get(policy, ()))),
             tuple(sorted(leaving.get(policy, ()))),
         )
-        is_known = before.get(policy) == pool
-        pools[policy] = before[policy] if is_known else pool
+        is_known = previous.get(policy) == pool
+        pools[policy] = previous[policy] if is_known else pool
     return pools
 
 
-class _Chosen(NamedTuple):
+class _PoolChoice(NamedTuple):
     pool: Pool
     names: frozenset[str]
 
 
 class WatcherSubset:
-    """The choice of one watcher, kept while nothing changes that it needs."""
+    """The selection of one watcher, cached until its inputs change."""
 
     def __init__(self, req: DirectoryRequest) -> None:
-        """Keep who watches and how much it takes."""
+        """Create the selection for the process and bound of a request."""
         self._entry = req.process
         self._bound = req.max_upstreams
         self._entries = 0
         self._pools: Mapping[str, Pool] | None = None
-        self._chosen: dict[str, _Chosen] = {}
+        self._choices: dict[str, _PoolChoice] = {}
         self._names: tuple[str, ...] = ()
 
-    def names(self, pools: Mapping[str, Pool], entries: int) -> tuple[str, ...]:
-        """Return the upstreams to show, by the number of entries."""
+    def select(
+        self, pools: Mapping[str, Pool], entries: int
+    ) -> tuple[str, ...]:
+        """Return the upstreams to send, given the number of entries."""
         rounded = round_entries(entries)
         if rounded != self._entries:
-            self._chosen = {}
+            self._choices = {}
         elif pools is self._pools:
             return self._names
         self._entries = rounded
         self._pools = pools
-        self._chosen = {
+        self._choices = {
             policy: self._choose(policy, pool) for policy, pool in pools.items()
         }
         self._names = tuple(
             name
-            for chosen in self._chosen.values()
+            for chosen in self._choices.values()
             for name in sorted(chosen.names)
         )
         return self._names
 
-    def _choose(self, policy: str, pool: Pool) -> _Chosen:
-        known = self._chosen.get(policy)
+    def _choose(self, policy: str, pool: Pool) -> _PoolChoice:
+        known = self._choices.get(policy)
         if known is not None and known.pool is pool:
             return known
-        names = self._pick(pool.serving)
+        names = self._select_subset(pool.serving)
         if pool.leaving:
-            # Those that leave don't take a place, but are still shown.
-            everyone = self._pick(pool.serving + pool.leaving)
-            names |= everyone.intersection(pool.leaving)
-        return _Chosen(pool, names)
+            # Leaving upstreams do not count towards the bound, but are still
+            # sent.
+            including_leaving = self._select_subset(pool.serving + pool.leaving)
+            names |= including_leaving.intersection(pool.leaving)
+        return _PoolChoice(pool, names)
 
-    def _pick(self, upstreams: tuple[str, ...]) -> frozenset[str]:
+    def _select_subset(self, upstreams: tuple[str, ...]) -> frozenset[str]:
         if not self._bound:
             return frozenset(upstreams)
         return choose_subset(self._entry, self._entries, upstreams, self._bound)
--- a/src/snipebend/membership/wheel.py
+++ b/src/snipebend/membership/wheel.py
@@ -1,21 +1,21 @@
-"""A wheel of deadlines: constant cost for each renewal and each expiry.
+"""A timing wheel: constant cost per renewal and per expiry of a deadline.
 
-Hashed timing wheel (Varghese and Lauck, 1987) with lazy renewal: an item has
-one place in the wheel; when its place comes up and its deadline has moved on
-meanwhile, it gets a later place.
+This is a hashed timing wheel (Varghese and Lauck, 1987) with lazy renewal: an
+item is in one slot of the wheel. If its deadline was renewed by the time its
+slot is reached, the item moves to a later slot.
 """
 
 from __future__ import annotations
 
 
 class DeadlineWheel:
-    """Deadlines of named items, in ticks of a fixed span."""
+    """Deadlines of named items, in ticks of a fixed duration."""
 
     def __init__(self, tick_s: float) -> None:
-        """Start empty; an item falls due at most one tick late."""
+        """Create an empty wheel; items expire at most one tick late."""
         self._tick_s = tick_s
         self._deadlines: dict[str, float] = {}
-        self._places: dict[str, int] = {}
+        self._scheduled_ticks: dict[str, int] = {}
         self._slots: dict[int, set[str]] = {}
         self._cursor: int | None = None
         self.moves = 0
@@ -27,51 +27,54 @@
     def renew(self, name: str, deadline: float) -> None:
         """Set an item's deadline."""
         self._deadlines[name] = deadline
-        place = self._places.get(name)
-        if place is None or self._tick_after(deadline) < place:
-            self._place(name, deadline)
+        scheduled_tick = self._scheduled_ticks.get(name)
+        if (
+            scheduled_tick is None
+            or self._tick_after(deadline) < scheduled_tick
+        ):
+            self._schedule(name, deadline)
 
-    def drop(self, name: str) -> None:
-        """Forget an item."""
+    def remove(self, name: str) -> None:
+        """Remove an item."""
         self._deadlines.pop(name, None)
-        place = self._places.pop(name, None)
-        if place is not None:
-            self._slots[place].discard(name)
+        scheduled_tick = self._scheduled_ticks.pop(name, None)
+        if scheduled_tick is not None:
+            self._slots[scheduled_tick].discard(name)
 
-    def due(self, now: float) -> list[str]:
-        """Take out and return the items whose deadline has passed."""
-        last = int(now / self._tick_s)
+    def pop_expired(self, now: float) -> list[str]:
+        """Remove and return the items whose deadline has passed."""
+        current_tick = int(now / self._tick_s)
         if self._cursor is None:
-            self._cursor = min(self._slots, default=last)
+            self._cursor = min(self._slots, default=current_tick)
         expired: list[str] = []
-        if last - self._cursor > len(self._slots):
-            # After a long pause only the slots in use are looked at.
-            ticks = sorted(tick for tick in self._slots if tick <= last)
+        if current_tick - self._cursor > len(self._slots):
+            # After a long pause, visit only the slots in use.
+            ticks = sorted(tick for tick in self._slots if tick <= current_tick)
         else:
-            ticks = list(range(self._cursor, last + 1))
+            ticks = list(range(self._cursor, current_tick + 1))
         for tick in ticks:
-            expired.extend(self._empty(tick, now))
-        self._cursor = last
+            expired.extend(self._expire_tick(tick, now))
+        self._cursor = current_tick
         return expired
 
-    def _empty(self, tick: int, now: float) -> list[str]:
+    def _expire_tick(self, tick: int, now: float) -> list[str]:
         expired = []
         for name in self._slots.pop(tick, ()):
-            self._places.pop(name)
+            self._scheduled_ticks.pop(name)
             deadline = self._deadlines[name]
             if deadline > now:
-                self._place(name, deadline)
+                self._schedule(name, deadline)
                 continue
             self._deadlines.pop(name)
             expired.append(name)
         return expired
 
-    def _place(self, name: str, deadline: float) -> None:
-        before = self._places.get(name)
-        if before is not None:
-            self._slots[before].discard(name)
+    def _schedule(self, name: str, deadline: float) -> None:
+        previous_tick = self._scheduled_ticks.get(name)
+        if previous_tick is not None:
+            self._slots[previous_tick].discard(name)
         tick = self._tick_after(deadline)
-        self._places[name] = tick
+        self._scheduled_ticks[name] = tick
         self._slots.setdefault(tick, set()).add(name)
         self.moves += 1
         if self._cursor is not None:
--- a/src/snipebend/routing/quarantine.py
+++ b/src/snipebend/routing/quarantine.py
@@ -13,7 +13,7 @@
 
 from xxhash import xxh3_128
 
-from snipebend.hashing.rendezvous import heaviest
+from snipebend.hashing.rendezvous import select_heaviest
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -55,7 +55,7 @@
 
 def choose_lanes(names: Sequence[str]) -> list[str]:
     """Return the upstreams that are lanes: an eighth, at least one."""
-    return heaviest(names, _LANES, max(1, len(names) // LANE_DIVISOR))
+    return select_heaviest(names, _LANES, max(1, len(names) // LANE_DIVISOR))
 
 
 class Quarantine:
@@ -154,7 +154,7 @@
         if not names:
             return None
         since = self.release(ticket)
-        lane = heaviest(choose_lanes(names), fingerprint, 1)[0]
+        lane = select_heaviest(choose_lanes(names), fingerprint, 1)[0]
         if lane in self._reserved:
             return None
         self._reserved[lane] = Reservation(
--- a/src/snipebend/transport/control_api.py
+++ b/src/snipebend/transport/control_api.py
@@ -81,8 +81,8 @@
             configuration.revision,
             configuration.text,
             self._confirmations.fresh(now),
-            self._confirmations.lapsed(now),
-            self._confirmations.complete(now),
+            self._confirmations.expired(now),
+            self._confirmations.is_complete(now),
         )
 
     async def watch(self, req: WatchRequest) -> AsyncIterator[Configuration]:
@@ -102,7 +102,7 @@
         """Note the revision that a process has in force."""
         if process:
             now = self._clock.now()
-            self._confirmations.note(process, revision, now, self._lease_s)
+            self._confirmations.record(process, revision, now, self._lease_s)
 
     async def stop(self) -> None:
         """End the watchers' streams."""
@@ -118,7 +118,7 @@
         return {
             'revision': self._state.revision,
             'confirmed': self._confirmations.fresh(now),
-            'lapsed': self._confirmations.lapsed(now),
+            'lapsed': self._confirmations.expired(now),
         }
 
     @property
--- a/src/snipebend/transport/directory_api.py
+++ b/src/snipebend/transport/directory_api.py
@@ -146,8 +146,8 @@
             members = self._directory.fresh(now)
             self._pools = group_pools(members, self._pools)
             self._grouped_version = self._directory.version
-        names = subset.names(self._pools, len(self._entries))
-        return self._directory.pick(names, now)
+        names = subset.select(self._pools, len(self._entries))
+        return self._directory.select(names, now)
 
     def _forget_feed(self, entry: str) -> None:
         self._entries[entry] -= 1
--- a/src/snipebend/transport/upstream_probe.py
+++ b/src/snipebend/transport/upstream_probe.py
@@ -74,9 +74,9 @@
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 async with self._client.send(outgoing):
-                    self._health.answered(self._clock.now())
+                    self._health.record_response(self._clock.now())
         except ClientConnectorError:
-            self._health.refused(self._clock.now())
+            self._health.record_refusal(self._clock.now())
         except (ClientError, OSError, TimeoutError):
             # The connection may be the silent one: the next probe is new.
             await self._client.retire(peer)
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory of upstreams under late, repeated and reordered news."""
+"""The directory with late, repeated and reordered announcements."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Delivery(NamedTuple):
-    """An announcement that arrives some time after the one before."""
+    """An announcement that arrives some time after the previous one."""
 
     sequence: int
     incarnation: int
@@ -58,29 +58,29 @@
     def test_leaving_is_final_for_an_incarnation(
         self, deliveries: list[Delivery]
     ) -> None:
-        """However news arrive, who left serves again only when restarted."""
+        """In any order of receipt, only a restart ends the leaving phase."""
         directory = UpstreamDirectory()
         now = 0.0
         left = 0
-        for news in deliveries:
-            now += news.after_s
-            taken = directory.record(
+        for delivery in deliveries:
+            now += delivery.after_s
+            accepted = directory.record(
                 announce(
-                    news.sequence,
-                    incarnation=news.incarnation,
-                    phase=news.phase,
+                    delivery.sequence,
+                    incarnation=delivery.incarnation,
+                    phase=delivery.phase,
                 ),
                 now,
             )
-            if taken and news.phase is Phase.LEAVING:
-                left = max(left, news.incarnation)
+            if accepted and delivery.phase is Phase.LEAVING:
+                left = max(left, delivery.incarnation)
             for entry in directory.fresh(now):
                 self.assertTrue(
                     entry.phase is Phase.LEAVING or entry.incarnation > left
                 )
 
-    def test_late_copy_does_not_bring_back_a_dead_upstream(self) -> None:
-        """A copy that arrives after the lease has ended is late."""
+    def test_late_copy_does_not_restore_an_expired_upstream(self) -> None:
+        """A copy received after the lease has expired is ignored."""
         directory = UpstreamDirectory()
         self.assertTrue(directory.record(announce(5), 0))
         self.assertEqual(directory.fresh(ANNOUNCEMENT_LEASE_S + 1), ())
@@ -88,7 +88,7 @@
         self.assertFalse(directory.record(announce(4), 7))
         self.assertTrue(directory.record(announce(6), 8))
 
-    def test_suspected_before_dropped(self) -> None:
+    def test_suspected_before_removal(self) -> None:
         """An upstream that misses announcements is suspected first."""
         directory = UpstreamDirectory()
         directory.record(announce(1), 0)
@@ -101,7 +101,7 @@
 
 
 class WheelTest(TestCase):
-    """The wheel against a plain table of deadlines."""
+    """The timing wheel compared with a plain table of deadlines."""
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -114,16 +114,16 @@
             max_size=40,
         )
     )
-    def test_falls_due_within_a_tick(
+    def test_expires_within_a_tick(
         self, steps: list[tuple[str, float, float]]
     ) -> None:
-        """Nothing is due early, everything at most one tick late."""
+        """No item expires early, and each at most one tick late."""
         wheel = DeadlineWheel(0.5)
         deadlines: dict[str, float] = {}
         now = 0.0
         for name, span, pause in steps:
             now += pause
-            for due in wheel.due(now):
+            for due in wheel.pop_expired(now):
                 self.assertLessEqual(deadlines.pop(due), now)
             for deadline in deadlines.values():
                 self.assertGreater(deadline + 0.5, now)
@@ -131,11 +131,11 @@
             deadlines[name] = now + span
 
     def test_constant_cost_per_upstream(self) -> None:
-        """An upstream moves once in a lease, however often it is renewed."""
+        """An item moves once per lease, however often it is renewed."""
         wheel = DeadlineWheel(0.25)
         for tick in range(1000):
             for number in range(10):
                 wheel.renew(str(number), tick / 10 + 5)
-            self.assertEqual(wheel.due(tick / 10), [])
-        # 100 s of leases of 5 s: twenty moves each, and one to begin with.
+            self.assertEqual(wheel.pop_expired(tick / 10), [])
+        # 100 s with leases of 5 s: twenty moves each, plus the first insertion.
         self.assertLessEqual(wheel.moves, 10 * 21)
--- a/tests/membership/test_directory_delta.py
+++ b/tests/membership/test_directory_delta.py
@@ -1,4 +1,4 @@
-"""A watcher's copy follows the directory whatever happens to it."""
+"""A watcher's copy follows the directory through any changes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class DirectoryDeltaTest(unittest.TestCase):
-    """Differences add up to the directory, and loads stay small."""
+    """Deltas reproduce the directory, and load changes stay small."""
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.tuples(_DIRECTORIES, st.booleans())))
@@ -53,48 +53,48 @@
                 for name, (phase, running) in directory.items()
             )
             copy.apply(view.advance(fresh, 1))
-            self.assertEqual(_seen(copy.upstreams()), _seen(fresh))
+            self.assertEqual(_summarize(copy.upstreams()), _summarize(fresh))
 
     def test_a_change_of_load_alone_is_three_numbers(self) -> None:
         view = WatcherView()
         view.advance((_announcement('a', Phase.SERVING, 1),), 1)
-        quiet = view.advance((_announcement('a', Phase.SERVING, 1),), 1)
-        self.assertTrue(quiet.is_empty())
-        busy = view.advance((_announcement('a', Phase.SERVING, 2),), 1)
-        self.assertEqual(len(busy.loads), 1)
-        self.assertEqual(busy.joined, ())
+        unchanged = view.advance((_announcement('a', Phase.SERVING, 1),), 1)
+        self.assertTrue(unchanged.is_empty())
+        changed = view.advance((_announcement('a', Phase.SERVING, 2),), 1)
+        self.assertEqual(len(changed.loads), 1)
+        self.assertEqual(changed.joined, ())
 
-    def test_a_told_load_is_never_far_off(self) -> None:
+    def test_a_sent_load_has_a_bounded_error(self) -> None:
         view = WatcherView()
         copy = DirectoryCopy()
-        told = 0
+        sent = 0
         for running in (40, 41, 43, 44, 45, 47, 30, 1, 0, 1):
             delta = view.advance(
                 (_announcement('a', Phase.SERVING, running),), 1
             )
-            told += bool(delta.loads)
+            sent += bool(delta.loads)
             copy.apply(delta)
-            known = copy.upstreams()[0].running
-            self.assertLessEqual(abs(known - running), 0.1 * known)
-        self.assertEqual(told, 5)
+            copied = copy.upstreams()[0].running
+            self.assertLessEqual(abs(copied - running), 0.1 * copied)
+        self.assertEqual(sent, 5)
 
-    def test_cache_use_is_told_by_steps_apart_from_the_load(self) -> None:
+    def test_cache_use_is_sent_in_steps_separately_from_load(self) -> None:
         view = WatcherView()
         copy = DirectoryCopy()
-        shown = []
+        received = []
         for running, kv_use in ((1, 0), (1, 0.04), (9, 0.08), (9, 0.11)):
-            news = _announcement('a', Phase.SERVING, running)
-            news = structs.replace(news, kv_use=kv_use)
-            delta = view.advance((news,), 1)
+            announcement = _announcement('a', Phase.SERVING, running)
+            announcement = structs.replace(announcement, kv_use=kv_use)
+            delta = view.advance((announcement,), 1)
             copy.apply(msgpack.decode(msgpack.encode(delta), type=type(delta)))
-            kept = copy.upstreams()[0]
-            shown.append((kept.running, kept.kv_use, len(delta.loads)))
+            copied = copy.upstreams()[0]
+            received.append((copied.running, copied.kv_use, len(delta.loads)))
         self.assertEqual(
-            shown, [(1, 0, 0), (1, 0, 0), (9, 0.08, 1), (9, 0.08, 0)]
+            received, [(1, 0, 0), (1, 0, 0), (9, 0.08, 1), (9, 0.08, 0)]
         )
 
 
-def _seen(
+def _summarize(
     upstreams: tuple[Announcement, ...],
 ) -> set[tuple[str, Phase, int]]:
     return {(one.upstream, one.phase, one.running) for one in upstreams}
--- a/tests/membership/test_subset.py
+++ b/tests/membership/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of upstreams."""
+"""Subsets of upstreams that entries watch."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class SubsetTest(TestCase):
-    """Bounded, even and stable."""
+    """Subsets are bounded, evenly spread and stable."""
 
-    def test_small_fleets_are_watched_whole(self) -> None:
-        """Today's 16 replicas are in every entry's subset."""
+    def test_small_fleets_are_watched_completely(self) -> None:
+        """All of 16 replicas are in every entry's subset."""
         names = [f'u{number}' for number in range(16)]
         self.assertEqual(choose_subset('e', 1100, names), frozenset(names))
 
     def test_even_at_the_target_size(self) -> None:
-        """One of 32 models: 375 replicas before 1,100 entries."""
+        """One of 32 models: 375 replicas and 1,100 entries."""
         names = [f'u{number}' for number in range(375)]
         entries = [f'e{number}' for number in range(1100)]
         size = subset_size(len(entries), len(names))
@@ -30,12 +30,12 @@
         self.assertGreater(min(watchers), mean / 2)
         self.assertLess(max(watchers), mean * 1.6)
 
-    def test_one_loss_moves_one_place(self) -> None:
-        """An upstream that is gone is replaced, the others stay."""
+    def test_one_removal_changes_one_member(self) -> None:
+        """A removed upstream is replaced; the others stay in the subset."""
         names = [f'u{number}' for number in range(400)]
         before = choose_subset('e', 1100, names)
-        lost = min(before)
+        removed = min(before)
         after = choose_subset(
-            'e', 1100, [name for name in names if name != lost]
+            'e', 1100, [name for name in names if name != removed]
         )
         self.assertEqual(len(before - after), 1)
--- a/tests/membership/test_watcher_subset.py
+++ b/tests/membership/test_watcher_subset.py
@@ -1,4 +1,4 @@
-"""What a watcher is shown: bounded, complete when small, kept when it can."""
+"""A watcher's subset is bounded, complete for small pools, and stable."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def members(count, policies=1, leaving=()) -> tuple[Announcement, ...]:
-    """Return upstreams that are spread over policies by their number."""
+    """Return upstreams, spread evenly over the policies."""
     return tuple(
         Announcement(
             f'u-{number}',
@@ -40,47 +40,47 @@
 
 
 class WatcherSubsetTest(unittest.TestCase):
-    """One watcher, and many of them together."""
+    """The subsets of one watcher, and of many together."""
 
-    def test_small_pools_are_shown_whole(self) -> None:
+    def test_small_pools_are_sent_completely(self) -> None:
         pools = group_pools(members(19), {})
         for entries in (0, 1, 4, 1100):
-            names = watch('e-1').names(pools, entries)
+            names = watch('e-1').select(pools, entries)
             self.assertEqual(len(names), 19)
 
     def test_bound_holds_and_every_upstream_has_watchers(self) -> None:
         pools = group_pools(members(1714), {})
-        seen = dict.fromkeys(pools['p-0'].serving, 0)
+        watchers = dict.fromkeys(pools['p-0'].serving, 0)
         for number in range(157):
-            names = watch(f'e-{number}').names(pools, 157)
+            names = watch(f'e-{number}').select(pools, 157)
             self.assertEqual(len(set(names)), BOUND)
             for name in names:
-                seen[name] += 1
-        self.assertGreaterEqual(min(seen.values()), 5)
+                watchers[name] += 1
+        self.assertGreaterEqual(min(watchers.values()), 5)
 
-    def test_leaving_upstream_is_shown_and_replaced(self) -> None:
+    def test_leaving_upstream_is_sent_and_replaced(self) -> None:
         subset = watch('e-1')
-        before = set(subset.names(group_pools(members(400), {}), 1100))
-        gone = min(before)
-        listed = members(400, leaving={int(gone[2:])})
-        after = set(subset.names(group_pools(listed, {}), 1100))
+        before = set(subset.select(group_pools(members(400), {}), 1100))
+        leaving_name = min(before)
+        listed = members(400, leaving={int(leaving_name[2:])})
+        after = set(subset.select(group_pools(listed, {}), 1100))
         self.assertLess(before, after)
         self.assertEqual(len(after - before), 1)
 
-    def test_only_a_changed_pool_is_chosen_anew(self) -> None:
+    def test_only_a_changed_pool_is_selected_again(self) -> None:
         choose = watcher_subset.choose_subset
         subset = watch('e-1')
         pools = group_pools(members(300, policies=4), {})
-        subset.names(pools, 1000)
+        subset.select(pools, 1000)
         with mock.patch.object(
             watcher_subset, 'choose_subset', wraps=choose
         ) as spy:
-            subset.names(pools, 1001)
+            subset.select(pools, 1001)
             spy.assert_not_called()
             changed = group_pools(members(301, policies=4), pools)
-            subset.names(changed, 1001)
+            subset.select(changed, 1001)
             self.assertEqual(spy.call_count, 1)
-            subset.names(changed, 500)
+            subset.select(changed, 500)
             self.assertEqual(spy.call_count, 5)
 
     def test_version_counts_members_not_loads(self) -> None:
@@ -92,7 +92,7 @@
         self.assertEqual(directory.version, first)
         directory.expire(60)
         self.assertGreater(directory.version, first)
-        self.assertEqual(directory.pick(('u-0',), 60), ())
+        self.assertEqual(directory.select(('u-0',), 60), ())
 
 
 if __name__ == '__main__':
