--- a/src/snipebend/delivery/attempt_records.py
+++ b/src/snipebend/delivery/attempt_records.py
@@ -108,7 +108,7 @@
         )
         if answer is not None:
             record.answer = answer
-            self._answers.keep(attempt_id, record)
+            self._answers.store(attempt_id, record)
 
     def evict_expired(self, now: float) -> None:
         """Evict the expired records; running attempts are kept."""
@@ -166,7 +166,7 @@
         self._size = 0
         self._records: OrderedDict[AttemptId, AttemptRecord] = OrderedDict()
 
-    def keep(self, attempt_id: AttemptId, record: AttemptRecord) -> None:
+    def store(self, attempt_id: AttemptId, record: AttemptRecord) -> None:
         self._records[attempt_id] = record
         self._size += _size_of(record)
         while self._size > self._max_bytes:
--- a/src/snipebend/delivery/attempting.py
+++ b/src/snipebend/delivery/attempting.py
@@ -18,7 +18,7 @@
 from snipebend.delivery.transitions import (
     ask_retry,
     continue_after_not_run,
-    seal_own,
+    seal_attempt,
     settle_and_end,
 )
 from snipebend.state.claims import Settlement, StoredAnswer
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from snipebend.delivery.actions import Action
     from snipebend.delivery.events import Event
-    from snipebend.delivery.request_context import RequestContext
     from snipebend.delivery.phases import Attempting
+    from snipebend.delivery.request_context import RequestContext
 
 _CONTENT_TYPE = 'content-type'
 
@@ -137,7 +137,7 @@
     refusal = refusals.attempt_broken(Outcome.UNKNOWN)
     # A partial response is aborted at once; the key is settled afterwards.
     aborted = context.caller.refuse(refusal) if context.caller.head_sent else []
-    return [*aborted, *seal_own(context, phase, refusal)]
+    return [*aborted, *seal_attempt(context, phase, refusal)]
 
 
 def _retry_repeatable(
--- a/src/snipebend/delivery/caller_response.py
+++ b/src/snipebend/delivery/caller_response.py
@@ -6,11 +6,11 @@
 
 from snipebend.delivery.actions import (
     AbortResponse,
-    SendStoredResponse,
     FinishResponse,
     Refuse,
     RelayChunk,
     RelayHead,
+    SendStoredResponse,
 )
 
 if TYPE_CHECKING:
--- a/src/snipebend/delivery/claim_messages.py
+++ b/src/snipebend/delivery/claim_messages.py
@@ -27,7 +27,7 @@
     return Claim(request)
 
 
-def own_settlement(
+def attempt_settlement(
     context: RequestContext,
     attempt: int,
     settlement: Settlement,
--- a/src/snipebend/delivery/claiming.py
+++ b/src/snipebend/delivery/claiming.py
@@ -27,9 +27,9 @@
 if TYPE_CHECKING:
     from snipebend.delivery.actions import Action, Refuse
     from snipebend.delivery.events import Event
-    from snipebend.delivery.request_context import RequestContext
     from snipebend.delivery.messages import SealReply
     from snipebend.delivery.phases import Claiming, SealingHolder
+    from snipebend.delivery.request_context import RequestContext
     from snipebend.state.claims import ClaimReply, Holder, StoredAnswer
 
 #: Holders queried per request: querying each new holder could go on without
--- a/src/snipebend/delivery/early_termination.py
+++ b/src/snipebend/delivery/early_termination.py
@@ -19,7 +19,7 @@
     Attempting,
     Choosing,
     EndRequest,
-    SealingOwn,
+    SealingAttempt,
     Settling,
 )
 
@@ -47,7 +47,7 @@
 
 def _proved_outcome(context: RequestContext) -> Outcome:
     match context.phase:
-        case Attempting() | SealingOwn():
+        case Attempting() | SealingAttempt():
             return Outcome.UNKNOWN
         case _:
             return context.proof.outcome
@@ -60,7 +60,7 @@
         case Attempting(attempt=attempt) if context.facts.repeatable:
             context.end()
             return [CancelAttempt(attempt)]
-        case Attempting() | SealingOwn() if not context.is_claimed:
+        case Attempting() | SealingAttempt() if not context.is_claimed:
             context.end()
         case Settling() as phase:
             context.phase = phase._replace(after=EndRequest())
--- a/src/snipebend/delivery/phases.py
+++ b/src/snipebend/delivery/phases.py
@@ -44,7 +44,7 @@
     target: Target
 
 
-class SealingOwn(NamedTuple):
+class SealingAttempt(NamedTuple):
     """Waits for the agent's reply about this request's attempt."""
 
     attempt: int
@@ -59,7 +59,7 @@
     claiming: Claiming
 
 
-class TryAgain(NamedTuple):
+class RetryAttempt(NamedTuple):
     """After settling: request another attempt, or refuse if denied."""
 
     refusal: Refuse
@@ -75,7 +75,7 @@
     """After settling: end the request."""
 
 
-AfterSettling: TypeAlias = TryAgain | ClaimAgain | EndRequest
+AfterSettling: TypeAlias = RetryAttempt | ClaimAgain | EndRequest
 
 
 class Settling(NamedTuple):
@@ -96,7 +96,7 @@
     | AskingRetry
     | Claiming
     | Attempting
-    | SealingOwn
+    | SealingAttempt
     | SealingHolder
     | Settling
     | Ended
--- a/src/snipebend/delivery/request_machine.py
+++ b/src/snipebend/delivery/request_machine.py
@@ -12,6 +12,10 @@
 from snipebend.delivery.actions import SetTimer
 from snipebend.delivery.attempting import on_attempting
 from snipebend.delivery.claiming import on_claiming, on_sealing_holder
+from snipebend.delivery.early_termination import (
+    on_caller_disconnected,
+    on_deadline,
+)
 from snipebend.delivery.events import (
     Arrived,
     CallerDisconnected,
@@ -21,22 +25,18 @@
     RetryGranted,
     UpstreamChosen,
 )
-from snipebend.delivery.early_termination import (
-    on_caller_disconnected,
-    on_deadline,
-)
-from snipebend.delivery.request_context import RequestContext
 from snipebend.delivery.phases import (
     AskingRetry,
     Attempting,
     Choosing,
     Claiming,
     Ended,
+    SealingAttempt,
     SealingHolder,
-    SealingOwn,
     Settling,
 )
-from snipebend.delivery.settling import on_sealing_own, on_settling
+from snipebend.delivery.request_context import RequestContext
+from snipebend.delivery.settling import on_sealing_attempt, on_settling
 from snipebend.delivery.transitions import choose, claim, refuse, send
 
 if TYPE_CHECKING:
@@ -96,7 +96,7 @@
         case Choosing():
             return _on_choosing(context, event)
         case AskingRetry() as asking:
-            return _on_asking(context, asking, event)
+            return _on_asking_retry(context, asking, event)
         case Attempting() as attempting:
             return on_attempting(context, attempting, event)
     return _dispatch_claims(context, event)
@@ -106,8 +106,8 @@
     match context.phase:
         case Claiming() as claiming:
             return on_claiming(context, claiming, event)
-        case SealingOwn() as sealing:
-            return on_sealing_own(context, sealing, event)
+        case SealingAttempt() as sealing:
+            return on_sealing_attempt(context, sealing, event)
         case SealingHolder() as sealing_holder:
             return on_sealing_holder(context, sealing_holder, event)
         case Settling() as settling:
@@ -135,7 +135,7 @@
     return refuse(context, refusal)
 
 
-def _on_asking(
+def _on_asking_retry(
     context: RequestContext, phase: AskingRetry, event: Event
 ) -> list[Action]:
     match event:
--- a/src/snipebend/delivery/settling.py
+++ b/src/snipebend/delivery/settling.py
@@ -14,7 +14,12 @@
 )
 from snipebend.delivery.claiming import claim_again
 from snipebend.delivery.messages import SealVerdict
-from snipebend.delivery.phases import ClaimAgain, EndRequest, Settling, TryAgain
+from snipebend.delivery.phases import (
+    ClaimAgain,
+    EndRequest,
+    RetryAttempt,
+    Settling,
+)
 from snipebend.delivery.transitions import (
     ask_retry,
     continue_after_not_run,
@@ -26,13 +31,13 @@
 if TYPE_CHECKING:
     from snipebend.delivery.actions import Action
     from snipebend.delivery.events import Event
-    from snipebend.delivery.request_context import RequestContext
     from snipebend.delivery.messages import SealReply
-    from snipebend.delivery.phases import SealingOwn
+    from snipebend.delivery.phases import SealingAttempt
+    from snipebend.delivery.request_context import RequestContext
 
 
-def on_sealing_own(
-    context: RequestContext, phase: SealingOwn, event: Event
+def on_sealing_attempt(
+    context: RequestContext, phase: SealingAttempt, event: Event
 ) -> list[Action]:
     """Handle the agent's reply about this request's attempt."""
     match event:
@@ -68,7 +73,7 @@
 
 
 def _on_seal(
-    context: RequestContext, phase: SealingOwn, reply: SealReply
+    context: RequestContext, phase: SealingAttempt, reply: SealReply
 ) -> list[Action]:
     match reply.verdict:
         case SealVerdict.NOT_RUN:
@@ -87,7 +92,9 @@
     return [*final, *settlement_actions]
 
 
-def _end_unsettled(context: RequestContext, phase: SealingOwn) -> list[Action]:
+def _end_unsettled(
+    context: RequestContext, phase: SealingAttempt
+) -> list[Action]:
     context.end()
     if context.is_claimed:
         return context.caller.refuse(refusals.in_progress())
@@ -102,7 +109,7 @@
 
 def _on_settled(context: RequestContext, phase: Settling) -> list[Action]:
     match phase.after:
-        case TryAgain(refusal=refusal):
+        case RetryAttempt(refusal=refusal):
             return ask_retry(context, refusal)
         case ClaimAgain(claiming=claiming):
             return claim_again(context, claiming)
@@ -116,7 +123,7 @@
         context.phase = phase._replace(tries_left=phase.tries_left - 1)
         return [Settle(phase.request)]
     match phase.after:
-        case TryAgain(refusal=refusal):
+        case RetryAttempt(refusal=refusal):
             return refuse(context, refusal)
         case ClaimAgain(claiming=claiming):
             return refuse(context, claiming.refusal)
--- a/src/snipebend/delivery/transitions.py
+++ b/src/snipebend/delivery/transitions.py
@@ -11,7 +11,7 @@
     SendAttempt,
     Settle,
 )
-from snipebend.delivery.claim_messages import claim_action, own_settlement
+from snipebend.delivery.claim_messages import attempt_settlement, claim_action
 from snipebend.delivery.messages import AttemptTicket, SealRequest
 from snipebend.delivery.phases import (
     AskingRetry,
@@ -19,18 +19,18 @@
     Choosing,
     Claiming,
     EndRequest,
+    RetryAttempt,
+    SealingAttempt,
     SealingHolder,
-    SealingOwn,
     Settling,
-    TryAgain,
 )
 from snipebend.state.claims import Settlement
 
 if TYPE_CHECKING:
     from snipebend.delivery.actions import Action, Refuse
     from snipebend.delivery.facts import Target
-    from snipebend.delivery.request_context import RequestContext
     from snipebend.delivery.phases import AfterSettling
+    from snipebend.delivery.request_context import RequestContext
     from snipebend.state.claims import Holder, SettleRequest, StoredAnswer
 
 
@@ -100,8 +100,8 @@
     """Continue after an attempt that is proved not to have run."""
     context.proof.key_may_have_run = False
     if context.is_claimed:
-        request = own_settlement(context, attempt, Settlement.NOT_RUN)
-        return settle(context, request, TryAgain(refusal))
+        request = attempt_settlement(context, attempt, Settlement.NOT_RUN)
+        return settle(context, request, RetryAttempt(refusal))
     return ask_retry(context, refusal)
 
 
@@ -125,15 +125,17 @@
     if not context.is_claimed:
         context.end()
         return []
-    request = own_settlement(context, attempt, settlement, answer)
+    request = attempt_settlement(context, attempt, settlement, answer)
     return settle(context, request, EndRequest())
 
 
-def seal_own(
+def seal_attempt(
     context: RequestContext, attempting: Attempting, refusal: Refuse
 ) -> list[Action]:
     """Query the outcome of this request's attempt."""
-    context.phase = SealingOwn(attempting.attempt, attempting.target, refusal)
+    context.phase = SealingAttempt(
+        attempting.attempt, attempting.target, refusal
+    )
     request = SealRequest(
         context.facts.request_id,
         attempting.attempt,
--- a/src/snipebend/routing/admission.py
+++ b/src/snipebend/routing/admission.py
@@ -27,12 +27,11 @@
 
 #: Deadlines of removed tickets that may remain in the heap before a compaction.
 MAX_STALE_DEADLINES = 64
-#: A request may queue for this share of the mean holding time of requests ...
+#: Longest time in the queue, as a share of the mean holding time of requests.
 WAIT_SHARE = 0.25
-#: ... but at least for this time ...
+#: A request can always wait for this time ...
 MIN_WAIT_S = 0.25
-#: ... and at least until so many other requests are done, however small the
-#: pool is.
+#: ... and until this many other requests are done, however small the pool is.
 MIN_QUEUE_TURNS = 2
 
 
@@ -52,7 +51,7 @@
     def __init__(self) -> None:
         """Create a gate without slots, as for a pool without upstreams."""
         self.queue = FairQueue()
-        self.drain = DrainRate()
+        self.drain_rate = DrainRate()
         self.slots: float = 0
         self._admitted: dict[int, float] = {}
         self._deadlines: list[tuple[float, int]] = []
@@ -93,7 +92,7 @@
         """Close a ticket; return whether it was open."""
         admitted_at = self._admitted.pop(number, None)
         if admitted_at is not None:
-            self.drain.record(now - admitted_at, now)
+            self.drain_rate.record(now - admitted_at, now)
             return True
         return self.queue.remove(number) is not None
 
@@ -106,7 +105,7 @@
 
     def backlog_s(self, now: float) -> float:
         """Return the estimated time until the current queue is drained."""
-        drain = self.drain.requests_per_s(self.admitted, now)
+        drain = self.drain_rate.requests_per_s(self.admitted, now)
         return (len(self.queue) + 1) / drain if drain else 0
 
     def _check_queue(
@@ -126,12 +125,12 @@
         Under sustained overload a long queue has no more throughput than a
         short one; it only delays every request.
         """
-        drain = self.drain.requests_per_s(self.admitted, ticket.issued_at)
+        drain = self.drain_rate.requests_per_s(self.admitted, ticket.issued_at)
         if not drain:
             return ticket.req.deadline_at
         longest = max(
             MIN_WAIT_S,
-            WAIT_SHARE * self.drain.hold_s,
+            WAIT_SHARE * self.drain_rate.hold_s,
             MIN_QUEUE_TURNS / drain,
         )
         return min(ticket.req.deadline_at, ticket.issued_at + longest)
@@ -139,7 +138,7 @@
     def _flow_wait_s(
         self, ticket: Ticket, queue_class: QueueClass, now: float
     ) -> float:
-        drain = self.drain.requests_per_s(self.admitted, now)
+        drain = self.drain_rate.requests_per_s(self.admitted, now)
         if not drain:
             return 0
         flow = (ticket.req.priority, ticket.req.workspace)
--- a/src/snipebend/routing/candidates.py
+++ b/src/snipebend/routing/candidates.py
@@ -37,7 +37,7 @@
 
     ``capacity`` is the sum of the concurrency limits, ``reported_others`` and
     ``own_at_report`` sum the load at the time of the last reports; all three
-    leave out ejected upstreams.
+    leave out ejected upstreams that cannot be probed yet.
     """
 
     def __init__(self, data_center: str) -> None:
--- a/src/snipebend/routing/chooser.py
+++ b/src/snipebend/routing/chooser.py
@@ -26,8 +26,8 @@
 class Chooser:
     """Chooses upstreams by score, and runs suspect requests alone.
 
-    Other requests avoid reserved upstreams always, and quarantine lanes while
-    these are held free.
+    Other requests never run on reserved upstreams, and avoid the lanes while
+    these are kept free.
     """
 
     def __init__(self, rules: ScoringRules, prefixes: PrefixIndex) -> None:
--- a/src/snipebend/routing/concurrency.py
+++ b/src/snipebend/routing/concurrency.py
@@ -63,5 +63,5 @@
         if gradient == 1 and outstanding < self.limit / 2:
             return
         target = self.limit * gradient + sqrt(self.limit)
-        moved = self.limit + SMOOTHING * (target - self.limit)
-        self.limit = max(1.0, min(self.ceiling, moved))
+        adjusted = self.limit + SMOOTHING * (target - self.limit)
+        self.limit = max(1.0, min(self.ceiling, adjusted))
--- a/src/snipebend/routing/controller.py
+++ b/src/snipebend/routing/controller.py
@@ -91,7 +91,7 @@
         if pool.candidates.is_empty:
             retry_after_s = retry_after(NO_UPSTREAM_RETRY_S, rng)
             return Refused(RefusalReason.NO_UPSTREAM, retry_after_s)
-        hold_s = pool.gate.drain.hold_s
+        hold_s = pool.gate.drain_rate.hold_s
         refusal = self.limits.check(workspace, now, hold_s, rng)
         if refusal is not None:
             return refusal
@@ -113,7 +113,7 @@
         ]
         refused = [expired for part in parts for expired in part.refused]
         for expired in refused:
-            self._forget(expired.ticket)
+            self._release_ticket(expired.ticket)
         admitted = [ticket for part in parts for ticket in part.admitted]
         return Dispatched(tuple(admitted), tuple(refused))
 
@@ -126,7 +126,7 @@
         pool = self._tickets.get(ticket.number)
         if pool is not None:
             pool.gate.close(ticket.number, now)
-            self._forget(ticket)
+            self._release_ticket(ticket)
 
     def _pool_of(self, req: RoutingRequest) -> Pool | None:
         if self._table is None:
@@ -141,6 +141,6 @@
             self.pools.pop(pool.key)
         return pool.gate.refuse_all()
 
-    def _forget(self, ticket: Ticket) -> None:
+    def _release_ticket(self, ticket: Ticket) -> None:
         self._tickets.pop(ticket.number, None)
         self.limits.release(ticket.req.workspace)
--- a/src/snipebend/routing/limits.py
+++ b/src/snipebend/routing/limits.py
@@ -69,9 +69,9 @@
             return Refused(RefusalReason.RATE, retry_after(wait, rng))
         if usage.in_flight >= usage.max_in_flight:
             # On average, one of the workspace's requests ends after this time.
-            next_end = hold_s / usage.max_in_flight
+            expected_wait_s = hold_s / usage.max_in_flight
             return Refused(
-                RefusalReason.CONCURRENCY, retry_after(next_end, rng)
+                RefusalReason.CONCURRENCY, retry_after(expected_wait_s, rng)
             )
         return None
 
--- a/src/snipebend/routing/pools.py
+++ b/src/snipebend/routing/pools.py
@@ -28,7 +28,7 @@
     @property
     def report_decay_s(self) -> float:
         """Return the decay time of load reports: the mean holding time."""
-        return self.gate.drain.hold_s or DEFAULT_REPORT_DECAY_S
+        return self.gate.drain_rate.hold_s or DEFAULT_REPORT_DECAY_S
 
     def update_slots(self, entries: int) -> None:
         """Set how many requests this entry may have at the upstreams.
--- a/src/snipebend/routing/upstream_state.py
+++ b/src/snipebend/routing/upstream_state.py
@@ -98,10 +98,12 @@
         upstreams as this entry.
         """
         age = max(0, moment - self.view.load.taken_at)
-        trust = exp(-age / mean.report_decay_s)
+        report_weight = exp(-age / mean.report_decay_s)
         difference = self.reported_others - mean.reported_others
-        self.estimated_others = mean.reported_others + difference * trust
-        self.herding = HERDING_SHARE * (entries - 1) * (1 - trust)
+        self.estimated_others = (
+            mean.reported_others + difference * report_weight
+        )
+        self.herding = HERDING_SHARE * (entries - 1) * (1 - report_weight)
         self.mean_outstanding = mean.outstanding
 
     def slow_start_share(self, now: float) -> float:
--- a/tests/delivery/checks.py
+++ b/tests/delivery/checks.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from snipebend.delivery.actions import (
-    SendStoredResponse,
     FinishResponse,
     Refuse,
+    SendStoredResponse,
 )
 from snipebend.delivery.outcomes import Outcome
 
@@ -71,24 +71,26 @@
 
 
 def _response(world: World, sent_request: SentRequest) -> Iterator[str]:
-    got = tuple(sent_request.got)
+    received = tuple(sent_request.received)
     own = [
         run.payloads
         for run in world.runs
         if run.request_id == sent_request.request_id
     ]
-    if got and got not in {payloads[: len(got)] for payloads in own}:
+    if received and received not in {
+        payloads[: len(received)] for payloads in own
+    }:
         yield 'got a mixed response'
     for final in sent_request.finals:
         match final:
-            case FinishResponse() if got not in own:
+            case FinishResponse() if received not in own:
                 yield 'got a partial response that ended normally'
             case SendStoredResponse(answer=stored):
-                if got or stored.body not in _complete_bodies(
+                if received or stored.body not in _complete_bodies(
                     world, sent_request
                 ):
                     yield 'got a wrong stored response'
-            case Refuse() if got:
+            case Refuse() if received:
                 yield 'was refused in the middle of a response'
 
 
--- a/tests/delivery/driver.py
+++ b/tests/delivery/driver.py
@@ -53,8 +53,8 @@
             world.later(world.step, sent_request, _choose(world, exclude))
         case AskRetry():
             granted = world.occurs(0.8)
-            answer = RetryGranted() if granted else RetryDenied(2)
-            world.later(world.step, sent_request, answer)
+            reply = RetryGranted() if granted else RetryDenied(2)
+            world.later(world.step, sent_request, reply)
         case Claim() | Settle() | Seal():
             _call(world, sent_request, action)
         case SendAttempt(target=target, ticket=ticket):
@@ -63,7 +63,7 @@
         case CancelAttempt(attempt=attempt):
             sent_request.conns[attempt].is_open = False
         case RelayChunk(payload=payload):
-            sent_request.got.append(payload)
+            sent_request.received.append(payload)
         case RelayHead() | SetTimer():
             return
         case final:
@@ -96,21 +96,21 @@
         case Seal():
             serve = partial(_seal, world, action)
             failed = SealFailed(request.request_id, request.attempt)
-    fate = world.choose_fate()
+    delivery = world.choose_delivery()
     is_unanswered = isinstance(action, Seal) and not world.rates.seals_answered
-    if is_unanswered or fate in {'lost', 'late'}:
+    if is_unanswered or delivery in {'lost', 'late'}:
         world.later(world.step, sent_request, failed)
     if is_unanswered:
         return
-    answer = partial(_reply, world, sent_request, serve, failed)
-    match fate:
+    deliver_reply = partial(_reply, world, sent_request, serve, failed)
+    match delivery:
         case 'late':
             world.later(serve)
         case 'doubled':
-            world.later(answer)
-            world.later(answer)
+            world.later(deliver_reply)
+            world.later(deliver_reply)
         case 'arrives':
-            world.later(answer)
+            world.later(deliver_reply)
 
 
 def _reply(
--- a/tests/delivery/engines.py
+++ b/tests/delivery/engines.py
@@ -36,10 +36,10 @@
         return
     unread = Conn(sent_request, ticket.attempt, is_open=False)
     arrive = partial(_arrive, world, agent, ticket)
-    fate = world.choose_fate()
-    if fate in {'lost', 'late'}:
+    delivery = world.choose_delivery()
+    if delivery in {'lost', 'late'}:
         push(world, conn, AttemptBroken(ticket.attempt, sent=True))
-    match fate:
+    match delivery:
         case 'late':
             world.later(arrive, unread)
         case 'doubled' if world.occurs(0.5):
@@ -56,12 +56,12 @@
         return
     is_chunk = isinstance(event, ChunkArrived)
     if world.occurs(world.rates.broken):
-        broke = AttemptBroken(conn.attempt, sent=True)
+        break_event = AttemptBroken(conn.attempt, sent=True)
         if world.occurs(0.5):
             # The attempt timed out; events already queued still arrive.
-            world.later(world.step, conn.sent_request, broke)
+            world.later(world.step, conn.sent_request, break_event)
         else:
-            event = broke
+            event = break_event
             conn.is_open = False
     elif is_chunk and world.occurs(world.rates.lost / 4):
         return
--- a/tests/delivery/faults.py
+++ b/tests/delivery/faults.py
@@ -105,7 +105,7 @@
 FAULTS = MappingProxyType(
     {
         'retry without a seal': (
-            (attempting, 'seal_own', _retry_without_seal),
+            (attempting, 'seal_attempt', _retry_without_seal),
         ),
         'seal without a tombstone': (
             (AttemptGuard, '_seal_unrecorded', _seal_without_tombstone),
@@ -128,7 +128,7 @@
         'refused without looking the key up': (
             (request_machine, '_on_no_upstream', _refuse_without_lookup),
         ),
-        'forgotten attempts pass for unseen': (
+        'evicted attempts count as never received': (
             (AttemptGuard, 'seal', _treat_evicted_as_unrecorded),
         ),
         'a duplicate counts as proof': (
@@ -141,7 +141,7 @@
         'a broken repeatable attempt counts as not run': (
             (attempting, '_retry_repeatable', _ignore_attempt_doubt),
         ),
-        'no answer at the deadline': (
+        'no response at the deadline': (
             (request_machine, 'on_deadline', _ignore_deadline),
         ),
         'holder freed without a seal': (
--- a/tests/delivery/pieces.py
+++ b/tests/delivery/pieces.py
@@ -69,7 +69,7 @@
         self.crashed = False
         self.timer_fired = False
         self.lacks_final = False
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
         self.finals: list[Action] = []
         self.conns: dict[int, Conn] = {}
 
--- a/tests/delivery/test_guard.py
+++ b/tests/delivery/test_guard.py
@@ -62,8 +62,8 @@
         self.assert_refused(_ticket(), RefusalReason.DUPLICATE)
         self.assertEqual(self.guard.admit(_ticket(attempt=3), 0), Admitted())
         self.assert_refused(_ticket(attempt=2), RefusalReason.STALE_ATTEMPT)
-        stranger = _ticket('s', incarnation=6)
-        self.assert_refused(stranger, RefusalReason.WRONG_INCARNATION)
+        unrelated = _ticket('s', incarnation=6)
+        self.assert_refused(unrelated, RefusalReason.WRONG_INCARNATION)
 
     def test_a_refused_attempt_stays_refused(self) -> None:
         self.guard.admit(_ticket('a'), 0)
@@ -93,7 +93,7 @@
             name = f'bad {number}'
             self.guard.admit(_ticket(name, alone=True), 0)
             # The end of another attempt does not end the exclusive run.
-            end('stranger', 1)
+            end('unrelated', 1)
             beside = _ticket(f'early {number}')
             self.assert_refused(beside, RefusalReason.NOT_ALONE)
             end(name, 1)
--- a/tests/delivery/test_search.py
+++ b/tests/delivery/test_search.py
@@ -30,7 +30,7 @@
 def _is_detected() -> bool:
     for seed in range(SCHEDULES):
         world = World(seed)
-        world.play(STEPS)
+        world.run_schedule(STEPS)
         if find_faults(world):
             return True
     return False
@@ -44,7 +44,7 @@
         steps = 0
         for seed in range(SCHEDULES):
             world = World(seed)
-            world.play(STEPS)
+            world.run_schedule(STEPS)
             endings += world.finals
             steps += world.steps
             self.assertEqual(find_faults(world), [], f'seed {seed}')
--- a/tests/delivery/test_suspect_lease.py
+++ b/tests/delivery/test_suspect_lease.py
@@ -36,8 +36,8 @@
         self.assertFalse(self.take(self.first, 1))
         self.assertEqual(self.take(self.other, 2), _END - 2)
         self.assertFalse(self.other.is_held)
-        stranger = SuspectLease('good', 'other', _DEADLINE)
-        self.assertFalse(self.take(stranger, 2))
+        unrelated = SuspectLease('good', 'other', _DEADLINE)
+        self.assertFalse(self.take(unrelated, 2))
         # Only the holder can end the lease.
         self.assertTrue(self.release(self.other, 3))
         self.assertTrue(self.take(self.other, 4))
--- a/tests/delivery/world.py
+++ b/tests/delivery/world.py
@@ -53,7 +53,7 @@
         self._pending: list[Callable[[], object]] = []
         self._works = [self._make_work(index) for index in range(5)]
 
-    def play(self, steps: int) -> None:
+    def run_schedule(self, steps: int) -> None:
         """Run a schedule with faults, then let all requests end."""
         for work in self._works:
             self.send(work)
@@ -103,13 +103,13 @@
         """Return whether a fault with this rate occurs."""
         return self.rng.random() < share
 
-    def choose_fate(self) -> str:
-        """Return the random fate of a message."""
+    def choose_delivery(self) -> str:
+        """Return at random how a message is delivered."""
         rates = self.rates
         arrives = 1 - rates.lost - rates.late - rates.doubled
-        fates = ('lost', 'late', 'doubled', 'arrives')
+        deliveries = ('lost', 'late', 'doubled', 'arrives')
         weights = (rates.lost, rates.late, rates.doubled, arrives)
-        return self.rng.choices(fates, weights)[0]
+        return self.rng.choices(deliveries, weights)[0]
 
     def count_final(self, final: Action) -> None:
         """Count final actions by their class and outcome."""
--- a/tests/routing/test_fair_queue.py
+++ b/tests/routing/test_fair_queue.py
@@ -93,11 +93,11 @@
                 ticket = queue.pop()
                 self.assertEqual(ticket is None, not waiting)
                 if ticket is not None:
-                    mine = [
+                    queued_numbers = [
                         one.number
                         for one in waiting.values()
                         if one.req.workspace == ticket.req.workspace
                     ]
-                    self.assertEqual(ticket.number, min(mine))
+                    self.assertEqual(ticket.number, min(queued_numbers))
                     waiting.pop(ticket.number)
             self.assertEqual(len(queue), len(waiting))
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -10,8 +10,8 @@
 from snipebend.routing.concurrency import AdaptiveLimit
 from snipebend.routing.ejection import Ejector
 from snipebend.routing.retry_budget import (
-    RESERVE,
     IDLE_RETRIES_PER_S,
+    RESERVE,
     RetryBudget,
     balance_cap_per_entry,
 )
