--- a/src/snipebend/delivery/attempt_records.py
+++ b/src/snipebend/delivery/attempt_records.py
@@ -120,8 +120,8 @@
         """Return whether a record can be added, evicting one if needed.
 
         The record that expires next is evicted early if its deadline has
-        passed: it is no longer needed against a second start, and only serves
-        to tell resends about the first.
+        passed: it is no longer needed against a second start, and only informs
+        resends about the first.
         """
         if len(self._records) < self._max_records:
             return True
--- a/src/snipebend/delivery/attempting.py
+++ b/src/snipebend/delivery/attempting.py
@@ -76,7 +76,7 @@
     phase: Attempting,
     event: AttemptStarted,
 ) -> list[Action]:
-    context.answer.head = RelayHead(event.status, event.headers)
+    context.response.head = RelayHead(event.status, event.headers)
     sent = context.caller.head_sent
     if sent and sent.status != event.status:
         # A resumed response with another status cannot continue the first.
@@ -89,13 +89,13 @@
     phase: Attempting,
     event: ChunkArrived,
 ) -> list[Action]:
-    ready = context.answer.chunks.add(event.seq, event.payload)
-    if context.answer.head is None or isinstance(ready, ChunkFault):
+    ready = context.response.chunks.add(event.seq, event.payload)
+    if context.response.head is None or isinstance(ready, ChunkFault):
         return _on_invalid_response(context, phase)
     if context.is_claimed:
         for payload in ready:
-            context.answer.body.add(payload)
-    return context.caller.relay(context.answer.head, ready)
+            context.response.body.add(payload)
+    return context.caller.relay(context.response.head, ready)
 
 
 def _on_finished(
@@ -103,12 +103,12 @@
     phase: Attempting,
     event: AttemptFinished,
 ) -> list[Action]:
-    if context.answer.head is None or context.answer.chunks.finish(
+    if context.response.head is None or context.response.chunks.finish(
         event.chunks
     ):
         return _on_invalid_response(context, phase)
-    final = context.caller.finish(context.answer.head)
-    answer = _stored_answer(context, context.answer.head)
+    final = context.caller.finish(context.response.head)
+    answer = _stored_answer(context, context.response.head)
     settlement_actions = settle_and_end(
         context, phase.attempt, Settlement.RAN, answer
     )
@@ -160,7 +160,7 @@
 def _stored_answer(
     context: RequestContext, head: RelayHead
 ) -> StoredAnswer | None:
-    body = context.answer.body.complete_body()
+    body = context.response.body.complete_body()
     if body is None:
         return None
     types = [
--- a/src/snipebend/delivery/claiming.py
+++ b/src/snipebend/delivery/claiming.py
@@ -78,7 +78,7 @@
             return _on_in_progress(context, phase, reply.holder)
         case ClaimVerdict.RAN:
             context.end()
-            return _send_answer(context, reply.answer)
+            return _send_stored_or_refuse(context, reply.answer)
         case ClaimVerdict.UNKNOWN:
             return _refuse_and_end(context, refusals.unknown())
         case ClaimVerdict.MISMATCH:
@@ -122,7 +122,7 @@
         case SealVerdict.RUNNING:
             return _refuse_and_end(context, refusals.in_progress())
         case SealVerdict.RAN:
-            final = _send_answer(context, reply.answer)
+            final = _send_stored_or_refuse(context, reply.answer)
             settlement = Settlement.RAN
         case SealVerdict.UNKNOWN:
             final = context.caller.refuse(refusals.unknown())
@@ -170,7 +170,7 @@
     return [*final, *release_actions]
 
 
-def _send_answer(
+def _send_stored_or_refuse(
     context: RequestContext, answer: StoredAnswer | None
 ) -> list[Action]:
     if answer is None:
--- a/src/snipebend/delivery/early_termination.py
+++ b/src/snipebend/delivery/early_termination.py
@@ -66,5 +66,5 @@
             context.phase = phase._replace(after=EndRequest())
         case _:
             # The key is settled by a reply that is still outstanding.
-            pass  # noqa: WPS420  the remaining phases go on as they are
+            pass  # noqa: WPS420  the other phases continue unchanged
     return []
--- a/src/snipebend/delivery/request_context.py
+++ b/src/snipebend/delivery/request_context.py
@@ -64,7 +64,7 @@
         self.holders_queried = 0
         self.excluded: frozenset[str] = frozenset()
         self.now = float('-inf')
-        self.answer = IncomingResponse(limits, 0)
+        self.response = IncomingResponse(limits, 0)
 
     @property
     def is_claimed(self) -> bool:
@@ -87,8 +87,8 @@
 
     def expect_remaining_chunks(self) -> None:
         """Expect a new attempt's response from the first missing chunk."""
-        next_seq = self.answer.chunks.next_seq
-        self.answer = IncomingResponse(self.limits, next_seq)
+        next_seq = self.response.chunks.next_seq
+        self.response = IncomingResponse(self.limits, next_seq)
 
     def end(self) -> None:
         """Enter the final phase, in which nothing is awaited."""
--- a/src/snipebend/delivery/settling.py
+++ b/src/snipebend/delivery/settling.py
@@ -84,7 +84,7 @@
             final = context.caller.refuse(phase.refusal)
             settlement = Settlement.UNKNOWN
         case SealVerdict.RAN:
-            final = _send_answer(context, reply)
+            final = _send_stored_or_refuse(context, reply)
             settlement = Settlement.RAN
     settlement_actions = settle_and_end(
         context, phase.attempt, settlement, reply.answer
@@ -101,7 +101,9 @@
     return context.caller.refuse(phase.refusal)
 
 
-def _send_answer(context: RequestContext, reply: SealReply) -> list[Action]:
+def _send_stored_or_refuse(
+    context: RequestContext, reply: SealReply
+) -> list[Action]:
     if reply.answer is None:
         return context.caller.refuse(refusals.ran())
     return context.caller.send_stored(reply.answer)
--- a/src/snipebend/delivery/transitions.py
+++ b/src/snipebend/delivery/transitions.py
@@ -70,7 +70,7 @@
         incarnation=target.incarnation,
         deadline_at=context.facts.deadline_at,
         keep_answer=not context.facts.repeatable,
-        resume_from=context.answer.chunks.next_seq,
+        resume_from=context.response.chunks.next_seq,
         alone=target.alone,
     )
     return [SendAttempt(target, ticket)]
--- a/src/snipebend/routing/retry_budget.py
+++ b/src/snipebend/routing/retry_budget.py
@@ -66,7 +66,7 @@
     def record_request(self) -> None:
         """Earn the share of one request, up to the balance cap.
 
-        Without a cap, an outage could use up the savings of a day.
+        The cap keeps the savings of a whole day from accumulating.
         """
         self.requests += 1
         self._balance = min(self._cap(), self._balance + self._ratio)
