--- a/tests/delivery/test_guard.py
+++ b/tests/delivery/test_guard.py
@@ -41,7 +41,7 @@
     return SealRequest(request_id, attempt, 7, 100)
 
 
-class AttemptGuardTest(unittest.TestCase):
+class GuardTest(unittest.TestCase):
     """A guard of incarnation 7."""
 
     def setUp(self) -> None:
