--- a/src/snipebend/transport/routed_request.py
+++ b/src/snipebend/transport/routed_request.py
@@ -123,7 +123,7 @@
         until = quarantine.blocked_until(req.fingerprint, now)
         if until is not None:
             return _no_upstream(Refused(Reason.QUARANTINED, until - now))
-        self._deaths_before = quarantine.deaths_of(req.fingerprint)
+        self._deaths_before = quarantine.death_count(req.fingerprint)
         return None
 
     async def _wait_for_count(self, lease: SuspectLease) -> float:
@@ -144,9 +144,11 @@
     def started(self, attempt: int, upstream: str) -> None:
         """Count an attempt as handed over."""
         self._sent[attempt] = _Sent(upstream, self._clock.now())
-        self._desk.router.started(self._ticket, upstream, self._clock.now())
+        self._desk.router.record_start(
+            self._ticket, upstream, self._clock.now()
+        )
         if self._lease is not None:
-            self._lease.note_start()
+            self._lease.record_start()
 
     def first_chunk(self, attempt: int) -> None:
         """Note the time to the first chunk."""
@@ -159,7 +161,7 @@
         self.first_chunk(attempt)
         sent = self._sent.pop(attempt, None)
         if sent is not None:
-            self._desk.router.finished(
+            self._desk.router.record_success(
                 self._ticket,
                 sent.upstream,
                 sent.latency_s or 0,
@@ -169,7 +171,7 @@
             self._desk.deaths.clear(fingerprint)
             self._desk.on_served(fingerprint, self._lease is not None)
         if self._lease is not None:
-            self._lease.note_served()
+            self._lease.record_served()
 
     def refused(self, attempt: int, reason: RefusalReason) -> None:
         """Report an attempt that the agent didn't start."""
@@ -178,7 +180,7 @@
             return
         self._free_retry = reason in _TAKES_OUT
         if self._lease is not None and reason.proves_not_run:
-            self._lease.note_end()
+            self._lease.record_not_run()
         if reason is RefusalReason.LEAVING:
             self._desk.note_leaving(sent.upstream)
         is_down = reason is RefusalReason.UPSTREAM_DOWN
@@ -199,19 +201,19 @@
             sent.broken = AttemptOutcome.CRASHED
             self._desk.note_down(sent.upstream)
             if self._lease is not None:
-                self._lease.note_death()
+                self._lease.record_death()
 
     def broke(self, attempt: int, *, was_sent: bool) -> None:
         """Report an attempt that broke off."""
         sent = self._sent.pop(attempt, None)
         if self._lease is not None and not was_sent:
-            self._lease.note_end()
+            self._lease.record_not_run()
         if sent is not None:
             self._failed(sent.upstream, sent.broken)
 
     def _failed(self, upstream: str, outcome: AttemptOutcome) -> None:
         now = self._clock.now()
-        self._desk.router.failed(self._ticket, upstream, outcome, now)
+        self._desk.router.record_failure(self._ticket, upstream, outcome, now)
 
 
 def _refusal(refused: Refused) -> Chosen:
