--- a/bench/quick_consensus.py
+++ b/bench/quick_consensus.py
@@ -15,7 +15,7 @@
 
 from snipebend.consensus import actions as act
 from snipebend.consensus import events as evt
-from snipebend.consensus.config import CoreConfig, Restored
+from snipebend.consensus.config import CoreConfig, RestoredState
 from snipebend.consensus.core import Core
 from snipebend.consensus.records import Member, Members
 
@@ -48,7 +48,7 @@
 
     def start(self) -> str:
         """Let the members elect a leader; give its identity."""
-        restored = Restored(members=FOUNDERS)
+        restored = RestoredState(members=FOUNDERS)
         for voter in FOUNDERS.voters:
             name = voter.member_id
             self.cores[name] = Core(CFG, name, restored, 0, self.rng)
--- a/src/snipebend/consensus/__init__.py
+++ b/src/snipebend/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Log replication: a pure core, its files, its members and leases."""
+"""Raft consensus: log replication, elections, membership and storage."""
--- a/src/snipebend/consensus/actions.py
+++ b/src/snipebend/consensus/actions.py
@@ -1,8 +1,8 @@
-"""What the core of log replication asks the shell to do, in list order.
+"""Actions that the Raft core returns, for its caller to execute in order.
 
-``Persist`` and ``InstallSnapshot`` are written in the order in which they are
-emitted. A ``Send`` needs no waiting: the core holds back any message that
-promises something not yet confirmed by a ``Persisted`` event.
+``Persist`` and ``InstallSnapshot`` must be written in the order in which they
+are returned. A ``Send`` is executed immediately: the core itself holds back
+each message that depends on a write until ``Persisted`` confirms that write.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Role(enum.StrEnum):
-    """A member's part in its term."""
+    """The Raft role of a member in its current term."""
 
     FOLLOWER = 'follower'
     PRE_CANDIDATE = 'pre-candidate'
@@ -31,10 +31,10 @@
 
 
 class RejectReason(enum.StrEnum):
-    """Why a proposal isn't answered as committed.
+    """Why a proposal was not reported as committed.
 
-    ``unknown`` alone means that it was appended and may still commit; after
-    each other reason it never does.
+    ``unknown`` means that the entry was appended and may still be committed.
+    With any other reason the entry was not appended and never commits.
     """
 
     NOT_LEADER = 'not-leader'
@@ -48,17 +48,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message now; it may be lost, delayed or doubled."""
+    """Send a message now; it may be lost, delayed or duplicated."""
 
     envelope: Envelope
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write and sync, then confirm with ``Persisted(sequence)``.
+    """Write to disk and sync, then confirm with ``Persisted(sequence)``.
 
-    First the log drops the entries from ``truncate_from`` on, then it takes
-    ``entries``. The shell may sync several at once and confirm the last.
+    The log is truncated from ``truncate_from`` on before ``entries`` are
+    appended. The caller may sync several writes at once and confirm only the
+    last one.
     """
 
     sequence: int
@@ -69,9 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Apply these entries; each index comes once, in order, without gaps.
+    """Apply these entries; each index occurs once, in order, without gaps.
 
-    After a start the first one follows the restored snapshot.
+    After a restart the first entry is the one that follows the restored
+    snapshot.
     """
 
     entries: tuple[LogEntry, ...]
@@ -79,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalCommitted:
-    """The proposal stands at ``index``; its ``Commit`` came before."""
+    """The proposal is committed at ``index``; its ``Commit`` came before."""
 
     proposal_id: str
     index: int
@@ -87,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalRejected:
-    """The proposal isn't known to be committed; see ``RejectReason``."""
+    """The proposal is not known to be committed; see ``RejectReason``."""
 
     proposal_id: str
     leader_hint: Member | None
@@ -96,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """The read may run as soon as ``index`` is applied."""
+    """The read can be served once ``index`` has been applied."""
 
     read_id: str
     index: int
@@ -104,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRejected:
-    """This member can't serve the read."""
+    """This member cannot serve the read."""
 
     read_id: str
     leader_hint: Member | None
@@ -112,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """Replace state and log by the snapshot; sync, then ``SnapshotInstalled``.
+    """Replace state and log with a snapshot, then send ``SnapshotInstalled``.
 
     The snapshot must be synced before the log file is reset to start after
     ``index``.
@@ -126,14 +128,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NeedSnapshot:
-    """Answer with ``SnapshotLoaded`` for the target's sake."""
+    """Load the latest snapshot for ``target``; answer ``SnapshotLoaded``."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class RoleChanged:
-    """The member's role, term or known leader changed."""
+    """The role, term or known leader of the member has changed."""
 
     role: Role
     term: int
--- a/src/snipebend/consensus/counting.py
+++ b/src/snipebend/consensus/commit_index.py
@@ -1,4 +1,4 @@
-"""What counts as committed."""
+"""Advances the commit index of a leader."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 def advance_commit(node: Node, leadership: Leadership) -> None:
-    """Commit what a majority has synced, if it ends in the own term.
+    """Commit entries synced by a majority if the last has the current term.
 
-    An entry of an earlier term isn't committed by counting alone: another
-    leader could still replace it (Ongaro, 2014, 3.6.2).
+    Copies of an entry of an earlier term do not suffice: another leader could
+    still overwrite it (Ongaro, 2014, 3.6.2).
     """
     reached = majority_match(node, leadership)
-    if reached > node.commit_index and may_commit(node, reached):
+    if reached > node.commit_index and can_commit_by_count(node, reached):
         node.commit_index = reached
 
 
-def may_commit(node: Node, index: int) -> bool:
-    """Tell whether counting copies decides this entry."""
+def can_commit_by_count(node: Node, index: int) -> bool:
+    """Return whether the entry can be committed by counting its copies."""
     return node.log.term_at(index) == node.term
 
 
 def majority_match(node: Node, leadership: Leadership) -> int:
-    """Give the last index that a majority of the voters has synced."""
+    """Return the last index that a majority of the voters has synced."""
     matches = [
         leadership.progress[voter].match_index
         if voter != node.member_id
--- a/src/snipebend/consensus/config.py
+++ b/src/snipebend/consensus/config.py
@@ -1,4 +1,4 @@
-"""Settings of the core and what it is restored from."""
+"""Settings of the Raft core and the state from which it is restored."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 
 class CoreConfig(NamedTuple):
-    """Timing and limits; the same on each member of a group.
-
-    ``clock_drift`` bounds how much faster or slower than true time a member's
-    clock may run, as a fraction. ``max_batch`` counts entries a message,
-    ``max_batch_bytes`` their payload, ``max_in_flight`` the messages to one
-    follower without an answer, ``max_uncommitted`` the entries that a leader
-    takes on before it calls itself busy. A snapshot that brought no answer
-    within ``snapshot_retry_s`` is sent again.
+    """Timing and limits; they must be the same on all members of a group.
+
+    ``clock_drift`` is the largest relative difference between the rate of a
+    member's clock and true time. ``max_batch`` and ``max_batch_bytes`` limit
+    the number of entries in one message and the size of their payloads.
+    ``max_in_flight`` limits the unacknowledged messages to one follower.
+    ``max_uncommitted`` limits the uncommitted entries on a leader; it rejects
+    further proposals as busy. A snapshot that is not acknowledged within
+    ``snapshot_retry_s`` is sent again.
     """
 
     heartbeat_s: float = 0.25
@@ -35,12 +36,12 @@
     snapshot_retry_s: float = 5
 
 
-class Restored(NamedTuple):
-    """What the disk held at the start.
+class RestoredState(NamedTuple):
+    """The state read from disk at startup.
 
-    ``members`` are those of the snapshot, or without a snapshot those that the
-    group was founded with; a process that waits to be added gives none.
-    ``entries`` follow the snapshot; those that it covers are passed over.
+    ``members`` are those of the snapshot or, without a snapshot, the founding
+    members of the group; empty for a process that waits to be added to a
+    group. ``entries`` follow the snapshot; entries that it covers are skipped.
     """
 
     hard_state: HardState = HardState()
--- a/src/snipebend/consensus/core.py
+++ b/src/snipebend/consensus/core.py
@@ -1,9 +1,9 @@
-"""The pure core of log replication: events in, actions out.
+"""The Raft core: takes events, returns actions, performs no I/O.
 
 The algorithm is Raft (Ongaro and Ousterhout, "In Search of an Understandable
-Consensus Algorithm", 2014) with the pre-vote, the check-quorum, the lease, the
-one-at-a-time changes of members and the hand-over of Ongaro's dissertation
-("Consensus: Bridging Theory and Practice", 2014).
+Consensus Algorithm", 2014) with pre-vote, check-quorum, leader lease,
+single-server membership changes and leadership transfer from Ongaro's
+dissertation ("Consensus: Bridging Theory and Practice", 2014).
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from snipebend.consensus.dispatch import take_in
+from snipebend.consensus.dispatch import handle_event
 from snipebend.consensus.node import restore_node
 from snipebend.consensus.reads import lease_until
-from snipebend.consensus.settling import settle
+from snipebend.consensus.step_completion import complete_step
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Iterable
 
     from snipebend.consensus.actions import Action, Role
-    from snipebend.consensus.config import CoreConfig, Restored
+    from snipebend.consensus.config import CoreConfig, RestoredState
     from snipebend.consensus.events import Event
     from snipebend.consensus.records import Member, Members
 
 
 class CoreStatus(NamedTuple):
-    """What a state dump shows of a member."""
+    """The status of a member, for state dumps and for the member's caller."""
 
     member_id: str
     role: Role
@@ -38,59 +38,64 @@
     last_index: int
     persisted_index: int
     commit_index: int
-    handed_out: int
+    delivered_index: int
 
 
 class Core:
-    """One member of a group that agrees on a log.
+    """One member of a Raft group.
 
-    It has no clock, random source or I/O of its own. ``now`` is in seconds of
-    a clock that never goes back; its rate may differ from true time by
-    ``clock_drift`` at most.
+    The caller passes in the time and the random source, and performs all I/O.
+    ``now`` is in seconds on a monotonic clock whose rate differs from true time
+    by at most ``clock_drift``.
     """
 
     def __init__(
         self,
         cfg: CoreConfig,
         member_id: str,
-        restored: Restored,
+        restored: RestoredState,
         now: float,
         rng: random.Random,
-        began_at: float | None = None,
+        process_started_at: float | None = None,
     ) -> None:
-        """Start as a follower from what the disk held.
+        """Start as a follower from the state read from disk.
 
-        ``began_at`` is when this process began, by the same clock; none: now.
+        ``process_started_at`` is the start of this process on the same clock;
+        the default is ``now``.
         """
-        began_at = now if began_at is None else began_at
-        self._node = restore_node(cfg, member_id, restored, now, rng, began_at)
+        process_started_at = (
+            now if process_started_at is None else process_started_at
+        )
+        self._node = restore_node(
+            cfg, member_id, restored, now, rng, process_started_at
+        )
 
     def step(
         self, event: Event, now: float, rng: random.Random
     ) -> list[Action]:
-        """Take in one event; do the returned actions in order."""
+        """Handle one event and return the actions to execute in order."""
         return self.step_all((event,), now, rng)
 
     def step_all(
         self, events: Iterable[Event], now: float, rng: random.Random
     ) -> list[Action]:
-        """Take in several events at once, which batches what they cause.
+        """Handle several events together, which batches their effects.
 
-        Raises ``CorruptionError`` when a rule that replication rests on is
-        seen broken; the process must then stop rather than answer anybody.
+        Raises ``CorruptionError`` if an invariant of Raft is violated. The
+        process must then stop and send no further replies.
         """
         node = self._node
         node.now = now
         node.rng = rng
         for event in events:
-            take_in(node, event)
-        settle(node)
+            handle_event(node, event)
+        complete_step(node)
         actions = node.actions
         node.actions = []
         return actions
 
     def status(self) -> CoreStatus:
-        """Describe the member."""
+        """Return the status of the member."""
         node = self._node
         return CoreStatus(
             member_id=node.member_id,
@@ -102,23 +107,22 @@
             last_index=node.log.last_index,
             persisted_index=node.durability.persisted_index,
             commit_index=node.commit_index,
-            handed_out=node.handed_out,
+            delivered_index=node.delivered_index,
         )
 
     def lease_until(self) -> float:
-        """Return until when nobody else can lead; the past on a follower."""
+        """Return the end of the leader lease; ``-inf`` if this is no leader."""
         node = self._node
         if node.leadership is None:
             return -math.inf
         return lease_until(node, node.leadership)
 
-    def silences(self) -> dict[str, float]:
-        """Return, on a leader, how long each other member has been silent.
+    def contact_ages(self) -> dict[str, float]:
+        """Return, on a leader, the seconds since last contact with each member.
 
-        In seconds since the last message that it is known to have taken in;
-        nobody counts as silent for longer than this leadership lasts. A
-        learner that was never heard has only just been taken in, and is left
-        out.
+        Counted from when the leader sent the last message that the member has
+        acknowledged, but at most since the election of this leader. A learner
+        that has never replied is left out: it has only just been added.
         """
         node = self._node
         leadership = node.leadership
@@ -133,9 +137,9 @@
         }
 
     def members_at(self, index: int) -> Members:
-        """Give the members as of ``index``, from the log's base on."""
+        """Return the members as of ``index``, the log's base or later."""
         return self._node.members.at(index)
 
     def term_at(self, index: int) -> int | None:
-        """Give the term of an entry that is in the log or its base."""
+        """Return the term of an entry; ``None`` if it is not in the log."""
         return self._node.log.term_at(index)
--- a/src/snipebend/consensus/data_folder.py
+++ b/src/snipebend/consensus/data_folder.py
@@ -1,4 +1,4 @@
-"""The data folder: whole files replaced at once, and who we are."""
+"""Files of the data folder that are replaced atomically, and its identity."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 import msgspec
 
-from snipebend.consensus.frames import damage, encode_frame, read_whole
+from snipebend.consensus.frames import (
+    damage_error,
+    encode_frame,
+    read_intact_frames,
+)
 from snipebend.consensus.records import Members
 from snipebend.errors.hierarchy import CorruptionError
 
@@ -24,19 +28,19 @@
 
 
 class Identity(msgspec.Struct, frozen=True, tag=True):
-    """Who the owner of a data folder is, for as long as the folder lasts."""
+    """The member id of a data folder; it never changes."""
 
     member_id: str
 
 
 def sync_folder(folder: Path) -> None:
-    """Sync the names in a folder."""
-    with _opened(folder, os.O_RDONLY) as descriptor:
+    """Sync a directory, so that created and renamed files survive a crash."""
+    with _open_descriptor(folder, os.O_RDONLY) as descriptor:
         os.fsync(descriptor)
 
 
 def write_record(path: Path, record: object) -> None:
-    """Write a file aside, sync it and put it in place in one step."""
+    """Replace a file atomically: write and sync a temporary one, rename it."""
     partial = path.with_name(path.name + _PARTIAL)
     with partial.open('wb') as stream:
         stream.write(encode_frame(msgspec.msgpack.encode(record)))
@@ -47,25 +51,25 @@
 
 
 def read_record(path: Path, kind: type[AnyRecord]) -> AnyRecord:
-    """Read a file that ``write_record`` wrote.
+    """Read a file written by ``write_record``.
 
     Raises:
-        CorruptionError: when the file is damaged.
+        CorruptionError: if the file is damaged.
     """
-    payloads = read_whole(path)
+    payloads = read_intact_frames(path)
     if len(payloads) != 1:
-        raise damage(path, 0)
+        raise damage_error(path, 0)
     try:
         return msgspec.msgpack.decode(payloads[0], type=kind)
     except msgspec.DecodeError as exc:
-        raise damage(path, 0) from exc
+        raise damage_error(path, 0) from exc
 
 
 def open_identity(folder: Path, fresh_id: str) -> Identity:
-    """Return the folder's identity; an empty folder gets the fresh one.
+    """Return the identity of the folder; an empty one is given ``fresh_id``.
 
     Raises:
-        CorruptionError: when the folder holds files but no identity.
+        CorruptionError: if the folder contains files but no identity.
     """
     folder.mkdir(parents=True, exist_ok=True)
     for partial in folder.glob(f'*{_PARTIAL}'):
@@ -75,7 +79,7 @@
         return read_record(path, Identity)
     if any(entry.is_file() for entry in folder.iterdir()):
         raise CorruptionError(
-            f'{folder}: has files, but no identity',
+            f'{folder}: contains files, but no identity file',
             step='read data folder',
         )
     identity = Identity(fresh_id)
@@ -83,21 +87,21 @@
     return identity
 
 
-def read_founding(folder: Path) -> Members:
-    """Return the members that the group was founded with, or none."""
+def read_founding_members(folder: Path) -> Members:
+    """Return the founding members of the group; empty if none are stored."""
     path = folder / _FOUNDING
     if path.exists():
         return read_record(path, Members)
     return Members()
 
 
-def write_founding(folder: Path, members: Members) -> None:
-    """Keep the members that the group was founded with."""
+def write_founding_members(folder: Path, members: Members) -> None:
+    """Store the founding members of the group."""
     write_record(folder / _FOUNDING, members)
 
 
 @contextmanager
-def _opened(path: Path, flags: int) -> Iterator[int]:
+def _open_descriptor(path: Path, flags: int) -> Iterator[int]:
     descriptor = os.open(path, flags)
     try:
         yield descriptor
--- a/src/snipebend/consensus/dispatch.py
+++ b/src/snipebend/consensus/dispatch.py
@@ -1,4 +1,4 @@
-"""Leads each event and message to the step that handles it."""
+"""Dispatches events and messages to their handlers."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
     SnapshotTaken,
     Tick,
 )
-from snipebend.consensus.following import (
+from snipebend.consensus.follower import (
     on_append_request,
     on_snapshot_installed,
     on_snapshot_request,
     on_snapshot_taken,
 )
-from snipebend.consensus.handover import continue_hand_over, on_hand_over
+from snipebend.consensus.handover import expire_hand_over, on_hand_over
 from snipebend.consensus.members import find_member
 from snipebend.consensus.messages import (
     AppendReply,
@@ -51,8 +51,8 @@
     on_append_reply,
     on_snapshot_reply,
 )
-from snipebend.consensus.roles import follow
-from snipebend.consensus.sending import on_snapshot_loaded, start_round
+from snipebend.consensus.roles import become_follower
+from snipebend.consensus.log_sender import on_snapshot_loaded, start_round
 
 if TYPE_CHECKING:
     from snipebend.consensus.leadership import Leadership
@@ -61,8 +61,8 @@
 _REPLIES = (PreVoteReply, VoteReply, AppendReply, SnapshotReply)
 
 
-def take_in(node: Node, event: Event) -> None:
-    """Take in one event."""
+def handle_event(node: Node, event: Event) -> None:
+    """Pass an event to its handler."""
     match event:
         case Tick():
             _on_tick(node)
@@ -100,24 +100,24 @@
 
 
 def _on_leader_tick(node: Node, leadership: Leadership) -> None:
-    heard_at = max(majority_contact(node, leadership), leadership.elected_at)
-    if node.now - heard_at > node.cfg.election_timeout_s:
-        # Check-quorum: a leader that a majority may have left stops leading.
-        follow(node, node.term, None)
+    contact_at = max(majority_contact(node, leadership), leadership.elected_at)
+    if node.now - contact_at > node.cfg.election_timeout_s:
+        # Check-quorum: without contact to a majority the leader steps down.
+        become_follower(node, node.term, None)
         return
-    continue_hand_over(node, leadership)
+    expire_hand_over(node, leadership)
     if node.now >= leadership.heartbeat_at:
         start_round(node, leadership)
 
 
 def _on_received(node: Node, envelope: Envelope) -> None:
-    # A message to another identity at this address isn't for this member.
+    # The address may have had another identity before; drop its messages.
     source = envelope.source
     if envelope.target != node.member_id or source == node.member_id:
         return
     message = envelope.message
     if isinstance(message, _REPLIES):
-        # A member that was removed or never added has no say.
+        # Replies of removed or unknown members do not count.
         if find_member(node.members.latest, source) is not None:
             _on_reply(node, source, message)
         return
--- a/src/snipebend/consensus/durability.py
+++ b/src/snipebend/consensus/durability.py
@@ -1,4 +1,4 @@
-"""What is on disk, what is on its way there, and what waits for it."""
+"""Tracks writes that are not yet synced, and messages that wait for them."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
 
 
 class _Pending(NamedTuple):
-    """A ``Persist`` action without confirmation and the log's end after it."""
+    """An unconfirmed ``Persist`` action and the last log index it writes."""
 
     sequence: int
     last_index: int
 
 
 class _Withheld(NamedTuple):
-    """A message that may go once ``sequence`` is confirmed."""
+    """A message that can be sent once write ``sequence`` is confirmed."""
 
     sequence: int
     envelope: Envelope
 
 
 class Durability:
-    """Numbers the writes and holds back the promises made by them."""
+    """Numbers the writes and holds back the messages that depend on them."""
 
     def __init__(self, last_index: int) -> None:
-        """Start from a disk that holds the log up to ``last_index``."""
+        """Start with a log that is synced up to ``last_index``."""
         self.persisted_index = last_index
         self._issued = 0
         self._confirmed = 0
-        self._handed_index = last_index
+        self._issued_index = last_index
         self._changed_from: int | None = None
         self._hard_state_changed = False
         self._pending: deque[_Pending] = deque()
         self._withheld: deque[_Withheld] = deque()
 
-    def note_hard_state(self) -> None:
-        """Have the term and the vote written with the next ``Persist``."""
+    def mark_hard_state_changed(self) -> None:
+        """Include term and vote in the next ``Persist`` action."""
         self._hard_state_changed = True
 
-    def note_entries(self, first_index: int) -> None:
-        """Have the log from ``first_index`` on written anew."""
+    def mark_entries_changed(self, first_index: int) -> None:
+        """Include the log from ``first_index`` on in the next ``Persist``."""
         known = self._changed_from
         if known is None or first_index < known:
             self._changed_from = first_index
-        self._forget_from(first_index)
+        self._invalidate_from(first_index)
 
     def write(
         self, log: ReplicatedLog, hard_state: HardState
     ) -> Persist | None:
-        """Give the action that writes what changed since the last one."""
+        """Return the action that writes all changes since the previous one."""
         if self._changed_from is None and not self._hard_state_changed:
             return None
         self._issued += 1
@@ -65,14 +65,14 @@
             self._truncation(),
             self._unwritten(log),
         )
-        self._handed_index = log.last_index
+        self._issued_index = log.last_index
         self._hard_state_changed = False
         self._changed_from = None
         self._pending.append(_Pending(self._issued, log.last_index))
         return action
 
     def confirm(self, sequence: int) -> None:
-        """Take note that the writes up to ``sequence`` are synced."""
+        """Record that the writes up to ``sequence`` are synced."""
         self._confirmed = max(self._confirmed, sequence)
         while self._pending and self._pending[0].sequence <= sequence:
             written = self._pending.popleft()
@@ -80,20 +80,20 @@
             self.persisted_index = max(self.persisted_index, synced)
 
     def withhold(self, envelope: Envelope) -> None:
-        """Keep a message until all writes issued so far are synced."""
+        """Hold back a message until all writes issued so far are synced."""
         self._withheld.append(_Withheld(self._issued, envelope))
 
-    def released(self) -> list[Envelope]:
-        """Take out the messages whose writes are synced, in order."""
+    def take_released(self) -> list[Envelope]:
+        """Remove and return the messages whose writes are synced, in order."""
         ready: list[Envelope] = []
         while self._withheld and self._withheld[0].sequence <= self._confirmed:
             ready.append(self._withheld.popleft().envelope)
         return ready
 
     def restart_log(self, index: int) -> None:
-        """Take note that the log on disk is empty from ``index`` on."""
+        """Record that the log on disk was reset to start after ``index``."""
         self.persisted_index = index
-        self._handed_index = index
+        self._issued_index = index
         self._changed_from = None
         self._pending = deque(
             _Pending(one.sequence, index) for one in self._pending
@@ -101,7 +101,7 @@
 
     def _truncation(self) -> int | None:
         first = self._changed_from
-        if first is None or first > self._handed_index:
+        if first is None or first > self._issued_index:
             return None
         return first
 
@@ -110,8 +110,8 @@
             return ()
         return log.between(self._changed_from, log.last_index)
 
-    def _forget_from(self, index: int) -> None:
-        # Writes on their way hold older entries there than the log does now.
+    def _invalidate_from(self, index: int) -> None:
+        # Pending writes contain entries there that the log has since replaced.
         last = index - 1
         self.persisted_index = min(self.persisted_index, last)
         self._pending = deque(
--- a/src/snipebend/consensus/elections.py
+++ b/src/snipebend/consensus/elections.py
@@ -1,4 +1,4 @@
-"""Pre-votes and votes (Ongaro, 2014, 3.4, 4.2.3 and 9.6)."""
+"""Leader election with pre-votes (Ongaro, 2014, 3.4, 4.2.3 and 9.6)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
     VoteReply,
     VoteRequest,
 )
-from snipebend.consensus.quorum import majority
-from snipebend.consensus.replication import lead
-from snipebend.consensus.roles import follow
+from snipebend.consensus.quorum import majority_size
+from snipebend.consensus.replication import become_leader
+from snipebend.consensus.roles import become_follower
 
 if TYPE_CHECKING:
     from snipebend.consensus.messages import TimeoutNow
@@ -21,14 +21,14 @@
 
 
 def on_election_timeout(node: Node) -> None:
-    """Ask for pre-votes when no leader has been heard of for too long."""
-    node.defer_election()
-    if not _may_stand(node):
+    """Request pre-votes after the election timeout without a leader."""
+    node.reset_election_timer()
+    if not _can_stand(node):
         return
     node.role = Role.PRE_CANDIDATE
     node.leader_id = None
     node.votes = {node.member_id}
-    restarted = node.may_all_have_restarted
+    restarted = node.is_checking_restarts
     if restarted:
         node.restarted_voters = {node.member_id}
     request = PreVoteRequest(
@@ -37,22 +37,22 @@
     for voter in _other_voters(node):
         node.send(voter, request)
     if _has_majority(node) and (not restarted or _all_restarted(node)):
-        stand(node, restarted=restarted)
+        start_election(node, restarted=restarted)
 
 
 def on_timeout_now(node: Node, source: str, message: TimeoutNow) -> None:
-    """Stand for election at once, as the leader asks."""
+    """Start an election immediately at the request of the leader."""
     from_leader = message.term == node.term and source == node.leader_id
-    if from_leader and _may_stand(node):
-        stand(node, hand_over=True)
+    if from_leader and _can_stand(node):
+        start_election(node, hand_over=True)
 
 
-def stand(
+def start_election(
     node: Node, *, hand_over: bool = False, restarted: bool = False
 ) -> None:
-    """Enter the next term as a candidate, voting for oneself."""
+    """Enter the next term as a candidate and vote for this member."""
     node.enter_term(node.term + 1, node.member_id)
-    node.defer_election()
+    node.reset_election_timer()
     node.role = Role.CANDIDATE
     node.leader_id = None
     node.votes = set()
@@ -64,19 +64,19 @@
         restarted,
     )
     for voter in _other_voters(node):
-        node.promise(voter, request)
-    # The own vote counts like the others: when it is synced.
-    node.promise(node.member_id, VoteReply(node.term, granted=True))
+        node.send_after_sync(voter, request)
+    # This member's own vote counts once it is synced, like any other.
+    node.send_after_sync(node.member_id, VoteReply(node.term, granted=True))
 
 
 def on_pre_vote_request(
     node: Node, source: str, request: PreVoteRequest
 ) -> None:
-    """Say whether a vote would be given; nothing changes here."""
+    """Reply whether this member would grant a vote; changes no state."""
     restarted = request.restarted and node.restarted
     granted = (
         request.term > node.term
-        and (restarted or not hears_leader(node))
+        and (restarted or not is_ignoring_candidates(node))
         and _is_up_to_date(node, request)
     )
     term = request.term if granted else node.term
@@ -84,39 +84,41 @@
 
 
 def on_pre_vote_reply(node: Node, source: str, reply: PreVoteReply) -> None:
-    """Stand for election once a majority would vote for this member.
+    """Start an election once a majority would vote for this member.
 
-    One that still has to ignore candidates stands only if every voter has said
-    that it restarted: a leader that holds a lease would be among them.
+    While this member still has to ignore candidates, it starts one only if
+    every voter has reported that it restarted: a leader that holds a lease
+    would be among the voters.
     """
-    early = node.may_all_have_restarted
+    early = node.is_checking_restarts
     if early:
-        _note_restarted(node, source, reply)
+        _record_restart(node, source, reply)
     if not reply.granted:
         if reply.term > node.term:
-            follow(node, reply.term, None)
+            become_follower(node, reply.term, None)
         return
     if node.role is not Role.PRE_CANDIDATE or reply.term != node.term + 1:
         return
     if reply.restarted and not early:
-        # An answer to an earlier question: it may have promised a leader.
+        # A reply to an earlier request: the sender may since have accepted
+        # a leader, whose lease relies on it.
         return
     node.votes.add(source)
     if _has_majority(node) and (not early or _all_restarted(node)):
-        stand(node, restarted=early)
+        start_election(node, restarted=early)
 
 
 def on_vote_request(node: Node, source: str, request: VoteRequest) -> None:
-    """Give the vote of a term once, to a candidate with a complete log.
+    """Grant one vote per term, to a candidate whose log is up to date.
 
-    A member that hears from a leader ignores candidates, for the leader's
-    lease counts on that; a hand-over ends the lease first.
+    A member in contact with a leader ignores candidates, because the leader's
+    lease relies on that. A hand-over ends the lease first.
     """
     no_lease = request.hand_over or (request.restarted and node.restarted)
-    if hears_leader(node) and not no_lease:
+    if is_ignoring_candidates(node) and not no_lease:
         return
     if request.term > node.term:
-        follow(node, request.term, None)
+        become_follower(node, request.term, None)
     granted = (
         request.term == node.term
         and node.voted_for in {None, source}
@@ -124,36 +126,39 @@
     )
     if granted:
         node.enter_term(node.term, source)
-        node.defer_election()
-    node.promise(source, VoteReply(node.term, granted))
+        node.reset_election_timer()
+    node.send_after_sync(source, VoteReply(node.term, granted))
 
 
 def on_vote_reply(node: Node, source: str, reply: VoteReply) -> None:
-    """Lead once a majority has voted for this member."""
+    """Become leader once a majority has voted for this member."""
     if reply.term > node.term:
-        follow(node, reply.term, None)
+        become_follower(node, reply.term, None)
         return
     counts = reply.granted and reply.term == node.term
     if counts and node.role is Role.CANDIDATE:
         node.votes.add(source)
         if _has_majority(node):
-            lead(node)
+            become_leader(node)
 
 
-def hears_leader(node: Node) -> bool:
-    """Tell whether other candidates are to be ignored for now."""
-    return node.role is Role.LEADER or node.now < node.quiet_until
+def is_ignoring_candidates(node: Node) -> bool:
+    """Return whether vote requests of other members must be ignored now."""
+    return node.role is Role.LEADER or node.now < node.ignore_candidates_until
 
 
-def _note_restarted(node: Node, source: str, reply: PreVoteReply) -> None:
-    """Note who restarted; one that didn't may know a leader: wait for it."""
+def _record_restart(node: Node, source: str, reply: PreVoteReply) -> None:
+    """Record which voters restarted.
+
+    A voter that did not restart may know a leader: wait for that leader.
+    """
     if node.restarted_voters is None:
         return
     if reply.restarted:
         node.restarted_voters.add(source)
     elif source in node.voters:
         node.restarted_voters = None
-        node.defer_election()
+        node.reset_election_timer()
 
 
 def _all_restarted(node: Node) -> bool:
@@ -161,8 +166,8 @@
     return known is not None and known.issuperset(node.voters)
 
 
-def _may_stand(node: Node) -> bool:
-    return node.member_id in node.voters and node.installing is None
+def _can_stand(node: Node) -> bool:
+    return node.member_id in node.voters and node.installing_snapshot is None
 
 
 def _other_voters(node: Node) -> list[str]:
@@ -171,9 +176,9 @@
 
 def _has_majority(node: Node) -> bool:
     counted = node.votes.intersection(node.voters)
-    return len(counted) >= majority(len(node.voters))
+    return len(counted) >= majority_size(len(node.voters))
 
 
 def _is_up_to_date(node: Node, request: PreVoteRequest | VoteRequest) -> bool:
-    theirs = (request.last_term, request.last_index)
-    return theirs >= (node.log.last_term, node.log.last_index)
+    candidate_log = (request.last_term, request.last_index)
+    return candidate_log >= (node.log.last_term, node.log.last_index)
--- a/src/snipebend/consensus/events.py
+++ b/src/snipebend/consensus/events.py
@@ -1,7 +1,7 @@
-"""What the shell tells the core of log replication.
+"""Events that the caller passes to the Raft core.
 
-Events carry no time: the shell passes it to ``Core.step``, in seconds of a
-clock that never goes back.
+Events carry no time: the caller passes it to ``Core.step``, in seconds on a
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; due several times within a heartbeat interval."""
+    """Time has passed; must be sent several times per heartbeat interval."""
 
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A peer's message arrived."""
+    """A message from a peer has arrived."""
 
     envelope: Envelope
 
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """A command to be appended; ``proposal_id`` names the answer to it."""
+    """A command to append; its outcome is reported under ``proposal_id``."""
 
     proposal_id: str
     payload: bytes
@@ -36,28 +36,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequested:
-    """A linearizable read wants the index that it must see applied."""
+    """A linearizable read requests the index that must be applied first."""
 
     read_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AddLearner:
-    """Let a new member receive the log without a vote."""
+    """Add a member that receives the log but does not vote."""
 
     member: Member
 
 
 @dataclass(frozen=True, slots=True)
 class PromoteLearner:
-    """Give a learner that has caught up its vote."""
+    """Make a learner that has caught up a voter."""
 
     member_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveMember:
-    """Take a voter or learner out of the group for good."""
+    """Remove a voter or learner from the group permanently."""
 
     member_id: str
 
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersProposed:
-    """One change of the members; answered like a proposal."""
+    """A change of the members; its outcome is reported like a proposal's."""
 
     proposal_id: str
     change: MembersChange
@@ -82,10 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """A synced snapshot covers ``index``: the log up to there may go.
+    """A synced snapshot covers ``index``: the log can be compacted up to it.
 
-    The index may lie before the snapshot's own, to keep entries for followers
-    that lag a little; ``term`` and ``members`` are those at ``index``.
+    ``index`` may be lower than the snapshot's own index, to keep entries for
+    followers that lag a little. ``term`` and ``members`` are those at
+    ``index``.
     """
 
     index: int
@@ -95,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotInstalled:
-    """An ``InstallSnapshot`` action is synced and the log file is reset."""
+    """An ``InstallSnapshot`` action is synced, and the log file is reset."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotLoaded:
-    """The latest synced snapshot, for the follower that needs it."""
+    """The latest synced snapshot, for the follower ``target``."""
 
     target: str
     index: int
@@ -113,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """A planned stop: let another voter lead, if this member leads."""
+    """Transfer leadership to another voter, before a planned stop."""
 
 
 Event = (
--- a/src/snipebend/consensus/folder_lock.py
+++ b/src/snipebend/consensus/folder_lock.py
@@ -1,4 +1,4 @@
-"""Keeps a second process out of a data folder."""
+"""Prevents two processes from using the same data folder."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class FolderLock:
-    """An advisory lock on the folder itself, released when we end."""
+    """An advisory lock on the folder, released when the process exits."""
 
     def __init__(self, folder: Path) -> None:
-        """Keep the folder, which need not exist yet."""
+        """Prepare the lock; the folder need not exist yet."""
         self._folder = folder
         self._descriptor = -1
 
     def acquire(self) -> None:
-        """Take the lock.
+        """Acquire the lock; create the folder if necessary.
 
         Raises:
-            UnavailableError: when another process has it.
+            UnavailableError: if another process holds it.
         """
         self._folder.mkdir(parents=True, exist_ok=True)
         self._descriptor = os.open(self._folder, os.O_RDONLY)
@@ -38,7 +38,7 @@
             ) from exc
 
     def release(self) -> None:
-        """Give the lock back; safe to call twice."""
+        """Release the lock; does nothing if it is not held."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/src/snipebend/consensus/following.py
+++ b/src/snipebend/consensus/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication (Ongaro, 2014, 3.5 and 7)."""
+"""Handles requests of the leader on a follower (Ongaro, 2014, 3.5 and 7)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from snipebend.consensus.log import ReplicatedLog
 from snipebend.consensus.members import MembersHistory
 from snipebend.consensus.messages import AppendReply, SnapshotReply
-from snipebend.consensus.roles import follow
+from snipebend.consensus.roles import become_follower
 from snipebend.errors.hierarchy import CorruptionError
 
 if TYPE_CHECKING:
@@ -19,22 +19,24 @@
 
 
 def on_append_request(node: Node, source: str, request: AppendRequest) -> None:
-    """Make the log agree with the leader's and answer how far it does."""
+    """Make the log match the leader's and reply up to which index it does."""
     if not _accept_leader(node, source, request):
         return
-    if node.installing is not None:
+    if node.installing_snapshot is not None:
         _reject(node, source, request)
         return
     prev_index, entries = _without_committed(node, request)
-    if prev_index == request.prev_index and not follows_log(node, request):
+    if prev_index == request.prev_index and not has_previous_entry(
+        node, request
+    ):
         _reject(node, source, request)
         return
-    _take_entries(node, entries)
+    _merge_entries(node, entries)
     agreed = prev_index + len(entries)
     node.commit_index = max(
         node.commit_index, min(request.commit_index, agreed)
     )
-    node.promise(
+    node.send_after_sync(
         source,
         AppendReply(
             node.term,
@@ -45,52 +47,54 @@
     )
 
 
-def follows_log(node: Node, request: AppendRequest) -> bool:
-    """Tell whether the entry before the request's is in the log."""
+def has_previous_entry(node: Node, request: AppendRequest) -> bool:
+    """Return whether the entry that precedes the request's is in the log."""
     return node.log.term_at(request.prev_index) == request.prev_term
 
 
 def on_snapshot_request(
     node: Node, source: str, request: SnapshotRequest
 ) -> None:
-    """Install a snapshot that reaches beyond what is committed here."""
+    """Install a snapshot that goes beyond the local commit index."""
     if not _accept_leader(node, source, request):
         return
     meta = request.snapshot
-    if node.installing is not None:
+    if node.installing_snapshot is not None:
         return
     if node.log.term_at(meta.index) == meta.term:
         node.commit_index = max(node.commit_index, meta.index)
     if meta.index <= node.commit_index:
-        node.promise(
+        node.send_after_sync(
             source,
             SnapshotReply(node.term, node.commit_index, request.round_number),
         )
         return
-    node.installing = meta
-    node.to_install = InstallSnapshot(
+    node.installing_snapshot = meta
+    node.install_action = InstallSnapshot(
         request.payload, meta.index, meta.term, meta.members
     )
 
 
 def on_snapshot_installed(node: Node, event: SnapshotInstalled) -> None:
-    """Start the log anew after the snapshot and tell the leader."""
-    meta = node.installing
+    """Reset the log to start after the snapshot and notify the leader."""
+    meta = node.installing_snapshot
     if meta is None or meta.index != event.index:
         return
-    node.installing = None
+    node.installing_snapshot = None
     node.log = ReplicatedLog(meta.index, meta.term)
     node.members = MembersHistory(meta.index, meta.members)
     node.commit_index = meta.index
-    node.handed_out = meta.index
+    node.delivered_index = meta.index
     node.durability.restart_log(meta.index)
     if node.leader_id is not None:
-        node.promise(node.leader_id, SnapshotReply(node.term, meta.index, 0))
+        node.send_after_sync(
+            node.leader_id, SnapshotReply(node.term, meta.index, 0)
+        )
 
 
 def on_snapshot_taken(node: Node, event: SnapshotTaken) -> None:
-    """Drop the log's start that a synced snapshot covers."""
-    if node.log.base_index < event.index <= node.handed_out:
+    """Drop the log prefix that a synced snapshot covers."""
+    if node.log.base_index < event.index <= node.delivered_index:
         node.log.drop_until(event.index, event.term)
         node.members.drop_until(event.index, event.members)
 
@@ -100,30 +104,30 @@
 ) -> bool:
     if request.term < node.term:
         stale = AppendReply(node.term, success=False, round_number=0)
-        node.promise(source, stale)
+        node.send_after_sync(source, stale)
         return False
     if request.term == node.term and node.role is Role.LEADER:
         raise CorruptionError(
             f'two leaders in term {node.term}', step='append', peer=source
         )
-    follow(node, request.term, source)
+    become_follower(node, request.term, source)
     node.restarted = False
-    node.defer_election()
-    node.quiet_until = node.now + node.cfg.election_timeout_s
+    node.reset_election_timer()
+    node.ignore_candidates_until = node.now + node.cfg.election_timeout_s
     return True
 
 
 def _without_committed(
     node: Node, request: AppendRequest
 ) -> tuple[int, tuple[LogEntry, ...]]:
-    """Leave out what is committed: every later leader has it, too."""
+    """Skip entries that are committed: every later leader has them."""
     skipped = node.commit_index - request.prev_index
     if skipped <= 0:
         return request.prev_index, request.entries
     return node.commit_index, request.entries[skipped:]
 
 
-def _take_entries(node: Node, entries: tuple[LogEntry, ...]) -> None:
+def _merge_entries(node: Node, entries: tuple[LogEntry, ...]) -> None:
     for position, entry in enumerate(entries):
         known = node.log.term_at(entry.index)
         if known == entry.term:
@@ -135,8 +139,10 @@
 
 
 def _reject(node: Node, source: str, request: AppendRequest) -> None:
-    hint = node.log.last_not_after(request.prev_index, request.prev_term)
-    node.promise(
+    hint = node.log.last_index_within_term(
+        request.prev_index, request.prev_term
+    )
+    node.send_after_sync(
         source,
         AppendReply(
             node.term,
--- a/src/snipebend/consensus/handover.py
+++ b/src/snipebend/consensus/handover.py
@@ -1,4 +1,4 @@
-"""Giving the leadership to another voter (Ongaro, 2014, 3.10)."""
+"""Transfer of leadership to another voter (Ongaro, 2014, 3.10)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from snipebend.consensus.messages import TimeoutNow
-from snipebend.consensus.roles import follow
+from snipebend.consensus.roles import become_follower
 
 if TYPE_CHECKING:
     from snipebend.consensus.leadership import Leadership
@@ -14,7 +14,7 @@
 
 
 def on_hand_over(node: Node) -> None:
-    """Start to hand over; proposals are refused until it ends."""
+    """Start a hand-over; proposals are rejected until it ends."""
     leadership = node.leadership
     if leadership is None or leadership.successor is not None:
         return
@@ -24,15 +24,15 @@
         leadership.successor_until = node.now + node.cfg.election_timeout_s
 
 
-def continue_hand_over(node: Node, leadership: Leadership) -> None:
-    """Give up after the deadline, so that proposals are taken again."""
+def expire_hand_over(node: Node, leadership: Leadership) -> None:
+    """Cancel a hand-over at its deadline, to accept proposals again."""
     if node.now >= leadership.successor_until:
         leadership.successor = None
         leadership.successor_until = math.inf
 
 
 def prompt_successor(node: Node, leadership: Leadership) -> None:
-    """Ask the successor to stand once its log is complete."""
+    """Ask the successor to start an election once its log is complete."""
     successor = leadership.successor
     progress = leadership.progress.get(successor or '')
     if successor is None or progress is None:
@@ -40,20 +40,20 @@
     due = node.now >= leadership.prompt_at
     if due and progress.match_index == node.log.last_index:
         leadership.prompt_at = node.now + node.cfg.heartbeat_s
-        # From now on a voter may elect it without waiting for the lease.
+        # From here on the voters can elect it without waiting for the lease.
         leadership.lease_given_up = True
         node.send(successor, TimeoutNow(node.term))
 
 
-def leave_if_removed(node: Node, leadership: Leadership) -> None:
-    """Stop leading once the own removal is committed."""
+def step_down_if_removed(node: Node, leadership: Leadership) -> None:
+    """Step down once the removal of this member is committed."""
     removed = node.member_id not in node.voters
-    if not removed or node.handed_out < node.members.latest_index:
+    if not removed or node.delivered_index < node.members.latest_index:
         return
     if leadership.successor is None:
         leadership.successor = _best_successor(node, leadership)
         prompt_successor(node, leadership)
-    follow(node, node.term, None)
+    become_follower(node, node.term, None)
 
 
 def _best_successor(node: Node, leadership: Leadership) -> str | None:
--- a/src/snipebend/consensus/leadership.py
+++ b/src/snipebend/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What a member holds only while it leads."""
+"""The state that a member has only while it is the leader."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PendingRead(NamedTuple):
-    """A read that waits for a majority to answer a round."""
+    """A read that waits until a majority has acknowledged a round."""
 
     read_id: str
     commit_index: int
@@ -21,11 +21,13 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """The state of one leadership; gone with it.
+    """The state of a leader, discarded when it steps down.
 
-    ``proposals`` maps the index of an entry to the proposal that it answers.
-    ``early_reads`` wait for the first commit of the leader's own term. After
-    ``lease_given_up`` a voter may be elected without waiting for the lease.
+    ``first_index`` is the index of the first entry of the leader's term.
+    ``proposals`` maps the index of an entry to the id of its proposal.
+    ``queued_reads`` have not been assigned to a round yet; they wait for the
+    first commit in the leader's term. Once ``lease_given_up`` is set, voters
+    can elect another member without waiting for the lease.
     """
 
     rounds: Rounds
@@ -34,7 +36,7 @@
     heartbeat_at: float = -math.inf
     progress: dict[str, Progress] = field(default_factory=dict)
     proposals: dict[int, str] = field(default_factory=dict)
-    early_reads: list[str] = field(default_factory=list)
+    queued_reads: list[str] = field(default_factory=list)
     reads: list[PendingRead] = field(default_factory=list)
     successor: str | None = None
     successor_until: float = math.inf
--- a/src/snipebend/consensus/log.py
+++ b/src/snipebend/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: the entries after a dropped prefix."""
+"""The in-memory log: the entries after the compacted prefix."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         base_term: int = 0,
         entries: Iterable[LogEntry] = (),
     ) -> None:
-        """Hold the entries, the first of which follows the base."""
+        """Create a log; the first of the entries must follow the base."""
         self.base_index = base_index
         self._base_term = base_term
         self._entries = list(entries)
@@ -35,7 +35,7 @@
         return self._entries[-1].term if self._entries else self._base_term
 
     def term_at(self, index: int) -> int | None:
-        """Give an entry's term; ``None`` if it is dropped or not there."""
+        """Return the term of an entry; ``None`` if it is not in the log."""
         if index == self.base_index:
             return self._base_term
         offset = index - self.base_index - 1
@@ -44,14 +44,14 @@
         return None
 
     def between(self, first: int, last: int) -> tuple[LogEntry, ...]:
-        """Give the entries from ``first`` to ``last``, both included."""
+        """Return the entries from ``first`` to ``last``, both included."""
         start = first - self.base_index - 1
         return tuple(self._entries[start : last - self.base_index])
 
     def batch(
         self, first: int, max_entries: int, max_bytes: int
     ) -> tuple[LogEntry, ...]:
-        """Give entries from ``first`` on within both limits, at least one."""
+        """Return entries from ``first`` on within both limits, at least one."""
         found = self.between(first, first + max_entries - 1)
         size = 0
         for count, entry in enumerate(found):
@@ -61,7 +61,7 @@
         return found
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Add entries that follow the last one."""
+        """Append entries that follow the last one."""
         self._entries.extend(entries)
 
     def truncate_from(self, index: int) -> None:
@@ -74,11 +74,12 @@
         self.base_index = index
         self._base_term = term
 
-    def last_not_after(self, index: int, term: int) -> int:
-        """Give the last index up to ``index`` whose term isn't above ``term``.
+    def last_index_within_term(self, index: int, term: int) -> int:
+        """Return the last index up to ``index`` with at most the given term.
 
-        Two logs can't agree at an index where one has a higher term than the
-        other's last candidate: both sides skip whole terms by this.
+        Terms never decrease along a log. If the other log has ``term`` at
+        ``index``, the logs cannot match at entries with a higher term, so that
+        leader and follower skip whole terms in one step.
         """
         probe = min(index, self.last_index)
         while probe > self.base_index:
--- a/src/snipebend/consensus/sending.py
+++ b/src/snipebend/consensus/log_sender.py
@@ -1,8 +1,8 @@
 """Sends the leader's log to the other members (Ongaro, 2014, 3.5, 10.2).
 
-Entries go to each member in batches, several of them without waiting for
-answers, and before they are synced here: an entry counts where it is synced,
-the leader's own log included.
+Entries are sent in batches, several of which can be in flight. The leader sends
+them before it has synced them itself: a copy counts towards the majority only
+on members that have synced it, the leader included.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 def start_round(node: Node, leadership: Leadership) -> None:
-    """Begin a round and send its number to each member."""
+    """Start a round and send entries or a heartbeat to each member."""
     leadership.rounds.start(node.now)
     leadership.heartbeat_at = node.now + node.cfg.heartbeat_s
-    track_members(node, leadership)
+    sync_progress_with_members(node, leadership)
     for member_id, progress in leadership.progress.items():
         progress.allow_probe()
         if not _send_entries(node, leadership, member_id):
@@ -33,26 +33,26 @@
 
 
 def replicate(node: Node, leadership: Leadership) -> None:
-    """Send each member the entries that it may be sent now."""
-    track_members(node, leadership)
+    """Send each member the entries that can be sent to it now."""
+    sync_progress_with_members(node, leadership)
     for member_id in leadership.progress:
         _send_entries(node, leadership, member_id)
 
 
-def track_members(node: Node, leadership: Leadership) -> None:
-    """Have a progress for each other member, and for nobody else."""
+def sync_progress_with_members(node: Node, leadership: Leadership) -> None:
+    """Track progress for each other member, and for no others."""
     latest = node.members.latest
-    wanted = {one.member_id for one in latest.voters + latest.learners}
-    wanted.discard(node.member_id)
+    expected = {one.member_id for one in latest.voters + latest.learners}
+    expected.discard(node.member_id)
     known = leadership.progress
-    for member_id in sorted(wanted.difference(known)):
+    for member_id in sorted(expected.difference(known)):
         known[member_id] = Progress(node.log.last_index + 1)
-    for member_id in sorted(set(known).difference(wanted)):
+    for member_id in sorted(set(known).difference(expected)):
         known.pop(member_id)
 
 
 def on_snapshot_loaded(node: Node, event: SnapshotLoaded) -> None:
-    """Send the snapshot to the member that needs it."""
+    """Send a loaded snapshot to the member that needs it."""
     leadership = node.leadership
     if leadership is None or event.target not in leadership.progress:
         return
@@ -67,29 +67,30 @@
 
 
 def _send_entries(node: Node, leadership: Leadership, target: str) -> bool:
-    """Send what may be sent; tell whether anything was."""
+    """Send the entries that can be sent; return whether any were."""
     progress = leadership.progress[target]
     sent = False
-    while _is_due(node, progress):
+    while _has_entries_due(node, progress):
         if progress.next_index <= node.log.base_index:
-            _ask_for_snapshot(node, progress, target)
+            _request_snapshot(node, progress, target)
             break
         _send_batch(node, leadership, target)
         sent = True
     return sent
 
 
-def _is_due(node: Node, progress: Progress) -> bool:
+def _has_entries_due(node: Node, progress: Progress) -> bool:
     if progress.mode is Mode.SNAPSHOT:
         return node.now >= progress.retry_at
     if progress.next_index <= node.log.base_index:
-        # What it needs next is dropped, whatever is still on its way.
+        # The next entry has been dropped; it needs a snapshot, no matter
+        # which messages are in flight.
         return True
     behind = progress.next_index <= node.log.last_index
-    return behind and progress.may_send(node.cfg.max_in_flight)
+    return behind and progress.can_send(node.cfg.max_in_flight)
 
 
-def _ask_for_snapshot(node: Node, progress: Progress, target: str) -> None:
+def _request_snapshot(node: Node, progress: Progress, target: str) -> None:
     progress.await_snapshot(node.now + node.cfg.snapshot_retry_s)
     node.emit(NeedSnapshot(target))
 
@@ -100,14 +101,14 @@
         progress.next_index, node.cfg.max_batch, node.cfg.max_batch_bytes
     )
     _send_append(node, leadership, target, progress.next_index - 1, entries)
-    progress.note_sent(progress.next_index + len(entries) - 1)
+    progress.record_sent(progress.next_index + len(entries) - 1)
 
 
 def _send_heartbeat(node: Node, leadership: Leadership, target: str) -> None:
     progress = leadership.progress[target]
     prev_index = progress.next_index - 1
     if prev_index < node.log.base_index:
-        # The start of all logs agrees: this is for contact only.
+        # All logs match at index 0. This heartbeat only keeps up contact.
         prev_index = 0
     _send_append(node, leadership, target, prev_index, ())
 
--- a/src/snipebend/consensus/members.py
+++ b/src/snipebend/consensus/members.py
@@ -1,4 +1,4 @@
-"""Who belongs to the group: the history in the log and single changes."""
+"""Group membership: its history in the log, and changes of one member."""
 
 from __future__ import annotations
 
@@ -23,64 +23,66 @@
     from snipebend.consensus.records import LogEntry
 
 
-class MembersAt(NamedTuple):
-    """Members from the log entry at ``since`` on."""
+class MembersVersion(NamedTuple):
+    """The members in force from the log entry at ``since_index`` on."""
 
-    since: int
+    since_index: int
     members: Members
 
 
 class MembersHistory:
-    """The members that each point of the log names.
+    """The members in force at each index of the log.
 
-    The latest entry counts as soon as it is in the log, committed or not
+    A change takes effect as soon as it is in the log, committed or not
     (Ongaro, "Consensus: Bridging Theory and Practice", 2014, 4.1).
     """
 
     def __init__(self, index: int, members: Members) -> None:
         """Start with the members as of ``index``."""
-        self._known = [MembersAt(index, members)]
+        self._versions = [MembersVersion(index, members)]
 
     @property
     def latest(self) -> Members:
-        """The members in force."""
-        return self._known[-1].members
+        """The current members."""
+        return self._versions[-1].members
 
     @property
     def latest_index(self) -> int:
-        """The index of the entry that gave the members in force."""
-        return self._known[-1].since
+        """The index of the entry that set the current members."""
+        return self._versions[-1].since_index
 
     def at(self, index: int) -> Members:
-        """Give the members as of ``index``, which must not be dropped."""
-        known = [one for one in self._known if one.since <= index]
+        """Return the members as of ``index``, which must not be dropped."""
+        known = [one for one in self._versions if one.since_index <= index]
         return known[-1].members
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Take note of the entries that change members."""
-        self._known.extend(
-            MembersAt(entry.index, decode_members(entry.payload))
+        """Record the changes of members among the entries."""
+        self._versions.extend(
+            MembersVersion(entry.index, decode_members(entry.payload))
             for entry in entries
             if entry.kind is EntryKind.MEMBERS
         )
 
     def truncate_from(self, index: int) -> None:
-        """Forget the entries from ``index`` on."""
-        self._known = [one for one in self._known if one.since < index]
+        """Discard the changes from ``index`` on."""
+        self._versions = [
+            one for one in self._versions if one.since_index < index
+        ]
 
     def drop_until(self, index: int, members: Members) -> None:
-        """Make ``members`` at ``index`` the start."""
-        later = [one for one in self._known if one.since > index]
-        self._known = [MembersAt(index, members), *later]
+        """Discard the history before ``index``, at which ``members`` hold."""
+        later = [one for one in self._versions if one.since_index > index]
+        self._versions = [MembersVersion(index, members), *later]
 
 
 def voter_ids(members: Members) -> tuple[str, ...]:
-    """Give the identities that vote."""
+    """Return the ids of the voters."""
     return tuple(member.member_id for member in members.voters)
 
 
 def find_member(members: Members, member_id: str | None) -> Member | None:
-    """Find a voter or learner by its identity."""
+    """Find a voter or learner by its id."""
     for member in members.voters + members.learners:
         if member.member_id == member_id:
             return member
@@ -88,10 +90,10 @@
 
 
 def apply_change(members: Members, change: MembersChange) -> Members | None:
-    """Give the members after one change, ``None`` if it doesn't fit them.
+    """Return the members after a change; ``None`` if the change is invalid.
 
-    Voters change by one at most, so that each majority before the change
-    shares a voter with each majority after it.
+    At most one voter is added or removed, so that each majority before the
+    change shares a voter with each majority after it.
     """
     match change:
         case AddLearner(member):
@@ -109,11 +111,11 @@
 
 
 def _promote(members: Members, member_id: str) -> Members | None:
-    chosen = _without(members.learners, member_id)
-    if len(chosen) == len(members.learners):
+    remaining = _without(members.learners, member_id)
+    if len(remaining) == len(members.learners):
         return None
     member = find_member(members, member_id)
-    return Members((*members.voters, member), chosen) if member else None
+    return Members((*members.voters, member), remaining) if member else None
 
 
 def _remove(members: Members, member_id: str) -> Members | None:
--- a/src/snipebend/consensus/messages.py
+++ b/src/snipebend/consensus/messages.py
@@ -1,10 +1,10 @@
 """Messages between the members of a group.
 
-All are tagged ``msgspec`` structs, so that a message is encoded and decoded by
-field name and a later version may add fields with defaults. Terms, indexes and
-rounds are whole numbers that start at one; zero means "none yet". Members
-are named by ``member_id`` everywhere: an address may be taken over by a
-machine whose disk is gone, an identity may not.
+All are tagged ``msgspec`` structs that are encoded by field name, so that a
+later version can add fields with defaults. Terms, indexes and rounds are
+integers that start at one; zero means "none yet". Members are identified by
+``member_id`` only: an address can be reused by a VM that has lost its disk, an
+identity cannot.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 
 
 class PreVoteRequest(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """Asks whether a vote in ``term`` could be won; promises nothing.
+    """Asks whether the target would grant a vote in ``term``; not binding.
 
-    ``restarted`` is set while the sender has heard from no leader since its
-    start, and still has to ignore candidates for the sake of an older one.
+    ``restarted`` is set while the sender has had no contact with a leader since
+    its start, and still has to ignore candidates because an earlier leader may
+    hold a lease.
     """
 
     term: int
@@ -28,10 +29,11 @@
 
 
 class PreVoteReply(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """``term`` is the asked term when granted, else the voter's own.
+    """The reply to a pre-vote request.
 
-    ``restarted`` answers a request that says so: the voter, too, has heard
-    from no leader since its start.
+    ``term`` is the requested term if granted, otherwise the voter's own term.
+    ``restarted`` is set only if it was set in the request, and the voter, too,
+    has had no contact with a leader since its start.
     """
 
     term: int
@@ -40,11 +42,12 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """Asks for the vote of ``term``.
+    """Requests a vote in ``term``.
 
-    ``hand_over`` is set when the leader itself asked for the election: it has
-    given up its lease, so voters needn't wait until they miss it. So it is with
-    ``restarted``: every voter has told that it restarted, and so nobody leads.
+    ``hand_over`` is set if the leader itself requested the election: it has
+    given up its lease, so that voters need not wait for it to expire. The same
+    holds for ``restarted``: every voter has reported that it restarted, so that
+    there is no leader.
     """
 
     term: int
@@ -55,7 +58,7 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """The answer to a vote request, in the voter's term."""
+    """The reply to a vote request, with the voter's term."""
 
     term: int
     granted: bool
@@ -64,8 +67,9 @@
 class AppendRequest(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
     """Entries that follow ``prev_index``; without entries a heartbeat.
 
-    ``round_number`` is echoed by the follower. It tells the leader at the
-    latest since when the follower has been ignoring other candidates.
+    The follower returns ``round_number`` in its reply. The follower ignores
+    other candidates for an election timeout that begins no earlier than that
+    round, which is what the leader's lease relies on.
     """
 
     term: int
@@ -77,11 +81,11 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """How far the follower's synced log agrees with the leader's.
+    """Up to which index the follower's synced log matches the leader's.
 
-    On success ``match_index`` is the last index that agrees. Otherwise
-    ``rejected_index`` repeats the request's ``prev_index`` and the hint is the
-    last entry of the follower that may still agree.
+    On success ``match_index`` is the last matching index. Otherwise
+    ``rejected_index`` repeats the request's ``prev_index``, and the hint is the
+    last entry of the follower that can still match.
     """
 
     term: int
@@ -96,7 +100,7 @@
 class SnapshotRequest(
     msgspec.Struct, frozen=True, tag=True, omit_defaults=True
 ):
-    """A whole snapshot for a follower that needs entries already dropped."""
+    """A complete snapshot for a follower that needs already dropped entries."""
 
     term: int
     snapshot: SnapshotMeta
@@ -105,7 +109,7 @@
 
 
 class SnapshotReply(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """The follower's synced state reaches ``match_index``."""
+    """The follower has synced all state up to ``match_index``."""
 
     term: int
     match_index: int
@@ -113,7 +117,7 @@
 
 
 class TimeoutNow(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """The leader of ``term`` asks the target to stand for election at once."""
+    """The leader of ``term`` asks the target to start an election at once."""
 
     term: int
 
@@ -132,10 +136,10 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """A message with the identities of its sender and its receiver.
+    """A message with the member ids of its sender and its receiver.
 
-    The transport may fill in ``source_address``, so that a new learner can
-    answer a leader that it doesn't know yet.
+    The transport can set ``source_address``, so that a new learner can reply
+    to a leader that it does not know yet.
     """
 
     source: str
--- a/src/snipebend/consensus/node.py
+++ b/src/snipebend/consensus/node.py
@@ -1,4 +1,4 @@
-"""The state of one member and the steps that every role shares."""
+"""The state of one member and the operations common to all roles."""
 
 from __future__ import annotations
 
@@ -23,41 +23,46 @@
 )
 from snipebend.consensus.messages import Envelope
 from snipebend.consensus.records import HardState
-from snipebend.consensus.restoring import usable_entries
+from snipebend.consensus.restored_log import usable_entries
 from snipebend.errors.hierarchy import CorruptionError
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Iterable
 
-    from snipebend.consensus.config import CoreConfig, Restored
+    from snipebend.consensus.config import CoreConfig, RestoredState
     from snipebend.consensus.leadership import Leadership
     from snipebend.consensus.messages import PeerMessage
     from snipebend.consensus.records import LogEntry, Member, SnapshotMeta
 
-#: Bound of the random election deadline, in election timeouts. Two members that
-#: stand within a round trip of some milliseconds split the votes of three; over
-#: half a timeout of 0.45 s that is one election in thirty.
+#: Upper bound of the random election timeout, as a multiple of the configured
+#: one. Two of three members that become candidates within a round trip of some
+#: milliseconds split the votes. With the deadlines spread over half of a 0.45 s
+#: timeout, that happens in one election out of thirty.
 ELECTION_SPREAD = 1.5
 
 #: Share of the election timeout after which a member that has just restarted
-#: asks whether all have: of 0.6 s 0.06 to 0.12 s, some round trips. After all
-#: control daemons were killed, waiting for the end of a lease that nobody can
-#: hold kept entries without a document for 1.0 s; now it is 0.1 s.
-RESTARTED_SHARE = 0.1
+#: asks whether all voters have: 0.06 to 0.12 s of a 0.6 s timeout, which is
+#: some round trips. After all control daemons were killed, waiting for the end
+#: of a lease that no member could hold left entries without a document for
+#: 1.0 s; with the short timeout it takes 0.1 s.
+FAST_ELECTION_SHARE = 0.1
 
-#: Election timeouts for which a member that has just restarted asks so often:
-#: one that stays cut off asks no more than others do.
-HASTY_FOR = 2
+#: Number of election timeouts for which a member that has just restarted uses
+#: the short timeout. A member that stays partitioned then sends requests no
+#: more often than others.
+FAST_ELECTION_TIMEOUTS = 2
 
 
 @dataclass(slots=True)
 class Node:
-    """One member's state between steps.
+    """The state of one member between steps.
 
-    ``quiet_until`` is the deadline until which the member ignores candidates,
-    because it heard from a leader (or might have, before a restart).
-    ``promises`` are messages that must not precede the writes of their step.
+    Until ``ignore_candidates_until`` the member ignores candidates, because it
+    received a message from a leader, or may have before a restart.
+    ``delivered_index`` is the last committed entry returned for application.
+    ``messages_after_sync`` must not be sent before the writes of their step are
+    synced.
     """
 
     cfg: CoreConfig
@@ -70,152 +75,159 @@
     rng: random.Random
     now: float
     election_at: float
-    quiet_until: float
+    ignore_candidates_until: float
     commit_index: int
-    handed_out: int
+    delivered_index: int
     role: Role = Role.FOLLOWER
     leader_id: str | None = None
     leadership: Leadership | None = None
     votes: set[str] = field(default_factory=set)
-    #: Until when a member that heard from no leader since its start is hasty.
-    hasty_until: float = -math.inf
-    #: Heard from no leader, and led nobody, since the start.
+    #: End of the short election timeouts after a restart without a leader.
+    fast_election_until: float = -math.inf
+    #: Has had no contact with a leader, and has not led, since the start.
     restarted: bool = True
-    #: Voters that said so of themselves; none: one of them said otherwise.
+    #: Voters that reported a restart; ``None`` if a voter did not restart.
     restarted_voters: set[str] | None = field(default_factory=set)
-    installing: SnapshotMeta | None = None
-    to_install: InstallSnapshot | None = None
+    installing_snapshot: SnapshotMeta | None = None
+    install_action: InstallSnapshot | None = None
     actions: list[Action] = field(default_factory=list)
-    promises: list[Envelope] = field(default_factory=list)
-    announced: RoleChanged | None = None
+    messages_after_sync: list[Envelope] = field(default_factory=list)
+    announced_role: RoleChanged | None = None
 
     def emit(self, action: Action) -> None:
-        """Ask the shell for something."""
+        """Add an action to the result of this step."""
         self.actions.append(action)
 
     def send(self, target: str, message: PeerMessage) -> None:
-        """Send a message that promises nothing."""
+        """Send a message that does not depend on any write."""
         self.emit(Send(Envelope(self.member_id, target, message)))
 
-    def promise(self, target: str, message: PeerMessage) -> None:
-        """Send a message once all that this step changes is synced."""
-        self.promises.append(Envelope(self.member_id, target, message))
+    def send_after_sync(self, target: str, message: PeerMessage) -> None:
+        """Send a message once all changes of this step are synced."""
+        self.messages_after_sync.append(
+            Envelope(self.member_id, target, message)
+        )
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """The identities that vote, as of the last entry."""
+        """The ids of the voters as of the last entry."""
         return voter_ids(self.members.latest)
 
     @property
     def leader(self) -> Member | None:
-        """The known leader, if it is a known member."""
+        """The current leader, if it is known and a member."""
         return find_member(self.members.latest, self.leader_id)
 
     def enter_term(self, term: int, voted_for: str | None) -> None:
-        """Enter a term or cast its vote."""
+        """Enter a term or cast the vote in it."""
         self.term = term
         self.voted_for = voted_for
-        self.durability.note_hard_state()
+        self.durability.mark_hard_state_changed()
 
     @property
-    def may_all_have_restarted(self) -> bool:
-        """Tell whether to ask if every voter restarted, and so nobody leads."""
-        waits = self.now < self.quiet_until
+    def is_checking_restarts(self) -> bool:
+        """Return whether to ask if all voters restarted, so none leads."""
+        waits = self.now < self.ignore_candidates_until
         return waits and self.restarted and self.restarted_voters is not None
 
-    def defer_election(self) -> None:
-        """Draw a new election deadline, spread so that few collide."""
+    def reset_election_timer(self) -> None:
+        """Set a random election deadline, so that few candidates collide."""
         span = self.cfg.election_timeout_s
-        if self.may_all_have_restarted or self._is_hasty:
-            span *= RESTARTED_SHARE
+        if self.is_checking_restarts or self._uses_fast_elections:
+            span *= FAST_ELECTION_SHARE
         latest = ELECTION_SPREAD * span
         self.election_at = self.now + self.rng.uniform(span, latest)
 
     @property
-    def _is_hasty(self) -> bool:
-        """Tell whether most of the voters may wait for a leader as well.
+    def _uses_fast_elections(self) -> bool:
+        """Return whether this member still uses short timeouts after a restart.
 
-        Several may have restarted together, and some of them not come back:
-        then nobody tells that all have, and a majority suffices once no lease
-        of before can be left.
+        Several voters may have restarted at the same time, and some of them
+        failed to. Then it can never be known that all have restarted, and a
+        majority suffices once every lease from before must have expired.
         """
-        waits = self.quiet_until <= self.now < self.hasty_until
+        waits = (
+            self.ignore_candidates_until <= self.now < self.fast_election_until
+        )
         return waits and self.restarted and self.restarted_voters is not None
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Add entries that follow the log's end."""
+        """Append entries that follow the end of the log."""
         added = tuple(entries)
         if added:
             self.log.append(added)
             self.members.append(added)
-            self.durability.note_entries(added[0].index)
+            self.durability.mark_entries_changed(added[0].index)
 
     def truncate_from(self, index: int) -> None:
-        """Drop entries that the leader's log doesn't have.
+        """Drop entries that the leader's log does not contain.
 
-        Raises ``CorruptionError`` for a committed entry.
+        Raises ``CorruptionError`` if one of them is committed.
         """
         if index <= self.commit_index:
             raise CorruptionError(
-                f'entry {index} is committed and would be dropped',
+                f'refusing to truncate the log at committed entry {index} '
+                + f'(commit index {self.commit_index})',
                 step='append',
                 peer=self.leader_id or '',
             )
         self.log.truncate_from(index)
         self.members.truncate_from(index)
-        self.durability.note_entries(index)
+        self.durability.mark_entries_changed(index)
 
-    def hand_out(self) -> tuple[LogEntry, ...]:
-        """Hand out what is committed, and give it back.
+    def deliver_committed(self) -> tuple[LogEntry, ...]:
+        """Emit newly committed entries for application, and return them.
 
-        It needn't be synced here: a majority holds it. Waiting for the own
-        disk, a leader whose disk stalls answered nobody, 4 s in the schedule
-        that showed it, while the others went on.
+        They need not be synced by this member, because a majority has them.
+        When it waited for its own disk, a leader with a stalled disk sent no
+        replies (for 4 s in the test schedule that revealed this) while the
+        other members made progress.
         """
         last = self.commit_index
-        if last <= self.handed_out or self.installing is not None:
+        if last <= self.delivered_index or self.installing_snapshot is not None:
             return ()
-        entries = self.log.between(self.handed_out + 1, last)
-        self.handed_out = last
+        entries = self.log.between(self.delivered_index + 1, last)
+        self.delivered_index = last
         self.emit(Commit(entries))
         return entries
 
     def write(self) -> None:
-        """Emit the writes of this step, then its promises or hold them."""
+        """Emit the writes of this step; queue messages that depend on them."""
         hard_state = HardState(self.term, self.voted_for)
         action = self.durability.write(self.log, hard_state)
         if action is not None:
             self.emit(action)
-        if self.to_install is not None:
-            # Last: entries that were written before it belong to the old log.
-            self.emit(self.to_install)
-            self.to_install = None
-        for envelope in self.promises:
+        if self.install_action is not None:
+            # Last, because the entries written before belong to the old log.
+            self.emit(self.install_action)
+            self.install_action = None
+        for envelope in self.messages_after_sync:
             self.durability.withhold(envelope)
-        self.promises.clear()
+        self.messages_after_sync.clear()
 
     def announce_role(self) -> None:
-        """Tell the shell when role, term or leader differ from before."""
+        """Emit ``RoleChanged`` if role, term or leader have changed."""
         current = RoleChanged(self.role, self.term, self.leader)
-        if current != self.announced:
-            self.announced = current
+        if current != self.announced_role:
+            self.announced_role = current
             self.emit(current)
 
 
 def restore_node(
     cfg: CoreConfig,
     member_id: str,
-    restored: Restored,
+    restored: RestoredState,
     now: float,
     rng: random.Random,
-    began_at: float,
+    process_started_at: float,
 ) -> Node:
-    """Build a follower from what its disk held.
+    """Create a follower from the state read from disk.
 
-    ``began_at`` is when its process began, which has promised nothing before.
+    ``process_started_at`` is the start of this process, which has not replied
+    to any leader before that.
 
-    Raises ``CorruptionError`` when the entries don't follow the snapshot, or
-    without one the empty log.
+    Raises ``CorruptionError`` if the entries do not follow the snapshot or,
+    without a snapshot, do not start at index 1.
     """
     snapshot = restored.snapshot
     start = snapshot.index if snapshot else 0
@@ -240,11 +252,12 @@
         rng=rng,
         now=now,
         election_at=now,
-        # Its last process may have promised a leader to wait this long.
-        quiet_until=began_at + cfg.election_timeout_s,
-        hasty_until=began_at + (1 + HASTY_FOR) * cfg.election_timeout_s,
+        # The previous process may have acknowledged a leader until its end.
+        ignore_candidates_until=process_started_at + cfg.election_timeout_s,
+        fast_election_until=process_started_at
+        + (1 + FAST_ELECTION_TIMEOUTS) * cfg.election_timeout_s,
         commit_index=start,
-        handed_out=start,
+        delivered_index=start,
     )
-    node.defer_election()
+    node.reset_election_timer()
     return node
--- a/src/snipebend/consensus/progress.py
+++ b/src/snipebend/consensus/progress.py
@@ -1,4 +1,4 @@
-"""How far the leader has brought one other member."""
+"""The replication progress of one follower, as tracked by the leader."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Mode(enum.Enum):
-    """How entries are sent to the member."""
+    """How entries are sent to the follower."""
 
     PROBING = 'probing'
     REPLICATING = 'replicating'
@@ -21,14 +21,14 @@
 
 
 class Progress:
-    """The leader's view of one member.
+    """The replication progress of one follower.
 
-    ``contact_at`` is when the leader sent the last message that it knows the
-    member to have taken in, on the leader's clock.
+    ``contact_at`` is the time, on the leader's clock, at which the leader sent
+    the last message that the follower has acknowledged.
     """
 
     def __init__(self, next_index: int) -> None:
-        """Start by finding out where the logs agree."""
+        """Start by probing up to which index the logs match."""
         self.mode = Mode.PROBING
         self.match_index = 0
         self.next_index = next_index
@@ -38,8 +38,8 @@
         self._probe_sent = False
         self._in_flight: deque[int] = deque()
 
-    def may_send(self, max_in_flight: int) -> bool:
-        """Tell whether another message with entries may go now."""
+    def can_send(self, max_in_flight: int) -> bool:
+        """Return whether another message with entries can be sent now."""
         match self.mode:
             case Mode.PROBING:
                 return not self._probe_sent
@@ -48,8 +48,8 @@
             case Mode.SNAPSHOT:
                 return False
 
-    def note_sent(self, last_index: int) -> None:
-        """Take note of a message whose last entry is ``last_index``."""
+    def record_sent(self, last_index: int) -> None:
+        """Record that entries up to ``last_index`` were sent."""
         if self.mode is Mode.PROBING:
             self._probe_sent = True
             return
@@ -57,21 +57,21 @@
         self.next_index = last_index + 1
 
     def allow_probe(self) -> None:
-        """Let the next heartbeat repeat a probe that may be lost."""
+        """Allow the next heartbeat to repeat a probe that may be lost."""
         self._probe_sent = False
 
     def await_snapshot(self, retry_at: float) -> None:
-        """Send no entries until a snapshot has arrived or is due again."""
+        """Send no entries until the snapshot is acknowledged or sent again."""
         self._switch(Mode.SNAPSHOT)
         self.retry_at = retry_at
 
-    def note_contact(self, round_number: int, sent_at: float) -> None:
-        """Take note of an answer to ``round_number``, sent at ``sent_at``."""
+    def record_contact(self, round_number: int, sent_at: float) -> None:
+        """Record a reply to the round that was sent at ``sent_at``."""
         self.acked_round = max(self.acked_round, round_number)
         self.contact_at = max(self.contact_at, sent_at)
 
-    def note_match(self, match_index: int, base_index: int) -> None:
-        """Take note that the member's synced log agrees to ``match_index``."""
+    def record_match(self, match_index: int, base_index: int) -> None:
+        """Record that the synced log matches up to ``match_index``."""
         self.match_index = max(self.match_index, match_index)
         while self._in_flight and self._in_flight[0] <= match_index:
             self._in_flight.popleft()
@@ -80,11 +80,11 @@
             self._switch(Mode.REPLICATING)
             self.next_index = self.match_index + 1
 
-    def note_rejection(self, reply: AppendReply, log: ReplicatedLog) -> None:
-        """Step back to where the logs may agree; ignore outdated answers."""
+    def record_rejection(self, reply: AppendReply, log: ReplicatedLog) -> None:
+        """Go back to where the logs can match; ignore stale replies."""
         if self.mode is Mode.SNAPSHOT or self._is_outdated(reply):
             return
-        agreed = log.last_not_after(reply.hint_index, reply.hint_term)
+        agreed = log.last_index_within_term(reply.hint_index, reply.hint_term)
         self.next_index = max(
             self.match_index, min(agreed, reply.rejected_index - 1)
         )
--- a/src/snipebend/consensus/proposals.py
+++ b/src/snipebend/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of commands and of member changes, on the leader."""
+"""Handles proposals of commands and of membership changes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def on_proposed(node: Node, event: Proposed) -> None:
-    """Append a command, or say why not."""
+    """Append a command or reject the proposal."""
     refused = _refusal(node)
     if refused is not None:
         _reject(node, event.proposal_id, refused)
@@ -33,7 +33,7 @@
 
 
 def on_members_proposed(node: Node, event: MembersProposed) -> None:
-    """Append a change of the members, one at a time."""
+    """Append a change of the members, or reject it."""
     refused = _refusal(node) or change_refusal(node, event)
     if refused is not None:
         _reject(node, event.proposal_id, refused)
@@ -47,11 +47,11 @@
 
 
 def change_refusal(node: Node, event: MembersProposed) -> RejectReason | None:
-    """Say why a change of the members can't start now.
+    """Return why a change of the members cannot start now, if it cannot.
 
-    The last change must be committed, and an entry of the own term too: only
-    then is no older, unfinished change left that a majority could disagree on
-    (Ongaro, 2014, 4.1, and the correction to it of July 2015).
+    The previous change and an entry of the leader's term must be committed.
+    Otherwise two disjoint majorities are possible, because an older change may
+    be incomplete (Ongaro, 2014, 4.1, and the correction to it of July 2015).
     """
     leadership = node.leadership
     if leadership is None:
@@ -64,10 +64,10 @@
     return None
 
 
-def answer_committed(
+def confirm_committed(
     node: Node, leadership: Leadership, entries: Iterable[LogEntry]
 ) -> None:
-    """Answer the proposals whose entries are handed out."""
+    """Report the proposals whose entries were committed."""
     for entry in entries:
         proposal_id = leadership.proposals.pop(entry.index, None)
         if proposal_id is not None:
@@ -91,11 +91,11 @@
     progress = leadership.progress.get(member_id)
     if progress is None or _is_voter(node.members.latest, member_id):
         return RejectReason.INVALID_CHANGE
-    silent_since = node.now - node.cfg.election_timeout_s
+    oldest_contact = node.now - node.cfg.election_timeout_s
     caught_up = (
         progress.mode is Mode.REPLICATING
         and progress.match_index >= node.commit_index
-        and progress.contact_at >= silent_since
+        and progress.contact_at >= oldest_contact
     )
     return None if caught_up else RejectReason.NOT_CAUGHT_UP
 
--- a/src/snipebend/consensus/quorum.py
+++ b/src/snipebend/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Majorities."""
+"""Majorities of the voters."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 Ordered = TypeVar('Ordered', int, float)
 
 
-def majority(voters: int) -> int:
-    """Give the smallest number of voters that is more than half."""
+def majority_size(voters: int) -> int:
+    """Return the smallest number of voters that is more than half."""
     return voters // 2 + 1
 
 
-def reached_by_majority(marks: list[Ordered]) -> Ordered:
-    """Give the largest value that a majority has reached, one per voter."""
-    ranked = sorted(marks, reverse=True)
-    return ranked[majority(len(ranked)) - 1]
+def reached_by_majority(reached_values: list[Ordered]) -> Ordered:
+    """Return the largest value that a majority has reached.
+
+    There is one value for each voter.
+    """
+    descending = sorted(reached_values, reverse=True)
+    return descending[majority_size(len(descending)) - 1]
--- a/src/snipebend/consensus/reads.py
+++ b/src/snipebend/consensus/reads.py
@@ -1,10 +1,10 @@
-"""Linearizable reads: by the lease, else by a round (Ongaro, 2014, 6.4).
+"""Linearizable reads by leader lease or by heartbeat round.
 
-A follower that answers a message ignores candidates for an election timeout
-of its own clock, counted from after the message was sent. With clocks that
-run at rates within ``1 - d`` and ``1 + d`` of true time, no majority elects
-another leader until ``timeout * (1 - d) / (1 + d)`` of the leader's clock has
-passed since it sent the messages that a majority answered.
+See Ongaro, 2014, 6.4. A follower that replies to a message ignores candidates
+for an election timeout on its own clock, which begins after the message was
+sent. With clock rates between ``1 - d`` and ``1 + d`` of true time, no majority
+elects another leader until ``timeout * (1 - d) / (1 + d)`` have passed on the
+leader's clock since it sent the messages that a majority acknowledged.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from snipebend.consensus.actions import ReadReady, ReadRejected
 from snipebend.consensus.leadership import PendingRead
 from snipebend.consensus.quorum import reached_by_majority
-from snipebend.consensus.sending import start_round
+from snipebend.consensus.log_sender import start_round
 
 if TYPE_CHECKING:
     from snipebend.consensus.config import CoreConfig
@@ -24,39 +24,39 @@
 
 
 def on_read_requested(node: Node, read_id: str) -> None:
-    """Answer a read, or queue it until the answer is safe."""
+    """Queue a read on the leader; reject it on other members."""
     leadership = node.leadership
     if leadership is None:
         node.emit(ReadRejected(read_id, node.leader))
     else:
-        leadership.early_reads.append(read_id)
+        leadership.queued_reads.append(read_id)
 
 
 def serve_reads(node: Node, leadership: Leadership) -> None:
-    """Answer the reads whose index is known to be the latest."""
+    """Report the reads whose index is known to be current."""
     if node.commit_index < leadership.first_index:
-        # What earlier leaders committed isn't all known before that.
+        # Until then entries committed by earlier leaders may be unknown here.
         return
-    if leadership.early_reads:
-        _serve_new(node, leadership)
+    if leadership.queued_reads:
+        _serve_queued(node, leadership)
     _serve_confirmed(node, leadership)
 
 
 def lease_until(node: Node, leadership: Leadership) -> float:
-    """Give the deadline of the lease on this member's clock."""
+    """Return the end of the lease on this member's clock."""
     if leadership.lease_given_up:
         return -math.inf
-    return majority_contact(node, leadership) + lease_span(node.cfg)
+    return majority_contact(node, leadership) + lease_duration_s(node.cfg)
 
 
-def lease_span(cfg: CoreConfig) -> float:
-    """Give how many seconds a majority's answers hold, drift deducted."""
+def lease_duration_s(cfg: CoreConfig) -> float:
+    """Return how long replies of a majority are valid, less clock drift."""
     slowest = (1 - cfg.clock_drift) / (1 + cfg.clock_drift)
     return cfg.election_timeout_s * slowest
 
 
 def majority_contact(node: Node, leadership: Leadership) -> float:
-    """Give when the latest message went out that a majority answered."""
+    """Return the send time of the latest message a majority acknowledged."""
     contacts = [
         leadership.progress[voter].contact_at
         if voter != node.member_id
@@ -66,11 +66,11 @@
     return reached_by_majority(contacts)
 
 
-def _serve_new(node: Node, leadership: Leadership) -> None:
-    waiting = leadership.early_reads
-    leadership.early_reads = []
+def _serve_queued(node: Node, leadership: Leadership) -> None:
+    waiting = leadership.queued_reads
+    leadership.queued_reads = []
     if node.now < lease_until(node, leadership):
-        _answer_now(node, waiting)
+        _confirm_reads(node, waiting)
         return
     start_round(node, leadership)
     number = leadership.rounds.number
@@ -79,7 +79,7 @@
     ]
 
 
-def _answer_now(node: Node, read_ids: list[str]) -> None:
+def _confirm_reads(node: Node, read_ids: list[str]) -> None:
     for read_id in read_ids:
         node.emit(ReadReady(read_id, node.commit_index))
 
--- a/src/snipebend/consensus/records.py
+++ b/src/snipebend/consensus/records.py
@@ -1,6 +1,6 @@
-"""Records of log replication that go into files as well as over the wire.
+"""Raft records that are stored in files and sent to other members.
 
-Like the messages they are tagged ``msgspec`` structs.
+Like the messages, they are tagged ``msgspec`` structs.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class EntryKind(enum.StrEnum):
-    """What a log entry carries."""
+    """What the payload of a log entry contains."""
 
     COMMAND = 'command'
     MEMBERS = 'members'
@@ -19,10 +19,10 @@
 
 
 class Member(msgspec.Struct, frozen=True, tag=True):
-    """One process that holds a replica.
+    """A process that holds a replica.
 
-    ``member_id`` is made anew whenever the disk is empty; ``name`` and
-    ``address`` (``host:port``) are for people and for the transport.
+    A new ``member_id`` is generated whenever the disk is empty. ``name`` is for
+    operators, and ``address`` (``host:port``) for the transport.
     """
 
     member_id: str
@@ -31,14 +31,14 @@
 
 
 class Members(msgspec.Struct, frozen=True, tag=True):
-    """A configuration of the group; learners store entries but don't vote."""
+    """The members of the group; learners store entries but do not vote."""
 
     voters: tuple[Member, ...] = ()
     learners: tuple[Member, ...] = ()
 
 
 class LogEntry(msgspec.Struct, frozen=True, tag=True):
-    """One entry; a ``members`` entry's payload is an encoded ``Members``."""
+    """A log entry; if ``kind`` is MEMBERS, the payload encodes ``Members``."""
 
     index: int
     term: int
@@ -47,14 +47,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True, tag=True):
-    """What must be on disk before a vote or a new term is shown to a peer."""
+    """Term and vote, which must be synced before a peer can observe them."""
 
     term: int = 0
     voted_for: str | None = None
 
 
 class SnapshotMeta(msgspec.Struct, frozen=True, tag=True):
-    """The last entry that a snapshot covers, and the members at it."""
+    """The last entry that a snapshot covers, and the members as of it."""
 
     index: int
     term: int
@@ -72,6 +72,6 @@
 def decode_members(payload: bytes) -> Members:
     """Decode the payload of a ``members`` entry.
 
-    Raises ``msgspec.DecodeError`` for other bytes.
+    Raises ``msgspec.DecodeError`` if the payload is invalid.
     """
     return _members_decoder.decode(payload)
--- a/src/snipebend/consensus/replication.py
+++ b/src/snipebend/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's start, and what it learns from the members' answers."""
+"""Start of a leader, and its handling of replies from followers."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 from snipebend.consensus.actions import Role
 from snipebend.consensus.leadership import Leadership
 from snipebend.consensus.records import EntryKind, LogEntry
-from snipebend.consensus.roles import follow
+from snipebend.consensus.roles import become_follower
 from snipebend.consensus.rounds import Rounds
-from snipebend.consensus.sending import start_round
+from snipebend.consensus.log_sender import start_round
 
 if TYPE_CHECKING:
     from snipebend.consensus.messages import AppendReply, SnapshotReply
     from snipebend.consensus.node import Node
     from snipebend.consensus.progress import Progress
 
-# Rounds older than this many election timeouts renew nothing any more.
+# A reply to a round older than this many election timeouts can no longer renew
+# the lease.
 ROUNDS_KEPT_TIMEOUTS = 2
 
 
-def lead(node: Node) -> None:
-    """Become the leader of the current term, with an empty entry of it."""
+def become_leader(node: Node) -> None:
+    """Become leader of the current term and append an empty entry in it."""
     first_index = node.log.last_index + 1
     node.role = Role.LEADER
     node.restarted = False
@@ -36,27 +37,27 @@
 
 
 def on_append_reply(node: Node, source: str, reply: AppendReply) -> None:
-    """Take in how far a member's log agrees."""
+    """Record up to which index the log of a follower matches."""
     if reply.term > node.term:
-        follow(node, reply.term, None)
+        become_follower(node, reply.term, None)
         return
     progress = _contact(node, source, reply)
     if progress is None:
         return
     if reply.success:
-        progress.note_match(reply.match_index, node.log.base_index)
+        progress.record_match(reply.match_index, node.log.base_index)
     else:
-        progress.note_rejection(reply, node.log)
+        progress.record_rejection(reply, node.log)
 
 
 def on_snapshot_reply(node: Node, source: str, reply: SnapshotReply) -> None:
-    """Take in that a member has installed a snapshot."""
+    """Record that a follower has installed a snapshot."""
     if reply.term > node.term:
-        follow(node, reply.term, None)
+        become_follower(node, reply.term, None)
         return
     progress = _contact(node, source, reply)
     if progress is not None:
-        progress.note_match(reply.match_index, node.log.base_index)
+        progress.record_match(reply.match_index, node.log.base_index)
 
 
 def _contact(
@@ -68,5 +69,5 @@
     progress = leadership.progress.get(source)
     if progress is not None:
         sent_at = leadership.rounds.sent_at(reply.round_number)
-        progress.note_contact(reply.round_number, sent_at)
+        progress.record_contact(reply.round_number, sent_at)
     return progress
--- a/src/snipebend/consensus/restoring.py
+++ b/src/snipebend/consensus/restored_log.py
@@ -1,4 +1,4 @@
-"""Which stored entries still count beside a stored snapshot."""
+"""Selects the stored log entries that are valid after a stored snapshot."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 def usable_entries(
     snapshot: SnapshotMeta | None, entries: Sequence[LogEntry]
 ) -> tuple[LogEntry, ...]:
-    """Give the entries that follow the snapshot.
+    """Return the entries that follow the snapshot.
 
     A crash between syncing an installed snapshot and resetting the log leaves
-    an older log behind. If that one doesn't lead up to the snapshot, or
-    differs from it, none of it counts, and its file must be reset. Entries that
-    start later are given as they are, for the caller to see the gap.
+    an older log on disk. If that log ends before the snapshot or conflicts with
+    it, none of its entries are valid, and its file must be reset. Entries that
+    start after a gap are returned as they are: the caller detects the gap.
     """
     if snapshot is None or not entries:
         return tuple(entries)
--- a/src/snipebend/consensus/roles.py
+++ b/src/snipebend/consensus/roles.py
@@ -1,4 +1,4 @@
-"""Going back to following, from any role."""
+"""The change to the follower role."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
     from snipebend.consensus.node import Node
 
 
-def follow(node: Node, term: int, leader_id: str | None) -> None:
-    """Follow the leader of ``term``, or nobody yet.
+def become_follower(node: Node, term: int, leader_id: str | None) -> None:
+    """Become a follower in ``term``; ``None`` if its leader is not known.
 
-    Proposals of an own leadership are answered as unknown: their entries are
-    in the log and may still be committed by another leader.
+    A leader that steps down reports its pending proposals as unknown: their
+    entries are in the log and may still be committed by another leader.
     """
-    ended = node.leadership
+    former_leadership = node.leadership
     node.leadership = None
     node.role = Role.FOLLOWER
     node.leader_id = leader_id
     node.votes.clear()
     if term > node.term:
         node.enter_term(term, None)
-    if ended is not None:
-        node.defer_election()
-        _answer_all(node, ended)
+    if former_leadership is not None:
+        node.reset_election_timer()
+        _reject_pending(node, former_leadership)
 
 
-def _answer_all(node: Node, ended: Leadership) -> None:
-    for proposal_id in ended.proposals.values():
+def _reject_pending(node: Node, former_leadership: Leadership) -> None:
+    for proposal_id in former_leadership.proposals.values():
         node.emit(
             ProposalRejected(proposal_id, node.leader, RejectReason.UNKNOWN)
         )
-    waiting = [read.read_id for read in ended.reads]
-    for read_id in ended.early_reads + waiting:
+    waiting = [read.read_id for read in former_leadership.reads]
+    for read_id in former_leadership.queued_reads + waiting:
         node.emit(ReadRejected(read_id, node.leader))
--- a/src/snipebend/consensus/rounds.py
+++ b/src/snipebend/consensus/rounds.py
@@ -1,4 +1,4 @@
-"""Numbered rounds of messages, by which a leader knows its followers' age."""
+"""Numbered rounds of messages, to date the replies of followers."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class Rounds:
-    """When each round of messages of one leadership began."""
+    """The start time of each round of messages sent by a leader."""
 
     def __init__(self, keep_s: float) -> None:
-        """Remember the rounds of the last ``keep_s`` seconds."""
+        """Keep the start times of the last ``keep_s`` seconds."""
         self.number = 0
         self._keep_s = keep_s
         self._sent_at: dict[int, float] = {}
 
     def start(self, now: float) -> int:
-        """Begin a round: messages that carry its number go out after now."""
+        """Start a round and return its number, which later messages carry."""
         oldest = now - self._keep_s
         self._sent_at = {
             number: sent_at
@@ -27,5 +27,5 @@
         return self.number
 
     def sent_at(self, number: int) -> float:
-        """Give a round's start; far in the past for a forgotten one."""
+        """Return the start time of a round; ``-inf`` if no longer kept."""
         return self._sent_at.get(number, -math.inf)
--- a/src/snipebend/consensus/snapshot_file.py
+++ b/src/snipebend/consensus/snapshot_file.py
@@ -1,4 +1,4 @@
-"""Snapshots in the data folder: written aside, synced, then named."""
+"""Snapshot files in the data folder, which are replaced atomically."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag=True):
-    """The state after ``meta.index``, as the state machine encoded it."""
+    """The encoded state of the state machine after ``meta.index``."""
 
     meta: SnapshotMeta
     payload: bytes
 
 
 class SnapshotStore:
-    """The newest snapshot of a data folder."""
+    """Loads and saves the newest snapshot of a data folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Keep the folder."""
+        """Use the given data folder."""
         self._folder = folder
 
     def load(self) -> Snapshot | None:
-        """Return the newest snapshot, or nothing.
+        """Return the newest snapshot; ``None`` if there is none.
 
         Raises:
-            CorruptionError: when it is damaged.
+            CorruptionError: if it is damaged.
         """
         paths = self._paths()
         return read_record(paths[-1], Snapshot) if paths else None
 
     def save(self, snapshot: Snapshot) -> None:
-        """Write and sync a snapshot; then drop the older ones."""
+        """Write and sync a snapshot, then delete older ones."""
         path = self._folder / f'snapshot-{snapshot.meta.index:020}.bin'
         write_record(path, snapshot)
         for older in self._paths():
--- a/src/snipebend/consensus/settling.py
+++ b/src/snipebend/consensus/step_completion.py
@@ -1,17 +1,17 @@
-"""What follows from the state at the end of each step."""
+"""Completes a step: commits, sends, writes and reports results."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from snipebend.consensus.actions import Send
-from snipebend.consensus.counting import advance_commit
+from snipebend.consensus.commit_index import advance_commit
 from snipebend.consensus.elections import on_vote_reply
-from snipebend.consensus.handover import leave_if_removed, prompt_successor
+from snipebend.consensus.handover import step_down_if_removed, prompt_successor
 from snipebend.consensus.messages import VoteReply
-from snipebend.consensus.proposals import answer_committed
+from snipebend.consensus.proposals import confirm_committed
 from snipebend.consensus.reads import serve_reads
-from snipebend.consensus.sending import replicate
+from snipebend.consensus.log_sender import replicate
 
 if TYPE_CHECKING:
     from snipebend.consensus.leadership import Leadership
@@ -19,36 +19,36 @@
     from snipebend.consensus.node import Node
 
 
-def settle(node: Node) -> None:
-    """Commit, send, write and answer all that the events made possible."""
-    _release(node)
+def complete_step(node: Node) -> None:
+    """Commit, send, write and report all that the events have enabled."""
+    _send_released(node)
     if node.leadership is not None:
         advance_commit(node, node.leadership)
-    entries = node.hand_out()
+    entries = node.deliver_committed()
     if node.leadership is not None:
-        answer_committed(node, node.leadership, entries)
-        leave_if_removed(node, node.leadership)
+        confirm_committed(node, node.leadership, entries)
+        step_down_if_removed(node, node.leadership)
     if node.leadership is not None:
-        _settle_leader(node, node.leadership)
+        _complete_leader_step(node, node.leadership)
     node.write()
-    _release(node)
+    _send_released(node)
     node.announce_role()
 
 
-def _settle_leader(node: Node, leadership: Leadership) -> None:
+def _complete_leader_step(node: Node, leadership: Leadership) -> None:
     replicate(node, leadership)
     prompt_successor(node, leadership)
     serve_reads(node, leadership)
 
 
-def _release(node: Node) -> None:
-    for envelope in node.durability.released():
+def _send_released(node: Node) -> None:
+    for envelope in node.durability.take_released():
         if envelope.target == node.member_id:
-            _take_own(node, envelope)
+            _handle_own_message(node, envelope)
         else:
             node.emit(Send(envelope))
 
 
-def _take_own(node: Node, envelope: Envelope) -> None:
+def _handle_own_message(node: Node, envelope: Envelope) -> None:
     if isinstance(envelope.message, VoteReply):
         on_vote_reply(node, node.member_id, envelope.message)
--- a/src/snipebend/consensus/storage.py
+++ b/src/snipebend/consensus/storage.py
@@ -1,14 +1,14 @@
-"""One member's data folder as a whole: identity, log and snapshot."""
+"""The data folder of one member: identity, log and snapshot."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from snipebend.consensus.config import Restored
+from snipebend.consensus.config import RestoredState
 from snipebend.consensus.data_folder import (
     open_identity,
-    read_founding,
-    write_founding,
+    read_founding_members,
+    write_founding_members,
 )
 from snipebend.consensus.log_file import LogFile, LogWrite
 from snipebend.consensus.snapshot_file import Snapshot, SnapshotStore
@@ -22,75 +22,76 @@
     from snipebend.consensus.records import LogEntry, Members, SnapshotMeta
 
 
-class Opened(NamedTuple):
-    """What a data folder held when it was opened."""
+class StoredState(NamedTuple):
+    """The contents of a data folder at the time it was opened."""
 
     member_id: str
-    restored: Restored
+    restored: RestoredState
     payload: bytes | None
 
 
 class Storage:
-    """Reads the folder once, then writes it; one thread at a time.
+    """Reads the data folder once, then writes to it; not thread-safe.
 
-    Each method returns once everything is synced. An ``OSError`` means that
-    the write didn't happen and may be tried again.
+    Each method returns after everything is synced. After an ``OSError`` the
+    write has had no effect and can be retried.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Keep the folder."""
+        """Use the given data folder."""
         self._folder = folder
         self._log = LogFile(folder)
         self._snapshots = SnapshotStore(folder)
 
-    def open(self, fresh_id: str) -> Opened:
-        """Read the folder; an empty one gets the fresh identity.
+    def open(self, fresh_id: str) -> StoredState:
+        """Read the folder; an empty one is given the identity ``fresh_id``.
 
         Raises:
-            CorruptionError: when anything but a torn last write is damaged.
+            CorruptionError: if anything but a torn last write is damaged.
         """
         identity = open_identity(self._folder, fresh_id)
-        founding = read_founding(self._folder)
+        founding = read_founding_members(self._folder)
         snapshot = self._snapshots.load()
         if (founding.voters or snapshot) and not self._log.exists():
             raise CorruptionError(
-                f'{self._folder}: the log is missing',
+                f'{self._folder}: founding members or a snapshot exist, '
+                + 'but the log is missing',
                 step='read data folder',
             )
         content = self._log.load()
         meta = snapshot.meta if snapshot else None
-        restored = Restored(
+        restored = RestoredState(
             content.hard_state,
             meta,
-            self._follow(meta, content.entries),
+            self._entries_after(meta, content.entries),
             meta.members if meta else founding,
         )
         payload = snapshot.payload if snapshot else None
-        return Opened(identity.member_id, restored, payload)
+        return StoredState(identity.member_id, restored, payload)
 
-    def found(self, members: Members) -> None:
-        """Keep the members that the group was founded with."""
-        write_founding(self._folder, members)
+    def save_founding_members(self, members: Members) -> None:
+        """Store the founding members of the group."""
+        write_founding_members(self._folder, members)
 
     def persist(self, writes: Iterable[Persist]) -> None:
-        """Write several changes of the log in one sync."""
-        self._log.append(combine(writes))
+        """Write several changes of the log with a single sync."""
+        self._log.append(merge_writes(writes))
 
     def save_snapshot(self, snapshot: Snapshot, keep_from: int) -> None:
-        """Write a snapshot; keep the log from an index on, or a bit more."""
+        """Save a snapshot; delete log segments that end before an index."""
         self._snapshots.save(snapshot)
         self._log.drop_until(keep_from - 1)
 
-    def install(self, snapshot: Snapshot) -> None:
-        """Replace log and snapshot by what a leader sent."""
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace log and snapshot with a snapshot sent by the leader."""
         self._snapshots.save(snapshot)
         self._log.restart()
 
     def load_snapshot(self) -> Snapshot | None:
-        """Return the newest snapshot, for a follower that needs it."""
+        """Return the newest snapshot, to send it to a follower."""
         return self._snapshots.load()
 
-    def _follow(
+    def _entries_after(
         self,
         meta: SnapshotMeta | None,
         entries: tuple[LogEntry, ...],
@@ -98,14 +99,14 @@
         """Return the entries after the snapshot.
 
         A crash between the two steps of ``install`` leaves a log that the
-        snapshot has replaced: it ends before the snapshot or has another term
-        at its index.
+        snapshot has replaced: the log ends before the snapshot, or has another
+        term at the snapshot's index. Such a log is reset.
         """
         covered = meta.index if meta else 0
         if entries and entries[0].index > covered + 1:
             raise CorruptionError(
-                f'{self._folder}: the log begins at {entries[0].index}, '
-                + f'but no snapshot goes beyond {covered}',
+                f'{self._folder}: the log starts at index {entries[0].index}, '
+                + f'but no snapshot covers the entries after {covered}',
                 step='read data folder',
             )
         if meta and _is_replaced(meta, entries):
@@ -114,8 +115,8 @@
         return tuple(entry for entry in entries if entry.index > covered)
 
 
-def combine(writes: Iterable[Persist]) -> LogWrite:
-    """Return one write that leaves the same log as several in a row."""
+def merge_writes(writes: Iterable[Persist]) -> LogWrite:
+    """Return one write with the same effect as several in sequence."""
     hard_state = None
     truncate_from: int | None = None
     entries: list[LogEntry] = []
--- a/src/snipebend/transport/group.py
+++ b/src/snipebend/transport/group.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from snipebend.consensus.records import Member
-    from snipebend.consensus.storage import Opened, Storage
+    from snipebend.consensus.storage import Storage, StoredState
     from snipebend.kernel.registry import Registry
     from snipebend.settings.model import ControlSettings
     from snipebend.transport.rpc_clients import RpcClients
@@ -41,7 +41,7 @@
         self,
         cfg: ControlSettings,
         own: Member,
-        opened: Opened,
+        opened: StoredState,
         storage: Storage,
         registry: Registry,
         clients: RpcClients,
--- a/src/snipebend/transport/group_start.py
+++ b/src/snipebend/transport/group_start.py
@@ -16,7 +16,7 @@
 from snipebend.transport.rpc_clients import RpcClients
 
 if TYPE_CHECKING:
-    from snipebend.consensus.storage import Opened
+    from snipebend.consensus.storage import StoredState
     from snipebend.kernel.registry import Registry
     from snipebend.settings.model import ControlSettings
 
@@ -35,7 +35,7 @@
         self._lock = FolderLock(folder)
         self._storage = Storage(folder)
         self._clients = RpcClients()
-        self._opened: Opened | None = None
+        self._opened: StoredState | None = None
 
     def take_settings(self, cfg: ControlSettings) -> None:
         """Take over other seeds for a later search of the group."""
@@ -91,7 +91,7 @@
         self._lock.release()
 
     @property
-    def _read(self) -> Opened:
+    def _read(self) -> StoredState:
         assert self._opened is not None, 'open() comes first'
         return self._opened
 
@@ -106,7 +106,9 @@
     async def _find_members(self) -> Members:
         if not self._cfg.listed_addresses:
             members = Members((self._own,))
-            await asyncio.to_thread(self._storage.found, members)
+            await asyncio.to_thread(
+                self._storage.save_founding_members, members
+            )
             return members
         while True:
             # Made anew each time: the settings may name other seeds by now.
@@ -120,6 +122,6 @@
             self._own,
             tuple(dict.fromkeys((*self._cfg.listed_addresses, *known))),
             self._clients,
-            self._storage.found,
+            self._storage.save_founding_members,
             may_found=self._cfg.seeds is None or self._cfg.seeds.bootstrap,
         )
--- a/src/snipebend/transport/repairs.py
+++ b/src/snipebend/transport/repairs.py
@@ -13,7 +13,7 @@
     PromoteLearner,
     RemoveMember,
 )
-from snipebend.consensus.replacing import find_gone
+from snipebend.consensus.member_removal import find_failed_member
 from snipebend.transport.group_messages import HelloRequest, JoinReply
 from snipebend.transport.methods import HELLO
 
@@ -92,7 +92,7 @@
 
     async def _remove_gone(self) -> None:
         members = self._replica.status.members
-        gone = find_gone(members, self._replica.silences())
+        gone = find_failed_member(members, self._replica.contact_ages())
         if gone is None:
             return
         if await self._change(RemoveMember(gone.member_id)):
--- a/src/snipebend/transport/replica.py
+++ b/src/snipebend/transport/replica.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from snipebend.consensus.config import CoreConfig
     from snipebend.consensus.core import CoreStatus
-    from snipebend.consensus.storage import Opened, Storage
+    from snipebend.consensus.storage import Storage, StoredState
     from snipebend.kernel.clock import Clock
     from snipebend.transport.letters import Answer
     from snipebend.transport.peer_links import PeerLinks
@@ -57,7 +57,7 @@
     def __init__(
         self,
         cfg: CoreConfig,
-        opened: Opened,
+        opened: StoredState,
         storage: Storage,
         clock: Clock,
         links: PeerLinks,
@@ -109,9 +109,9 @@
         """Tell whether this member leads and nobody else can."""
         return self._clock.now() < self._core.lease_until()
 
-    def silences(self) -> dict[str, float]:
+    def contact_ages(self) -> dict[str, float]:
         """Return, on the leader, the others' silences in seconds."""
-        return self._core.silences()
+        return self._core.contact_ages()
 
     @property
     def leads(self) -> bool:
--- a/src/snipebend/transport/storage_writer.py
+++ b/src/snipebend/transport/storage_writer.py
@@ -104,7 +104,9 @@
                 await self._repeat(work)
                 self._post(SnapshotSaved(keep))
             case ReplaceSnapshot(snapshot):
-                await self._repeat(partial(self._storage.install, snapshot))
+                await self._repeat(
+                    partial(self._storage.install_snapshot, snapshot)
+                )
                 self._post(SnapshotReplaced(snapshot))
             case LoadSnapshot(target):
                 await self._load(target)
--- a/tests/consensus/checker.py
+++ b/tests/consensus/checker.py
@@ -1,4 +1,4 @@
-"""What must hold in every schedule; sees all members from outside."""
+"""Checks the safety properties of Raft over all members of a group."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 
 
 class Violation(AssertionError):
-    """A promise of log replication was broken."""
+    """A safety property of log replication was violated."""
 
 
 @dataclass
 class Checker:
-    """Remembers what was promised and compares all that follows with it."""
+    """Records what was committed and reported, and checks later events."""
 
     leaders: dict[int, str] = field(default_factory=dict)
     committed: dict[int, LogEntry] = field(default_factory=dict)
     commit_terms: dict[int, int] = field(default_factory=dict)
-    refused: set[bytes] = field(default_factory=set)
+    rejected: set[bytes] = field(default_factory=set)
     acknowledged: int = 0
     reads_checked: int = 0
 
     def on_leader(self, term: int, member_id: str, core: Core) -> None:
-        """One leader a term, with all that earlier terms committed.
+        """Check that a term has one leader, with all entries committed before.
 
-        Late votes may still elect one while a later term commits already.
+        Late votes can still elect a leader when a later term has already
+        committed entries, so only entries of earlier terms are compared.
         """
         known = self.leaders.setdefault(term, member_id)
         _require(known == member_id, f'two leaders in term {term}')
@@ -40,37 +41,42 @@
         for index, entry in self.committed.items():
             if index > base and self.commit_terms[index] < term:
                 same = core.term_at(index) == entry.term
-                _require(same, f'leader lacks committed {index}')
+                _require(same, f'leader lacks committed entry {index}')
 
     def on_commit(self, applied: int, entry: LogEntry, term: int) -> None:
-        """Entries come in order, once, and are the same everywhere."""
+        """Check that entries are applied in order, once, and agree."""
         _require(entry.index == applied + 1, 'applied out of order')
         known = self.committed.setdefault(entry.index, entry)
         self.commit_terms.setdefault(entry.index, term)
         _require(known == entry, f'two entries committed at {entry.index}')
         command = entry.kind is EntryKind.COMMAND
-        lied = command and entry.payload in self.refused
-        _require(not lied, 'an entry committed that was never appended')
+        was_rejected = command and entry.payload in self.rejected
+        _require(
+            not was_rejected, 'committed a command whose proposal was rejected'
+        )
 
     def on_acknowledged(self, index: int, proposal_id: str) -> None:
-        """A proposal is answered as committed only once it is."""
+        """Check that a proposal is reported as committed only after it is."""
         entry = self.committed.get(index)
         _require(entry is not None, 'acknowledged before it was committed')
         if entry.kind is EntryKind.COMMAND:
-            _require(entry.payload == proposal_id.encode(), 'not this one')
+            _require(
+                entry.payload == proposal_id.encode(),
+                'acknowledged another entry',
+            )
         self.acknowledged = max(self.acknowledged, index)
 
     def on_rejected(self, action: ProposalRejected) -> None:
-        """All reasons but one promise that it will never commit."""
+        """Record a proposal that must never commit: all reasons but unknown."""
         if action.reason is not RejectReason.UNKNOWN:
-            self.refused.add(action.proposal_id.encode())
+            self.rejected.add(action.proposal_id.encode())
 
     def on_read(self, ready: ReadReady, floor: int) -> None:
-        """A read sees all that was acknowledged before it began."""
+        """Check that a read observes all that was acknowledged before it."""
         self.reads_checked += 1
         _require(ready.index >= floor, f'read {ready.index} misses {floor}')
 
 
-def _require(holds: bool, broken: str) -> None:
+def _require(holds: bool, violation: str) -> None:
     if not holds:
-        raise Violation(broken)
+        raise Violation(violation)
--- a/tests/consensus/faults.py
+++ b/tests/consensus/faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the core, to see that the search finds them."""
+"""Faults planted in the Raft core, to verify that the search detects them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from snipebend.consensus.durability import Durability
 from snipebend.consensus.node import Node
-from snipebend.consensus.reads import lease_span, majority_contact
+from snipebend.consensus.reads import lease_duration_s, majority_contact
 from tests.consensus.world import World
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 
 
 def no_fsync_wait() -> AbstractContextManager[object]:
-    """Take each write as synced as soon as it is issued."""
+    """Treat each write as synced as soon as it is issued."""
 
     def write(
         self: Durability, log: ReplicatedLog, hard_state: HardState
@@ -39,8 +39,8 @@
     return mock.patch.object(Durability, 'write', write)
 
 
-def vote_forgotten() -> AbstractContextManager[object]:
-    """Never write term and vote, so that a restart allows another one."""
+def vote_not_persisted() -> AbstractContextManager[object]:
+    """Never persist term and vote, so that a restart allows a second vote."""
 
     def write(
         self: Durability, log: ReplicatedLog, hard_state: HardState
@@ -51,59 +51,61 @@
     return mock.patch.object(Durability, 'write', write)
 
 
-def earlier_term_counted() -> AbstractContextManager[object]:
+def earlier_term_committed_by_count() -> AbstractContextManager[object]:
     """Commit an entry of an earlier term by counting its copies."""
-    return mock.patch(f'{CORE}.counting.may_commit', lambda node, index: True)
+    return mock.patch(
+        f'{CORE}.commit_index.can_commit_by_count', lambda node, index: True
+    )
 
 
 def lease_without_drift() -> AbstractContextManager[object]:
-    """Trust that all clocks run alike."""
+    """Assume that all clocks run at the same rate."""
 
-    def span(cfg: CoreConfig) -> float:
+    def duration(cfg: CoreConfig) -> float:
         return cfg.election_timeout_s
 
-    return mock.patch(f'{CORE}.reads.lease_span', span)
+    return mock.patch(f'{CORE}.reads.lease_duration_s', duration)
 
 
 def lease_kept_at_hand_over() -> AbstractContextManager[object]:
-    """Serve reads by the lease although the successor may be elected."""
+    """Serve reads by the lease although the successor can be elected."""
 
     def until(node: Node, leadership: Leadership) -> float:
-        return majority_contact(node, leadership) + lease_span(node.cfg)
+        return majority_contact(node, leadership) + lease_duration_s(node.cfg)
 
     return mock.patch(f'{CORE}.reads.lease_until', until)
 
 
 def previous_entry_unchecked() -> AbstractContextManager[object]:
-    """Append after any entry, whatever its term."""
+    """Append after an entry with the right index but any term."""
 
-    def follows(node: Node, request: AppendRequest) -> bool:
+    def has_previous(node: Node, request: AppendRequest) -> bool:
         return node.log.term_at(request.prev_index) is not None
 
-    return mock.patch(f'{CORE}.following.follows_log', follows)
+    return mock.patch(f'{CORE}.follower.has_previous_entry', has_previous)
 
 
-def agreeing_entries_dropped() -> AbstractContextManager[object]:
-    """Let a late, short message cut off what was acknowledged since."""
+def matching_entries_truncated() -> AbstractContextManager[object]:
+    """Let a delayed message truncate entries acknowledged since."""
 
-    def take(node: Node, entries: tuple[LogEntry, ...]) -> None:
+    def merge(node: Node, entries: tuple[LogEntry, ...]) -> None:
         if entries:
             if entries[0].index <= node.log.last_index:
                 node.truncate_from(entries[0].index)
             node.append(entries)
 
-    return mock.patch(f'{CORE}.following._take_entries', take)
+    return mock.patch(f'{CORE}.follower._merge_entries', merge)
 
 
-def two_changes_at_once() -> AbstractContextManager[object]:
-    """Start a change of the members before the last one is committed."""
+def overlapping_member_changes() -> AbstractContextManager[object]:
+    """Start a change of the members before the previous one is committed."""
     return mock.patch(
         f'{CORE}.proposals.change_refusal', lambda node, event: None
     )
 
 
-def others_leases_forgotten() -> AbstractContextManager[object]:
-    """Take a majority that restarted for all members."""
+def majority_of_restarts_suffices() -> AbstractContextManager[object]:
+    """Treat the restart of a majority as a restart of all voters."""
 
     def all_restarted(node: Node) -> bool:
         known = node.restarted_voters or set()
@@ -112,11 +114,11 @@
     return mock.patch(f'{CORE}.elections._all_restarted', all_restarted)
 
 
-def begun_too_early() -> AbstractContextManager[object]:
-    """Take a process for older than its predecessor's last promise."""
-    return mock.patch.object(World, 'begun_early', 1)
+def process_start_too_early() -> AbstractContextManager[object]:
+    """Assume a start before the previous process acknowledged a leader."""
+    return mock.patch.object(World, 'start_error_timeouts', 1)
 
 
-def stale_reads() -> AbstractContextManager[object]:
-    """Serve reads without lease or round."""
+def reads_without_lease() -> AbstractContextManager[object]:
+    """Serve reads without a lease or a heartbeat round."""
     return mock.patch(f'{CORE}.reads.lease_until', lambda *_: float('inf'))
--- a/tests/consensus/schedule.py
+++ b/tests/consensus/schedule.py
@@ -1,4 +1,4 @@
-"""Seeded schedules: clients, an operator who repairs, and faults."""
+"""Randomized, seeded schedules of clients, membership repairs and faults."""
 
 from __future__ import annotations
 
@@ -15,17 +15,25 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+#: Seconds for which clients continue after the faults have ended.
 HEAL_S = 6
+
+#: Seconds after that within which the group must have recovered.
 DRAIN_S = 120
 
 
 class Plan(NamedTuple):
-    """What a schedule does; ``faults`` are drawn with equal chances."""
+    """Parameters of a schedule.
+
+    The faults are chosen with equal probability. ``concurrent_changes`` lets
+    the operator propose several membership changes at the same time.
+    ``keep_identity`` keeps the member id when a disk is wiped.
+    """
 
     faults: tuple[str, ...] = (
         'partition',
         'isolate_leader',
-        'deafen',
+        'cut_from_leaders',
         'heal',
         'heal',
         'crash',
@@ -46,7 +54,7 @@
     losses: tuple[float, ...] = (0, 0.02, 0.15)
     delays_s: tuple[float, ...] = (0.004, 0.05, 0.3)
     syncs_s: tuple[float, ...] = (0.005, 0.1)
-    gathers_s: tuple[float, ...] = (0, 0.01, 0.1)
+    inbox_delays_s: tuple[float, ...] = (0, 0.01, 0.1)
     cfg: CoreConfig = CoreConfig(
         heartbeat_s=0.1,
         election_timeout_s=0.5,
@@ -55,13 +63,13 @@
         max_in_flight=3,
         snapshot_retry_s=1,
     )
-    eager: bool = False
+    concurrent_changes: bool = False
     keep_identity: bool = False
 
 
 @dataclass
-class Tally:
-    """What a run went through."""
+class SearchStats:
+    """Totals over the schedules of a search."""
 
     schedules: int = 0
     steps: int = 0
@@ -71,10 +79,10 @@
 
 
 class Schedule:
-    """One seeded run; raises ``Violation`` when a promise is broken."""
+    """One seeded run; raises ``Violation`` if a safety property is violated."""
 
     def __init__(self, seed: int, plan: Plan) -> None:
-        """Found the group and draw how bad its network is."""
+        """Create the group with random network, disk and inbox delays."""
         self.plan = plan
         world = World(seed, plan.cfg, 0)
         self.rng = world.rng
@@ -82,43 +90,44 @@
         self.world = World(self.rng.randrange(1 << 30), plan.cfg, voters)
         self.world.loss = self.rng.choice(plan.losses)
         self.world.duplication = self.rng.choice([0, 0.1])
-        self.world.gather_s = self.rng.choice(plan.gathers_s)
+        self.world.inbox_delay_s = self.rng.choice(plan.inbox_delays_s)
         self.world.delay = (0.001, self.rng.choice(plan.delays_s))
         self.world.sync_delay = (0.001, self.rng.choice(plan.syncs_s))
-        # Nobody may look at a moment when all that know more are down.
-        self.seen_index = 0
-        self.seen_members = self.world.hosts[0].disk.founders
+        # The latest committed members observed so far: those processes that
+        # have committed more may be down at the next observation.
+        self.observed_index = 0
+        self.observed_members = self.world.hosts[0].disk.founders
         self.committed_before = 0
-        self.fresh = iter(range(1, 1 << 30))
-        # Identities that the operator wants out, and machines wanted in.
+        self.numbers = iter(range(1, 1 << 30))
+        # Member ids to be removed, and hosts to be added, by the operator.
         self.leaving: set[str] = set()
         self.joining: dict[str, Host] = {}
 
     def run(self) -> World:
-        """Run with faults, then without, and see that the group recovers."""
+        """Run with faults, then without, and check that the group recovers."""
         world = self.world
-        self._repeat(self.plan.client_every_s, self._client)
-        self._repeat(0.15, self._operator)
-        self._repeat(self.plan.fault_every_s, self._fault)
+        self._repeat(self.plan.client_every_s, self._run_client)
+        self._repeat(0.15, self._run_operator)
+        self._repeat(self.plan.fault_every_s, self._inject_fault)
         world.run_until(self.plan.duration_s)
         self._heal_all()
         self.committed_before = max(world.checker.committed, default=0)
         world.run_until(self.plan.duration_s + HEAL_S)
         for _ in range(DRAIN_S):
             world.run_until(world.now + 1)
-            missing = self._unrecovered()
+            missing = self._describe_missing()
             if not missing:
                 return world
-        raise Violation(f'after recovery {missing}')
+        raise Violation(f'no recovery after the faults ended: {missing}')
 
     def _repeat(self, every_s: float, call: Callable[[], None]) -> None:
         def again() -> None:
             call()
-            self.world.at(self.rng.uniform(0, 2 * every_s), again)
+            self.world.call_later(self.rng.uniform(0, 2 * every_s), again)
 
-        self.world.at(every_s, again)
+        self.world.call_later(every_s, again)
 
-    def _client(self) -> None:
+    def _run_client(self) -> None:
         if self.world.now > self.plan.duration_s + HEAL_S:
             return
         leaders = self.world.leaders()
@@ -128,7 +137,7 @@
         for reader in leaders:
             self.world.read(reader)
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         if self.world.now < self.plan.duration_s:
             getattr(self, f'_{self.rng.choice(self.plan.faults)}')()
 
@@ -142,25 +151,25 @@
         if leaders:
             self._cut_off({self.rng.choice(leaders).name})
 
-    def _deafen(self) -> None:
-        """Cut one member off the leaders only; the others still hear them."""
-        deaf = self.rng.choice(self.world.hosts).name
+    def _cut_from_leaders(self) -> None:
+        """Cut one member off from the leaders only."""
+        isolated = self.rng.choice(self.world.hosts).name
         leading = {host.name for host in self.world.leaders()}
-        self.world.cut = lambda source, target: (
-            (target == deaf and source in leading)
-            or (source == deaf and target in leading)
+        self.world.is_cut = lambda source, target: (
+            (target == isolated and source in leading)
+            or (source == isolated and target in leading)
         )
 
     def _cut_off(self, side: set[str]) -> None:
         one_way = self.rng.choice((True, False, False, False))
-        self.world.cut = lambda source, target: (
+        self.world.is_cut = lambda source, target: (
             (source in side) > (target in side)
             if one_way
             else (source in side) != (target in side)
         )
 
     def _heal(self) -> None:
-        self.world.cut = lambda source, target: False
+        self.world.is_cut = lambda source, target: False
 
     def _crash(self) -> None:
         self._crash_one(self.world.hosts)
@@ -173,7 +182,7 @@
             self._crash_one([host])
 
     def _crash_others(self) -> None:
-        """Leave a leader alone that may hold its lease."""
+        """Crash all members but a leader, which may hold its lease."""
         for host in tuple(self.world.hosts):
             if host not in self.world.leaders():
                 self._crash_one([host])
@@ -183,7 +192,7 @@
             host = self.rng.choice(hosts)
             self.world.crash(host)
             down = self.rng.uniform(0, self.plan.down_s)
-            self.world.at(down, lambda: self._start(host))
+            self.world.call_later(down, lambda: self._start(host))
 
     def _start(self, host: Host) -> None:
         if host.core is None:
@@ -194,13 +203,13 @@
         host.paused_until = self.world.now + self.rng.uniform(0, 2)
 
     def _stall_disk(self) -> None:
-        """Let no write of one machine end for a while."""
+        """Let no write of one host complete for up to 3 s."""
         host = self.rng.choice(self.world.leaders() or self.world.hosts)
         stalled_until = self.world.now + self.rng.uniform(0, 3)
-        host.synced_at = max(host.synced_at, stalled_until)
+        host.sync_done_at = max(host.sync_done_at, stalled_until)
 
     def _wipe(self) -> None:
-        """Lose a disk, if no other one is waiting for its repair."""
+        """Wipe a disk, unless a change of the members is pending."""
         host = self.rng.choice(self.world.hosts)
         repairing = self.leaving or self.joining
         if repairing or len(self._members().voters) < 3:
@@ -209,15 +218,15 @@
         if self.plan.keep_identity:
             host.disk = Disk(host.disk.founders)
         else:
-            self._renew(host)
+            self._assign_new_identity(host)
         self._start(host)
 
-    def _renew(self, host: Host) -> None:
+    def _assign_new_identity(self, host: Host) -> None:
         old = host.member
         if find_member(self._members(), old.member_id):
             self.leaving.add(old.member_id)
             self.joining[host.name] = host
-        number = next(self.fresh)
+        number = next(self.numbers)
         host.member = Member(f'{host.name}-{number}', host.name, '')
         host.disk = Disk(Members())
 
@@ -229,7 +238,7 @@
             self.world.feed(host, evt.HandOver())
 
     def _grow(self) -> None:
-        idle = self.plan.eager or not self.joining
+        idle = self.plan.concurrent_changes or not self.joining
         if len(self.world.hosts) < 7 and idle:
             name = f'h{len(self.world.hosts)}'
             member = Member(f'{name}-0', name, '')
@@ -237,32 +246,34 @@
 
     def _shrink(self) -> None:
         voters = voter_ids(self._members())
-        idle = self.plan.eager or not self.leaving
+        idle = self.plan.concurrent_changes or not self.leaving
         if len(voters) - len(self.leaving) > 3 and idle:
             self.leaving.add(self.rng.choice(voters))
 
     def _members(self) -> Members:
-        """Give the members last seen committed by any process."""
+        """Return the latest committed members observed on any process."""
         for host in self.world.hosts:
             if host.core is not None:
                 index = host.core.status().commit_index
-                if index > self.seen_index:
-                    self.seen_index = index
-                    self.seen_members = host.core.members_at(index)
-        return self.seen_members
+                if index > self.observed_index:
+                    self.observed_index = index
+                    self.observed_members = host.core.members_at(index)
+        return self.observed_members
 
-    def _operator(self) -> None:
-        """Bring the members nearer to what is wanted, one change a time."""
+    def _run_operator(self) -> None:
+        """Propose the changes that lead to the required members."""
         for host in self.world.leaders():
-            changes = self._wanted(host.core.status().members)
+            changes = self._required_changes(host.core.status().members)
             self.rng.shuffle(changes)
-            for change in changes if self.plan.eager else changes[:1]:
-                proposal_id = f'm{next(self.fresh)}'
+            for change in (
+                changes if self.plan.concurrent_changes else changes[:1]
+            ):
+                proposal_id = f'm{next(self.numbers)}'
                 event = evt.MembersProposed(proposal_id, change)
                 self.world.feed(host, event)
-        self._note_done(self._members())
+        self._discard_completed(self._members())
 
-    def _wanted(self, members: Members) -> list[evt.MembersChange]:
+    def _required_changes(self, members: Members) -> list[evt.MembersChange]:
         changes: list[evt.MembersChange] = []
         for host in self.joining.values():
             member_id = host.member.member_id
@@ -273,7 +284,7 @@
         changes += [evt.RemoveMember(one) for one in sorted(self.leaving)]
         return changes
 
-    def _note_done(self, members: Members) -> None:
+    def _discard_completed(self, members: Members) -> None:
         voters = voter_ids(members)
         for name, host in tuple(self.joining.items()):
             if host.member.member_id in voters:
@@ -290,8 +301,8 @@
             host.paused_until = 0
             self._start(host)
 
-    def _unrecovered(self) -> str:
-        """Say what a healed group lacks: a leader, commits, agreement."""
+    def _describe_missing(self) -> str:
+        """Return what a healed group lacks; empty once it has recovered."""
         leaders = self.world.leaders()
         if len(leaders) != 1:
             return f'{len(leaders)} leaders'
@@ -307,20 +318,20 @@
         return f'{behind} behind' if behind else ''
 
 
-def search(seeds: range, plans: tuple[Plan, ...]) -> Tally:
-    """Run a schedule for each seed, the plans taking turns.
+def search(seeds: range, plans: tuple[Plan, ...]) -> SearchStats:
+    """Run a schedule for each seed, with the plans in turn.
 
-    The error names the first bad seed.
+    The error names the first seed that fails.
     """
-    tally = Tally()
+    stats = SearchStats()
     for seed in seeds:
         try:
             world = Schedule(seed, plans[seed % len(plans)]).run()
         except Exception as exc:
             raise Violation(f'seed {seed}: {exc!r}') from exc
-        tally.schedules += 1
-        tally.steps += world.steps
-        tally.committed += len(world.checker.committed)
-        tally.reads += world.checker.reads_checked
-        tally.terms += len(world.checker.leaders)
-    return tally
+        stats.schedules += 1
+        stats.steps += world.steps
+        stats.committed += len(world.checker.committed)
+        stats.reads += world.checker.reads_checked
+        stats.terms += len(world.checker.leaders)
+    return stats
--- a/tests/consensus/test_core.py
+++ b/tests/consensus/test_core.py
@@ -1,4 +1,4 @@
-"""Directed tests of single rules of the core."""
+"""Tests of single rules of the Raft core."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from snipebend.consensus import actions as act
 from snipebend.consensus import events as evt
 from snipebend.consensus import messages as msg
-from snipebend.consensus.config import CoreConfig, Restored
+from snipebend.consensus.config import CoreConfig, RestoredState
 from snipebend.consensus.core import Core
-from snipebend.consensus.node import HASTY_FOR
+from snipebend.consensus.node import FAST_ELECTION_TIMEOUTS
 from snipebend.consensus.records import (
     EntryKind,
     HardState,
@@ -20,7 +20,7 @@
     Members,
     SnapshotMeta,
 )
-from snipebend.consensus.restoring import usable_entries
+from snipebend.consensus.restored_log import usable_entries
 from tests.consensus.world import Host, World
 
 CFG = CoreConfig(heartbeat_s=0.1, election_timeout_s=1, snapshot_retry_s=1)
@@ -34,10 +34,10 @@
 
 
 def _core(
-    *entries: LogEntry, term: int = 1, began_at: float | None = None
+    *entries: LogEntry, term: int = 1, process_started_at: float | None = None
 ) -> Core:
-    restored = Restored(HardState(term), None, entries, FOUNDERS)
-    core = Core(CFG, 'a', restored, 0, RNG, began_at)
+    restored = RestoredState(HardState(term), None, entries, FOUNDERS)
+    core = Core(CFG, 'a', restored, 0, RNG, process_started_at)
     core.step(evt.Tick(), 0, RNG)
     return core
 
@@ -61,89 +61,93 @@
 
 
 class RestartTest(unittest.TestCase):
-    """All members restarted: nobody leads, and nobody needs to wait."""
+    """After a restart of all voters an election need not wait for a lease."""
 
-    def _ask(self, core: Core) -> None:
-        """Let the member ask the others, some time after its start."""
+    def _assert_restart_probe(self, core: Core) -> None:
+        """Check that the member asks whether the other voters restarted."""
         asked = _sent(core.step(evt.Tick(), 0.25, RNG))
         self.assertEqual(asked, 2 * [msg.PreVoteRequest(2, 1, 1, True)])
 
-    def _stands(self, actions: list[act.Action]) -> bool:
+    def _starts_election(self, actions: list[act.Action]) -> bool:
         return any(isinstance(one, act.Persist) for one in actions)
 
-    def test_it_stands_once_every_voter_has_said_so(self) -> None:
+    def test_election_starts_once_every_voter_reported_a_restart(self) -> None:
         core = _core(_entry(1, 1))
-        self._ask(core)
+        self._assert_restart_probe(core)
         agreed = msg.PreVoteReply(2, granted=True, restarted=True)
-        self.assertFalse(self._stands(_feed(core, agreed, 0.26)))
-        self.assertTrue(self._stands(_feed(core, agreed, 0.26, source='c')))
+        self.assertFalse(self._starts_election(_feed(core, agreed, 0.26)))
+        self.assertTrue(
+            self._starts_election(_feed(core, agreed, 0.26, source='c'))
+        )
 
-    def test_a_voter_that_did_not_restart_may_know_a_leader(self) -> None:
+    def test_no_early_election_if_a_voter_did_not_restart(self) -> None:
         core = _core(_entry(1, 1))
-        self._ask(core)
+        self._assert_restart_probe(core)
         agreed = msg.PreVoteReply(2, granted=True, restarted=True)
         _feed(core, msg.PreVoteReply(1, granted=False), 0.26)
-        self.assertFalse(self._stands(_feed(core, agreed, 0.26, source='c')))
-        # From then on it waits like any other.
+        self.assertFalse(
+            self._starts_election(_feed(core, agreed, 0.26, source='c'))
+        )
+        # From here on it uses the usual election timeout.
         self.assertEqual(_sent(core.step(evt.Tick(), 0.9, RNG)), [])
 
-    def test_who_heard_from_a_leader_gives_no_early_vote(self) -> None:
+    def test_no_early_vote_after_contact_with_a_leader(self) -> None:
         core = _core(_entry(1, 1))
         request = msg.VoteRequest(3, 1, 1, restarted=True)
         heartbeat = msg.AppendRequest(2, 1, 1, 0, 1)
         _feed(core, heartbeat, 0.1, source='c')
         self.assertEqual(_feed(core, request, 0.2), [])
         early = _core(_entry(1, 1))
-        self.assertTrue(self._stands(_feed(early, request, 0.2)))
+        self.assertTrue(self._starts_election(_feed(early, request, 0.2)))
 
-    def test_an_early_answer_counts_for_no_later_question(self) -> None:
+    def test_reply_to_a_restart_probe_does_not_count_later(self) -> None:
         core = _core(_entry(1, 1))
-        self._ask(core)
+        self._assert_restart_probe(core)
         core.step(evt.Tick(), 3.5, RNG)
         late = msg.PreVoteReply(2, granted=True, restarted=True)
-        self.assertFalse(self._stands(_feed(core, late, 3.6)))
+        self.assertFalse(self._starts_election(_feed(core, late, 3.6)))
         usual = msg.PreVoteReply(2, granted=True)
-        self.assertTrue(self._stands(_feed(core, usual, 3.6)))
+        self.assertTrue(self._starts_election(_feed(core, usual, 3.6)))
 
 
-class BegunEarlierTest(unittest.TestCase):
-    """What its last process promised ran out while this one was loading."""
+class EarlierProcessStartTest(unittest.TestCase):
+    """The lease granted by the previous process expired during startup."""
 
-    def test_a_majority_elects_without_the_others(self) -> None:
-        """Two of five members lost their disks: nobody speaks for them."""
-        core = _core(_entry(1, 1), began_at=-CFG.election_timeout_s)
+    def test_a_majority_suffices_for_an_election(self) -> None:
+        """Two of five members lost their disks and cannot report a restart."""
+        core = _core(_entry(1, 1), process_started_at=-CFG.election_timeout_s)
         asked = _sent(core.step(evt.Tick(), 0.25, RNG))
         self.assertEqual(asked, 2 * [msg.PreVoteRequest(2, 1, 1)])
         agreed = msg.PreVoteReply(2, granted=True)
         stood = _feed(core, agreed, 0.26)
         self.assertTrue(any(isinstance(one, act.Persist) for one in stood))
 
-    def test_it_gives_its_vote_at_once(self) -> None:
+    def test_vote_is_granted_immediately(self) -> None:
         request = msg.PreVoteRequest(2, 1, 1)
         granted = msg.PreVoteReply(2, granted=True)
-        early = _core(_entry(1, 1), began_at=-CFG.election_timeout_s)
+        early = _core(_entry(1, 1), process_started_at=-CFG.election_timeout_s)
         self.assertEqual(_sent(_feed(early, request, 0.01)), [granted])
         fresh = _core(_entry(1, 1))
         refused = msg.PreVoteReply(1, granted=False)
         self.assertEqual(_sent(_feed(fresh, request, 0.01)), [refused])
 
-    def test_one_that_stays_alone_asks_no_more_than_others(self) -> None:
-        core = _core(_entry(1, 1), began_at=-CFG.election_timeout_s)
+    def test_partitioned_member_returns_to_the_usual_timeout(self) -> None:
+        core = _core(_entry(1, 1), process_started_at=-CFG.election_timeout_s)
         moments = [0.01 * number for number in range(1000)]
         asked = [
             moment
             for moment in moments
             if _sent(core.step(evt.Tick(), moment, RNG))
         ]
-        usual = [at for at in asked if at > HASTY_FOR]
+        usual = [at for at in asked if at > FAST_ELECTION_TIMEOUTS]
         self.assertLessEqual(len(usual), 8)
 
 
 class FollowerTest(unittest.TestCase):
-    """What one member answers, message by message."""
+    """The replies of a single member."""
 
     def test_a_vote_waits_for_its_write(self) -> None:
-        """The answer goes out only when term and vote are synced."""
+        """The reply is sent only after term and vote are synced."""
         core = _core()
         asked = _feed(core, msg.VoteRequest(2, 0, 0), 5)
         self.assertEqual(_sent(asked), [])
@@ -154,10 +158,10 @@
         other = _feed(core, msg.VoteRequest(2, 9, 1), 5, source='c')
         self.assertEqual(_sent(other), [msg.VoteReply(2, granted=False)])
 
-    def test_candidates_are_ignored_while_a_leader_may_count_on_it(
+    def test_candidates_are_ignored_while_a_lease_may_be_held(
         self,
     ) -> None:
-        """After a restart and after each heartbeat, unless it hands over."""
+        """After a restart and after a heartbeat, except in a hand-over."""
         core = _core()
         request = msg.VoteRequest(2, 5, 1)
         self.assertEqual(_feed(core, request, 0.9, 'c'), [])
@@ -168,8 +172,8 @@
         handed = msg.VoteRequest(2, 5, 1, hand_over=True)
         self.assertEqual(len(_feed(core, handed, 2.9, 'c')), 2)
 
-    def test_a_conflict_is_found_by_terms(self) -> None:
-        """The hint passes over all entries of the conflicting term."""
+    def test_conflict_hint_skips_a_whole_term(self) -> None:
+        """The hint skips all entries of the conflicting term."""
         entries = [_entry(1, 1), *(_entry(at, 3) for at in range(2, 40))]
         core = _core(*entries, term=3)
         request = msg.AppendRequest(4, 39, 2, 0, 1)
@@ -179,13 +183,13 @@
         self.assertEqual((reply.hint_index, reply.hint_term), (1, 1))
 
     def test_messages_for_another_identity_are_dropped(self) -> None:
-        """A new identity doesn't answer for the old one at its address."""
+        """A new identity must not reply for the old one at its address."""
         core = _core()
         old = msg.Envelope('b', 'a-before', msg.VoteRequest(9, 9, 9))
         self.assertEqual(core.step(evt.Received(old), 5, RNG), [])
 
-    def test_a_snapshot_comes_after_the_writes_of_its_step(self) -> None:
-        """Entries of the old log never follow a snapshot on disk."""
+    def test_snapshot_is_installed_after_the_writes_of_its_step(self) -> None:
+        """Otherwise entries of the old log would follow the snapshot."""
         meta = SnapshotMeta(9, 1, FOUNDERS)
         messages = (
             msg.AppendRequest(1, 0, 0, 0, 1, (_entry(1, 1),)),
@@ -200,8 +204,8 @@
         writes = [type(one) for one in actions if isinstance(one, disk)]
         self.assertEqual(writes, list(disk))
 
-    def test_an_older_log_beside_a_newer_snapshot_is_dropped(self) -> None:
-        """Only entries that lead up to the snapshot's last one count."""
+    def test_log_replaced_by_a_snapshot_is_dropped(self) -> None:
+        """Entries are valid only if the log has the snapshot's last one."""
         log = [_entry(at, 1) for at in range(3, 8)]
         for index, term, kept in ((5, 1, 2), (5, 2, 0), (9, 1, 0), (2, 1, 5)):
             meta = SnapshotMeta(index, term, FOUNDERS)
@@ -210,24 +214,24 @@
 
 
 class GroupTest(unittest.TestCase):
-    """What a healthy group of three does."""
+    """A group of three members."""
 
     def setUp(self) -> None:
-        """Let a group elect its leader."""
+        """Wait until the group has elected a leader."""
         self.world = World(3, CFG, 3)
         self.world.run_until(4)
         self.leader = _only(self.world.leaders())
 
-    def others(self) -> list[Host]:
-        """Give the hosts that don't lead."""
+    def followers(self) -> list[Host]:
+        """Return the hosts that are not the leader."""
         return [one for one in self.world.hosts if one is not self.leader]
 
     def run_for(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self.world.run_until(self.world.now + seconds)
 
     def test_hand_over_elects_without_a_timeout(self) -> None:
-        """Another one leads at once, and proposals are refused meanwhile."""
+        """Another member leads at once; proposals are rejected meanwhile."""
         before = self.world.propose(self.leader)
         self.world.feed(self.leader, evt.HandOver())
         refused = self.world.propose(self.leader)
@@ -240,19 +244,19 @@
         )
 
     def test_hand_over_ends_at_its_deadline(self) -> None:
-        """Proposals are taken again when the successor doesn't stand."""
+        """Proposals are accepted again if the successor starts no election."""
         self.world.feed(self.leader, evt.HandOver())
         successor = self.leader.core._node.leadership.successor
-        self.world.cut = lambda source, target: successor.startswith(target)
+        self.world.is_cut = lambda source, target: successor.startswith(target)
         self.run_for(1.5)
         later = self.world.propose(self.leader)
         self.run_for(0.5)
         self.assertIsInstance(self.world.answers[later], act.ProposalCommitted)
 
-    def test_a_cut_off_leader_answers_unknown_then_not_leader(self) -> None:
-        """What it appended may commit yet, what it refused never does."""
-        cut_off = self.leader.name
-        self.world.cut = lambda source, target: cut_off in {source, target}
+    def test_isolated_leader_reports_unknown_then_not_leader(self) -> None:
+        """Appended entries may still commit; rejected proposals never do."""
+        isolated = self.leader.name
+        self.world.is_cut = lambda source, target: isolated in {source, target}
         appended = self.world.propose(self.leader)
         self.run_for(2)
         refused = self.world.propose(self.leader)
@@ -261,9 +265,9 @@
             [act.RejectReason.UNKNOWN, act.RejectReason.NOT_LEADER],
         )
 
-    def test_a_stalled_disk_of_the_leader_holds_nobody_up(self) -> None:
-        """What the others have synced is committed, answered and read."""
-        self.leader.synced_at = self.world.now + 5
+    def test_stalled_disk_of_the_leader_delays_no_commit(self) -> None:
+        """Entries synced by the followers are committed, reported and read."""
+        self.leader.sync_done_at = self.world.now + 5
         proposed = self.world.propose(self.leader)
         self.run_for(0.2)
         self.assertIsInstance(
@@ -274,23 +278,23 @@
         self.assertEqual(self.leader.reads, {})
         self.assertIn(self.leader, self.world.leaders())
 
-    def test_what_was_applied_before_its_sync_outlives_a_crash(self) -> None:
-        """The others hold it; the member reads it from them again."""
-        self.leader.synced_at = self.world.now + 5
+    def test_entries_applied_before_their_sync_survive_a_crash(self) -> None:
+        """The followers have them; the member receives them again."""
+        self.leader.sync_done_at = self.world.now + 5
         proposed = self.world.propose(self.leader)
         self.run_for(0.2)
         applied = self.leader.applied
         self.world.crash(self.leader)
         self.world.start(self.leader)
-        self.leader.synced_at = 0
+        self.leader.sync_done_at = 0
         self.run_for(3)
         self.assertIsInstance(
             self.world.answers[proposed], act.ProposalCommitted
         )
         self.assertGreaterEqual(self.leader.applied, applied)
 
-    def test_strangers_do_not_disturb_the_leader(self) -> None:
-        """Answers of an identity that isn't a member change nothing."""
+    def test_messages_of_non_members_do_not_affect_the_leader(self) -> None:
+        """Replies and vote requests of a non-member change nothing."""
         before = self.leader.core.status()
         target = self.leader.member.member_id
         for message in (
@@ -301,9 +305,9 @@
             self.world.feed(self.leader, evt.Received(envelope))
         self.assertEqual(self.leader.core.status(), before)
 
-    def test_one_that_was_down_catches_up_by_a_snapshot(self) -> None:
-        """The dropped start of the log isn't needed by anybody."""
-        down = self.others()[0]
+    def test_restarted_member_catches_up_by_a_snapshot(self) -> None:
+        """The log entries that it misses were dropped while it was down."""
+        down = self.followers()[0]
         self.world.crash(down)
         for _ in range(30):
             self.world.propose(self.leader)
@@ -314,8 +318,8 @@
         self.assertIsNotNone(down.disk.snapshot)
         self.assertGreaterEqual(down.applied, 31)
 
-    def test_a_learner_is_promoted_only_when_it_has_caught_up(self) -> None:
-        """A silent learner gets no vote, one that has all entries does."""
+    def test_learner_is_promoted_only_after_it_has_caught_up(self) -> None:
+        """An unresponsive learner is not promoted; one with all entries is."""
         fresh = Member('h9-0', 'h9', '')
         self._change('add', evt.AddLearner(fresh))
         self.run_for(0.5)
@@ -331,8 +335,8 @@
         self.assertEqual(again, act.RejectReason.CHANGE_IN_PROGRESS)
         self.assertIsInstance(self.world.answers['late'], act.ProposalCommitted)
 
-    def test_a_removed_leader_leaves_the_lead_to_a_member(self) -> None:
-        """It leads until its removal is committed and not a moment longer."""
+    def test_removed_leader_is_succeeded_by_a_member(self) -> None:
+        """It leads until its removal is committed, then steps down."""
         self._change('out', evt.RemoveMember(self.leader.member.member_id))
         self.run_for(0.5)
         self.assertIsInstance(self.world.answers['out'], act.ProposalCommitted)
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -1,4 +1,4 @@
-"""The seeded search over schedules, and that it finds planted faults."""
+"""Randomized search over fault schedules; it must detect planted faults."""
 
 from __future__ import annotations
 
@@ -15,8 +15,7 @@
     from collections.abc import Callable
     from contextlib import AbstractContextManager
 
-# The plans take turns. SNIPEBEND_SCHEDULES asks for more schedules, from
-# SNIPEBEND_FIRST_SEED on.
+# Number of schedules and the first seed; successive seeds use the next plan.
 SCHEDULES = int(os.environ.get('SNIPEBEND_SCHEDULES', '42'))
 FIRST_SEED = int(os.environ.get('SNIPEBEND_FIRST_SEED', '0'))
 SEEDS_TRIED = 60
@@ -42,7 +41,7 @@
     losses=(0,),
     delays_s=(0.15,),
     syncs_s=(0.02,),
-    gathers_s=(0,),
+    inbox_delays_s=(0,),
     down_s=0.3,
     fault_every_s=0.15,
     faults=('crash_leader',),
@@ -51,10 +50,17 @@
     losses=(0, 0.02),
     delays_s=(0.004, 0.05),
     client_every_s=0.02,
-    faults=('crash', 'snapshot', 'snapshot', 'snapshot', 'deafen', 'heal'),
+    faults=(
+        'crash',
+        'snapshot',
+        'snapshot',
+        'snapshot',
+        'cut_from_leaders',
+        'heal',
+    ),
 )
 CHANGES = PLAN._replace(
-    eager=True,
+    concurrent_changes=True,
     voters=(3,),
     fault_every_s=0.2,
     faults=(
@@ -81,26 +87,28 @@
     ),
     fault_every_s=0.5,
 )
-#: A leader that nobody reaches, and the others restart at that time.
-LEFT_ALONE = LEASES._replace(
+#: A leader is isolated, and the other members restart meanwhile.
+ISOLATED_LEADERS = LEASES._replace(
     faults=('isolate_leader', 'crash_others', 'crash_others', 'heal'),
     fault_every_s=0.2,
     down_s=0.1,
 )
-#: Schedules of stalled disks in each run, beside the others.
+#: Additional schedules with stalled disks.
 STALL_SCHEDULES = max(8, SCHEDULES // 4)
-#: Schedules in which all restart, beside the others.
+#: Additional schedules in which all members restart.
 RESTART_SCHEDULES = max(12, SCHEDULES // 4)
 PLANS = (PLAN, PLAN, PLAN, SNAPSHOTS, LEASES, CRASHES, CHANGES)
 
 
-FORGETFUL = CRASHES._replace(faults=('crash', 'crash_leader'), syncs_s=(0.1,))
+VOTE_CRASHES = CRASHES._replace(
+    faults=('crash', 'crash_leader'), syncs_s=(0.1,)
+)
 
 
-class Planted(NamedTuple):
-    """A fault, a plan that provokes it, and where its seeds start.
+class PlantedFault(NamedTuple):
+    """A fault, a plan that provokes it, and the first seed to try.
 
-    The first seeds are those that once found the fault, to keep runs short.
+    The first seeds are known to detect the fault, to keep runs short.
     """
 
     fault: Callable[[], AbstractContextManager[object]]
@@ -108,24 +116,24 @@
     first_seed: int = 0
 
 
-PLANTED = (
-    Planted(faults.no_fsync_wait, PLAN, 2),
-    Planted(faults.no_fsync_wait, STALLS),
-    Planted(faults.vote_forgotten, FORGETFUL),
-    Planted(faults.earlier_term_counted, CRASHES, 1),
-    Planted(faults.lease_without_drift, LEASES, 17),
-    Planted(faults.stale_reads, LEASES, 1),
-    Planted(faults.lease_kept_at_hand_over, HAND_OVERS, 17),
-    Planted(faults.previous_entry_unchecked, PLAN),
-    Planted(faults.agreeing_entries_dropped, PLAN, 1),
-    Planted(faults.two_changes_at_once, CHANGES, 9),
-    Planted(faults.others_leases_forgotten, LEFT_ALONE),
-    Planted(faults.begun_too_early, LEFT_ALONE),
+PLANTED_FAULTS = (
+    PlantedFault(faults.no_fsync_wait, PLAN, 2),
+    PlantedFault(faults.no_fsync_wait, STALLS),
+    PlantedFault(faults.vote_not_persisted, VOTE_CRASHES),
+    PlantedFault(faults.earlier_term_committed_by_count, CRASHES, 1),
+    PlantedFault(faults.lease_without_drift, LEASES, 17),
+    PlantedFault(faults.reads_without_lease, LEASES, 1),
+    PlantedFault(faults.lease_kept_at_hand_over, HAND_OVERS, 17),
+    PlantedFault(faults.previous_entry_unchecked, PLAN),
+    PlantedFault(faults.matching_entries_truncated, PLAN, 1),
+    PlantedFault(faults.overlapping_member_changes, CHANGES, 9),
+    PlantedFault(faults.majority_of_restarts_suffices, ISOLATED_LEADERS),
+    PlantedFault(faults.process_start_too_early, ISOLATED_LEADERS),
 )
 
 
-def first_caught(plan: Plan, seeds: range) -> int | None:
-    """Give the first seed whose schedule breaks a promise."""
+def find_first_violation(plan: Plan, seeds: range) -> int | None:
+    """Return the first seed whose schedule violates a safety property."""
     for seed in seeds:
         try:
             Schedule(seed, plan).run()
@@ -135,45 +143,45 @@
 
 
 class SearchTest(unittest.TestCase):
-    """Random schedules of faults; the checker sees every step."""
+    """Random schedules of faults; the checker verifies every step."""
 
-    def test_no_schedule_breaks_a_promise(self) -> None:
-        """All promises hold, and each group recovers once it is healed."""
+    def test_no_schedule_violates_safety(self) -> None:
+        """No property is violated, and each group recovers after the faults."""
         seeds = range(FIRST_SEED, FIRST_SEED + SCHEDULES)
-        tally = search(seeds, PLANS)
-        sys.stdout.write(f'{tally}\n')
-        self.assertGreater(tally.committed, 100 * SCHEDULES)
-        self.assertGreater(tally.terms, SCHEDULES)
-        self.assertGreater(tally.reads, SCHEDULES)
-
-    def test_stalled_disks_break_no_promise(self) -> None:
-        """Applied before it is synced here, nothing is lost or changed."""
+        stats = search(seeds, PLANS)
+        sys.stdout.write(f'{stats}\n')
+        self.assertGreater(stats.committed, 100 * SCHEDULES)
+        self.assertGreater(stats.terms, SCHEDULES)
+        self.assertGreater(stats.reads, SCHEDULES)
+
+    def test_stalled_disks_violate_no_safety(self) -> None:
+        """Entries applied before the local sync are not lost or changed."""
         seeds = range(FIRST_SEED, FIRST_SEED + STALL_SCHEDULES)
-        tally = search(seeds, (STALLS,))
-        sys.stdout.write(f'{tally}\n')
-        self.assertGreater(tally.committed, 100 * STALL_SCHEDULES)
+        stats = search(seeds, (STALLS,))
+        sys.stdout.write(f'{stats}\n')
+        self.assertGreater(stats.committed, 100 * STALL_SCHEDULES)
 
-    def test_restarts_of_all_break_no_promise(self) -> None:
-        """A leader elected at once holds all that was accepted before."""
+    def test_restarts_of_all_members_violate_no_safety(self) -> None:
+        """A leader elected without waiting has all committed entries."""
         seeds = range(FIRST_SEED, FIRST_SEED + RESTART_SCHEDULES)
-        tally = search(seeds, (RESTARTS, LEFT_ALONE))
-        sys.stdout.write(f'{tally}\n')
-        self.assertGreater(tally.committed, 20 * RESTART_SCHEDULES)
-
-    def test_planted_faults_are_found(self) -> None:
-        """Each planted fault is caught; the same schedule is fine without."""
-        for planted in PLANTED:
-            with self.subTest(fault=planted.fault.__name__):
-                start = planted.first_seed
-                with planted.fault():
+        stats = search(seeds, (RESTARTS, ISOLATED_LEADERS))
+        sys.stdout.write(f'{stats}\n')
+        self.assertGreater(stats.committed, 20 * RESTART_SCHEDULES)
+
+    def test_planted_faults_are_detected(self) -> None:
+        """Each planted fault is detected; without it the schedule passes."""
+        for planted_fault in PLANTED_FAULTS:
+            with self.subTest(fault=planted_fault.fault.__name__):
+                start = planted_fault.first_seed
+                with planted_fault.fault():
                     seeds = range(start, start + SEEDS_TRIED)
-                    seed = first_caught(planted.plan, seeds)
+                    seed = find_first_violation(planted_fault.plan, seeds)
                 self.assertIsNotNone(seed, 'not caught')
-                Schedule(seed, planted.plan).run()
+                Schedule(seed, planted_fault.plan).run()
 
-    def test_an_old_identity_on_a_wiped_disk_is_found(self) -> None:
-        """A disk that forgot its promises under its name breaks them."""
-        forgetful = PLAN._replace(keep_identity=True)
-        seed = first_caught(forgetful, range(SEEDS_TRIED))
+    def test_reused_identity_after_a_wiped_disk_is_detected(self) -> None:
+        """A wiped disk under its old identity loses its votes and entries."""
+        reused_identity = PLAN._replace(keep_identity=True)
+        seed = find_first_violation(reused_identity, range(SEEDS_TRIED))
         self.assertIsNotNone(seed, 'not caught')
         Schedule(seed, PLAN).run()
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder under torn writes, damage and a full disk."""
+"""The data folder with torn writes, damaged files and a full disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     SnapshotMeta,
 )
 from snipebend.consensus.snapshot_file import Snapshot
-from snipebend.consensus.storage import Opened, Storage
+from snipebend.consensus.storage import StoredState, Storage
 from snipebend.errors.hierarchy import CorruptionError
 
 
@@ -30,9 +30,11 @@
     return LogEntry(index, term, EntryKind.COMMAND, b'x' * size)
 
 
-def write(*entries: LogEntry, cut: int | None = None, term: int = 0) -> Persist:
+def write(
+    *entries: LogEntry, truncate_from: int | None = None, term: int = 0
+) -> Persist:
     hard_state = HardState(term, 'me') if term else None
-    return Persist(1, hard_state, cut, entries)
+    return Persist(1, hard_state, truncate_from, entries)
 
 
 def snapshot(index: int, term: int = 1) -> Snapshot:
@@ -40,7 +42,7 @@
 
 
 class StorageTest(unittest.TestCase):
-    """Synced writes survive; damage is refused with file and offset."""
+    """Synced writes survive; damage is reported with file and offset."""
 
     def setUp(self) -> None:
         name = tempfile.TemporaryDirectory()
@@ -53,7 +55,7 @@
         for path in self.folder.iterdir():
             path.unlink()
 
-    def reopen(self) -> Opened:
+    def reopen(self) -> StoredState:
         self.storage = Storage(self.folder)
         return self.storage.open('another')
 
@@ -63,7 +65,7 @@
     def test_writes_survive(self) -> None:
         self.storage.persist([write(entry(1), entry(2), term=3)])
         self.storage.persist(
-            [write(entry(3)), write(entry(2, 4), cut=2, term=4)],
+            [write(entry(3)), write(entry(2, 4), truncate_from=2, term=4)],
         )
         opened = self.reopen()
         self.assertEqual(opened.member_id, 'me')
@@ -71,23 +73,23 @@
         terms = [(each.index, each.term) for each in opened.restored.entries]
         self.assertEqual(terms, [(1, 1), (2, 4)])
 
-    def test_torn_tail_is_cut_at_every_length(self) -> None:
+    def test_torn_last_frame_is_truncated_at_every_length(self) -> None:
         self.storage.persist([write(entry(1))])
         path = self.folder / 'log-00000001.seg'
-        whole = path.read_bytes()
+        intact = path.read_bytes()
         self.storage.persist([write(entry(2))])
         torn = path.read_bytes()
-        cuts = range(len(whole), len(torn))
+        cuts = range(len(intact), len(torn))
         for size in cuts:
             path.write_bytes(torn[:size])
             self.assertEqual(self.indexes(), [1])
-            self.assertEqual(path.read_bytes(), whole)
+            self.assertEqual(path.read_bytes(), intact)
         self.storage.persist([write(entry(2))])
         self.assertEqual(self.indexes(), [1, 2])
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @given(st.data())
-    def test_any_flipped_byte_before_the_tail_is_refused(
+    def test_any_changed_byte_before_the_last_frame_is_detected(
         self, data: st.DataObject
     ) -> None:
         self.wipe()
@@ -104,7 +106,7 @@
         with self.assertRaisesRegex(CorruptionError, 'offset'):
             self.reopen()
 
-    def test_segments_go_once_a_snapshot_covers_them(self) -> None:
+    def test_segments_covered_by_a_snapshot_are_deleted(self) -> None:
         with mock.patch.object(log_file, 'SEGMENT_BYTES', 200):
             for index in range(1, 31):
                 self.storage.persist([write(entry(index), term=index)])
@@ -120,7 +122,7 @@
         with self.assertRaisesRegex(CorruptionError, 'no snapshot'):
             self.reopen()
 
-    def test_install_interrupted_between_its_steps(self) -> None:
+    def test_crash_during_install_drops_the_replaced_log(self) -> None:
         self.storage.persist([write(*map(entry, range(1, 9)), term=1)])
         with (
             mock.patch.object(
@@ -128,38 +130,38 @@
             ),
             self.assertRaises(OSError),
         ):
-            self.storage.install(snapshot(5, term=2))
+            self.storage.install_snapshot(snapshot(5, term=2))
         self.assertEqual(self.indexes(), [])
         self.storage.persist([write(entry(6, 2))])
         self.assertEqual(self.indexes(), [6])
 
     def test_install_restarts_the_log(self) -> None:
         self.storage.persist([write(entry(1), entry(2), term=7)])
-        self.storage.install(snapshot(40, term=7))
+        self.storage.install_snapshot(snapshot(40, term=7))
         self.storage.persist([write(entry(41, 7))])
         opened = self.reopen()
         self.assertEqual(opened.restored.hard_state.term, 7)
         self.assertEqual(opened.restored.entries, (entry(41, 7),))
 
-    def test_full_disk_leaves_no_trace(self) -> None:
+    def test_failed_write_leaves_the_file_unchanged(self) -> None:
         self.storage.persist([write(entry(1))])
         path = self.folder / 'log-00000001.seg'
         before = path.read_bytes()
         real_write = os.write
 
-        def fill_up(descriptor: int, frame: memoryview) -> int:
+        def write_partially(descriptor: int, frame: memoryview) -> int:
             if len(frame) < 40:
                 raise OSError(errno.ENOSPC, 'full')
             return real_write(descriptor, frame[:-30])
 
-        with mock.patch.object(os, 'write', fill_up):
+        with mock.patch.object(os, 'write', write_partially):
             with self.assertRaises(OSError):
                 self.storage.persist([write(entry(2))])
         self.assertEqual(path.read_bytes(), before)
         self.storage.persist([write(entry(2))])
         self.assertEqual(self.indexes(), [1, 2])
 
-    def test_identity_comes_with_the_folder(self) -> None:
+    def test_identity_is_kept_in_the_folder(self) -> None:
         self.assertEqual(self.reopen().member_id, 'me')
         (self.folder / 'identity').unlink()
         with self.assertRaisesRegex(CorruptionError, 'no identity'):
--- a/tests/consensus/world.py
+++ b/tests/consensus/world.py
@@ -1,4 +1,4 @@
-"""A group of cores on virtual time, with disks and a network that fail."""
+"""Simulation of a Raft group on virtual time, with disk and network faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from snipebend.consensus import actions as act
 from snipebend.consensus import events as evt
-from snipebend.consensus.config import CoreConfig, Restored
+from snipebend.consensus.config import CoreConfig, RestoredState
 from snipebend.consensus.core import Core
 from snipebend.consensus.messages import Envelope
 from snipebend.consensus.records import (
@@ -28,13 +28,17 @@
 
 _decoder = msgspec.msgpack.Decoder(Envelope)
 TICK_S = 0.05
+
+#: Log entries kept before the index of a snapshot.
 KEPT_ENTRIES = 5
+
+#: Steps after which a simulation is considered an endless loop.
 MAX_STEPS = 100_000
 
 
 @dataclass
 class Disk:
-    """What is synced, and the writes that a crash may lose."""
+    """The synced data of a host, and the writes that a crash may lose."""
 
     founders: Members
     hard_state: HardState = HardState()
@@ -47,13 +51,13 @@
 
     @property
     def is_installing(self) -> bool:
-        """Tell whether a snapshot is about to replace the state."""
+        """Return whether a snapshot installation is not yet synced."""
         return any(
             isinstance(one, act.InstallSnapshot) for one in self.unsynced
         )
 
     def sync(self, count: int) -> list[act.Persist | act.InstallSnapshot]:
-        """Make the oldest writes last."""
+        """Sync the oldest ``count`` writes and return them."""
         done = self.unsynced[:count]
         self.unsynced = self.unsynced[count:]
         for action in done:
@@ -79,50 +83,51 @@
             assert follows, 'a gap in the log on disk'
         self.entries += action.entries
 
-    def restored(self) -> Restored:
-        """Give what a start finds."""
-        return Restored(
+    def restored(self) -> RestoredState:
+        """Return the state that a restarted process reads."""
+        return RestoredState(
             self.hard_state, self.snapshot, tuple(self.entries), self.founders
         )
 
 
 @dataclass
 class Host:
-    """A machine: its clock, its disk and the process that may run on it."""
+    """A host with its clock, its disk and the process running on it, if any."""
 
     name: str
-    rate: float
-    offset: float
+    clock_rate: float
+    clock_offset: float
     member: Member
     disk: Disk
     core: Core | None = None
-    run: int = 0
+    incarnation: int = 0
     applied: int = 0
     paused_until: float = 0
-    #: When its last process ended.
+    #: When its previous process ended.
     crashed_at: float = 0
-    synced_at: float = 0
+    sync_done_at: float = 0
     reads: dict[str, int] = field(default_factory=dict)
     inbox: list[evt.Event] = field(default_factory=list)
 
-    def clock(self, now: float) -> float:
-        """Give the local time."""
-        return self.offset + now * self.rate
+    def local_time(self, now: float) -> float:
+        """Return the local clock time at a virtual time."""
+        return self.clock_offset + now * self.clock_rate
 
 
 class World:
-    """Hosts, network and virtual time; every step goes to the checker."""
+    """Hosts, network and virtual time; the checker verifies every step."""
 
-    #: Planted: by how many election timeouts processes take themselves for
-    #: older than their predecessors' end.
-    begun_early = 0.0
+    #: Planted fault: number of election timeouts by which processes assume to
+    #: have started too early.
+    start_error_timeouts = 0.0
 
     def __init__(self, seed: int, cfg: CoreConfig, voters: int) -> None:
-        """Found a group of ``voters`` members."""
+        """Create a group of ``voters`` founding members."""
         self.rng = random.Random(seed)
         self.cfg = cfg
-        #: When processes began, between the end of the last one and their work.
-        self._births = random.Random(seed)
+        #: For the start times of processes: between the end of the previous
+        #: process and the first step of the new one.
+        self._start_time_rng = random.Random(seed)
         self.checker = Checker()
         self.now = 0.0
         self.steps = 0
@@ -130,10 +135,10 @@
         self.bytes_sent = 0
         self.loss = 0.0
         self.duplication = 0.0
-        self.gather_s = 0.0
+        self.inbox_delay_s = 0.0
         self.delay = (0.001, 0.005)
         self.sync_delay = (0.001, 0.01)
-        self.cut: Callable[[str, str], bool] = lambda source, target: False
+        self.is_cut: Callable[[str, str], bool] = lambda source, target: False
         self.answers: dict[str, act.ProposalCommitted | act.RejectReason] = {}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = iter(range(1 << 60))
@@ -144,48 +149,54 @@
             self.add_host(member, Members(tuple(members)))
 
     def add_host(self, member: Member, founders: Members) -> Host:
-        """Start a machine, with a clock as far off as the bound allows."""
+        """Add a host, whose clock rate is off by up to the allowed drift."""
         drift = self.cfg.clock_drift
-        rate = 1 + drift * self.rng.choice([-1, 1, self.rng.uniform(-1, 1)])
-        offset = self.rng.uniform(0, 100)
-        host = Host(member.name, rate, offset, member, Disk(founders))
+        clock_rate = 1 + drift * self.rng.choice(
+            [-1, 1, self.rng.uniform(-1, 1)]
+        )
+        clock_offset = self.rng.uniform(0, 100)
+        host = Host(
+            member.name, clock_rate, clock_offset, member, Disk(founders)
+        )
         self.hosts.append(host)
         self.start(host)
         return host
 
     def start(self, host: Host) -> None:
-        """Start the process from the disk."""
-        host.run += 1
+        """Start a process from the state on disk."""
+        host.incarnation += 1
         restored = host.disk.restored()
         host.applied = restored.snapshot.index if restored.snapshot else 0
         host.reads = {}
-        began_at = self._births.uniform(host.crashed_at, self.now)
-        early_s = self.begun_early * self.cfg.election_timeout_s
+        process_started_at = self._start_time_rng.uniform(
+            host.crashed_at, self.now
+        )
+        early_s = self.start_error_timeouts * self.cfg.election_timeout_s
         host.core = Core(
             self.cfg,
             host.member.member_id,
             restored,
-            host.clock(self.now),
+            host.local_time(self.now),
             self.rng,
-            host.clock(began_at - early_s),
+            host.local_time(process_started_at - early_s),
         )
-        self._tick(host, host.run)
+        self._tick(host, host.incarnation)
 
     def crash(self, host: Host) -> None:
-        """Kill the process; of its unsynced writes the first few may last."""
+        """Kill the process; a random number of its first writes get synced."""
         if host.core is not None:
             host.core = None
             host.crashed_at = self.now
             host.disk.sync(self.rng.randint(0, len(host.disk.unsynced)))
             host.disk.unsynced = []
 
-    def at(self, delay: float, call: Callable[[], None]) -> None:
-        """Call later."""
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
+        """Schedule a call after a delay in seconds."""
         when = self.now + delay
         heapq.heappush(self._queue, (when, next(self._numbers), call))
 
     def run_until(self, deadline: float) -> None:
-        """Let everything happen that is due by then."""
+        """Execute all calls that are due until the deadline."""
         while self._queue and self._queue[0][0] <= deadline:
             due = heapq.heappop(self._queue)
             self.now = due[0]
@@ -193,33 +204,33 @@
         self.now = deadline
 
     def feed(self, host: Host, *events: evt.Event) -> None:
-        """Give events to a process, when it isn't paused."""
+        """Pass events to a process, after its pause if it is paused."""
         if host.core is None:
             return
         if self.now < host.paused_until:
-            self._for_run(host, host.paused_until - self.now, *events)
+            self._feed_later(host, host.paused_until - self.now, *events)
             return
         self.steps += 1
         if self.steps > MAX_STEPS:
-            raise Violation('the group is busy without end')
-        local = host.clock(self.now)
+            raise Violation(f'no end after {MAX_STEPS} steps')
+        local = host.local_time(self.now)
         for action in host.core.step_all(events, local, self.rng):
-            self._carry_out(host, action)
+            self._execute(host, action)
 
     def read(self, host: Host) -> None:
-        """Start a read, which must see what is acknowledged by now."""
+        """Start a read, which must observe what is acknowledged by now."""
         read_id = f'read-{next(self._numbers)}'
         host.reads[read_id] = self.checker.acknowledged
         self.feed(host, evt.ReadRequested(read_id))
 
     def propose(self, host: Host) -> str:
-        """Propose a command that names itself."""
+        """Propose a command whose payload is its proposal id."""
         proposal_id = f'p{next(self._numbers)}'
         self.feed(host, evt.Proposed(proposal_id, proposal_id.encode()))
         return proposal_id
 
     def leaders(self) -> list[Host]:
-        """Give the hosts that take themselves for the leader."""
+        """Return the hosts that consider themselves leader."""
         return [
             host
             for host in self.hosts
@@ -243,21 +254,21 @@
         term, members = core.term_at(first), core.members_at(first)
         self.feed(host, evt.SnapshotTaken(first, term, members))
 
-    def _tick(self, host: Host, run: int) -> None:
-        if host.run == run and host.core is not None:
+    def _tick(self, host: Host, incarnation: int) -> None:
+        if host.incarnation == incarnation and host.core is not None:
             self.feed(host, evt.Tick())
-            self.at(TICK_S, lambda: self._tick(host, run))
+            self.call_later(TICK_S, lambda: self._tick(host, incarnation))
 
-    def _for_run(self, host: Host, delay: float, *events: evt.Event) -> None:
-        run = host.run
+    def _feed_later(self, host: Host, delay: float, *events: evt.Event) -> None:
+        incarnation = host.incarnation
 
         def deliver() -> None:
-            if host.run == run:
+            if host.incarnation == incarnation:
                 self.feed(host, *events)
 
-        self.at(delay, deliver)
+        self.call_later(delay, deliver)
 
-    def _carry_out(self, host: Host, action: act.Action) -> None:
+    def _execute(self, host: Host, action: act.Action) -> None:
         match action:
             case act.Send(envelope):
                 self._send(host, envelope)
@@ -266,7 +277,9 @@
                 self._sync_later(host)
             case act.Commit(entries):
                 term = host.core.status().term
-                assert not host.disk.is_installing, 'applied to a lost state'
+                assert not host.disk.is_installing, (
+                    'applied entries while a snapshot is being installed'
+                )
                 for entry in entries:
                     self.checker.on_commit(host.applied, entry, term)
                     host.applied = entry.index
@@ -278,9 +291,9 @@
                 member_id = host.member.member_id
                 self.checker.on_leader(term, member_id, host.core)
             case _:
-                self._answer(action)
+                self._record_outcome(action)
 
-    def _answer(self, action: act.Action) -> None:
+    def _record_outcome(self, action: act.Action) -> None:
         match action:
             case act.ProposalCommitted(proposal_id, index):
                 self.checker.on_acknowledged(index, proposal_id)
@@ -296,46 +309,49 @@
         copies = 1 + (self.rng.random() < self.duplication)
         for _ in range(copies):
             if self.rng.random() >= self.loss:
-                self._carry(host.name, wire)
+                self._schedule_delivery(host.name, wire)
 
-    def _carry(self, source: str, wire: bytes) -> None:
+    def _schedule_delivery(self, source: str, wire: bytes) -> None:
         delay = self.rng.uniform(*self.delay)
-        self.at(delay, lambda: self._arrive(source, wire))
+        self.call_later(delay, lambda: self._deliver(source, wire))
 
-    def _arrive(self, source: str, wire: bytes) -> None:
+    def _deliver(self, source: str, wire: bytes) -> None:
         envelope = _decoder.decode(wire)
-        # By address: a machine gets what is meant for its old identity, too.
+        # Delivery is by address: a host also receives messages for its
+        # previous identity.
         name = envelope.target.split('-')[0]
         for host in self.hosts:
-            if host.name == name and not self.cut(source, name):
-                self._take_in(host, evt.Received(envelope))
+            if host.name == name and not self.is_cut(source, name):
+                self._enqueue(host, evt.Received(envelope))
 
-    def _take_in(self, host: Host, event: evt.Event) -> None:
-        """Feed several messages at once when they come within a while."""
-        if not self.gather_s:
+    def _enqueue(self, host: Host, event: evt.Event) -> None:
+        """Feed messages that arrive within the inbox delay together."""
+        if not self.inbox_delay_s:
             self.feed(host, event)
             return
         host.inbox.append(event)
         if len(host.inbox) == 1:
-            self.at(self.gather_s, lambda: self._empty_inbox(host))
+            self.call_later(self.inbox_delay_s, lambda: self._flush_inbox(host))
 
-    def _empty_inbox(self, host: Host) -> None:
+    def _flush_inbox(self, host: Host) -> None:
         events = host.inbox
         host.inbox = []
         self.feed(host, *events)
 
     def _sync_later(self, host: Host) -> None:
         wait = self.rng.uniform(*self.sync_delay)
-        host.synced_at = max(host.synced_at, self.now + wait)
-        run = host.run
-        self.at(host.synced_at - self.now, lambda: self._sync(host, run))
+        host.sync_done_at = max(host.sync_done_at, self.now + wait)
+        incarnation = host.incarnation
+        self.call_later(
+            host.sync_done_at - self.now, lambda: self._sync(host, incarnation)
+        )
 
-    def _sync(self, host: Host, run: int) -> None:
-        if host.run != run or host.core is None:
+    def _sync(self, host: Host, incarnation: int) -> None:
+        if host.incarnation != incarnation or host.core is None:
             return
         for action in host.disk.sync(1):
             if isinstance(action, act.InstallSnapshot):
-                assert action.index >= host.applied, 'applied went back'
+                assert action.index >= host.applied, 'applied index decreased'
                 host.applied = action.index
                 self.feed(host, evt.SnapshotInstalled(action.index))
             else:
@@ -351,4 +367,4 @@
                 snapshot.members,
                 host.disk.payload,
             )
-            self._for_run(host, 0.01, loaded)
+            self._feed_later(host, 0.01, loaded)
