--- a/src/snipebend/consensus/dispatch.py
+++ b/src/snipebend/consensus/dispatch.py
@@ -32,6 +32,7 @@
     on_snapshot_taken,
 )
 from snipebend.consensus.handover import expire_hand_over, on_hand_over
+from snipebend.consensus.log_sender import on_snapshot_loaded, start_round
 from snipebend.consensus.members import find_member
 from snipebend.consensus.messages import (
     AppendReply,
@@ -52,7 +53,6 @@
     on_snapshot_reply,
 )
 from snipebend.consensus.roles import become_follower
-from snipebend.consensus.log_sender import on_snapshot_loaded, start_round
 
 if TYPE_CHECKING:
     from snipebend.consensus.leadership import Leadership
--- a/src/snipebend/consensus/elections.py
+++ b/src/snipebend/consensus/elections.py
@@ -23,7 +23,7 @@
 def on_election_timeout(node: Node) -> None:
     """Request pre-votes after the election timeout without a leader."""
     node.reset_election_timer()
-    if not _can_stand(node):
+    if not _is_eligible_candidate(node):
         return
     node.role = Role.PRE_CANDIDATE
     node.leader_id = None
@@ -43,7 +43,7 @@
 def on_timeout_now(node: Node, source: str, message: TimeoutNow) -> None:
     """Start an election immediately at the request of the leader."""
     from_leader = message.term == node.term and source == node.leader_id
-    if from_leader and _can_stand(node):
+    if from_leader and _is_eligible_candidate(node):
         start_election(node, hand_over=True)
 
 
@@ -100,8 +100,8 @@
     if node.role is not Role.PRE_CANDIDATE or reply.term != node.term + 1:
         return
     if reply.restarted and not early:
-        # A reply to an earlier request: the sender may since have accepted
-        # a leader, whose lease relies on it.
+        # A reply to an earlier restart probe: its sender may have acknowledged
+        # a leader that still holds a lease.
         return
     node.votes.add(source)
     if _has_majority(node) and (not early or _all_restarted(node)):
@@ -135,8 +135,8 @@
     if reply.term > node.term:
         become_follower(node, reply.term, None)
         return
-    counts = reply.granted and reply.term == node.term
-    if counts and node.role is Role.CANDIDATE:
+    is_valid_vote = reply.granted and reply.term == node.term
+    if is_valid_vote and node.role is Role.CANDIDATE:
         node.votes.add(source)
         if _has_majority(node):
             become_leader(node)
@@ -166,7 +166,7 @@
     return known is not None and known.issuperset(node.voters)
 
 
-def _can_stand(node: Node) -> bool:
+def _is_eligible_candidate(node: Node) -> bool:
     return node.member_id in node.voters and node.installing_snapshot is None
 
 
@@ -175,8 +175,8 @@
 
 
 def _has_majority(node: Node) -> bool:
-    counted = node.votes.intersection(node.voters)
-    return len(counted) >= majority_size(len(node.voters))
+    valid_votes = node.votes.intersection(node.voters)
+    return len(valid_votes) >= majority_size(len(node.voters))
 
 
 def _is_up_to_date(node: Node, request: PreVoteRequest | VoteRequest) -> bool:
--- a/src/snipebend/consensus/log_sender.py
+++ b/src/snipebend/consensus/log_sender.py
@@ -25,7 +25,7 @@
     """Start a round and send entries or a heartbeat to each member."""
     leadership.rounds.start(node.now)
     leadership.heartbeat_at = node.now + node.cfg.heartbeat_s
-    sync_progress_with_members(node, leadership)
+    track_members(node, leadership)
     for member_id, progress in leadership.progress.items():
         progress.allow_probe()
         if not _send_entries(node, leadership, member_id):
@@ -34,12 +34,12 @@
 
 def replicate(node: Node, leadership: Leadership) -> None:
     """Send each member the entries that can be sent to it now."""
-    sync_progress_with_members(node, leadership)
+    track_members(node, leadership)
     for member_id in leadership.progress:
         _send_entries(node, leadership, member_id)
 
 
-def sync_progress_with_members(node: Node, leadership: Leadership) -> None:
+def track_members(node: Node, leadership: Leadership) -> None:
     """Track progress for each other member, and for no others."""
     latest = node.members.latest
     expected = {one.member_id for one in latest.voters + latest.learners}
--- a/src/snipebend/consensus/node.py
+++ b/src/snipebend/consensus/node.py
@@ -127,29 +127,37 @@
     @property
     def is_checking_restarts(self) -> bool:
         """Return whether to ask if all voters restarted, so none leads."""
-        waits = self.now < self.ignore_candidates_until
-        return waits and self.restarted and self.restarted_voters is not None
+        is_in_period = self.now < self.ignore_candidates_until
+        return (
+            is_in_period
+            and self.restarted
+            and self.restarted_voters is not None
+        )
 
     def reset_election_timer(self) -> None:
         """Set a random election deadline, so that few candidates collide."""
-        span = self.cfg.election_timeout_s
+        timeout_s = self.cfg.election_timeout_s
         if self.is_checking_restarts or self._uses_fast_elections:
-            span *= FAST_ELECTION_SHARE
-        latest = ELECTION_SPREAD * span
-        self.election_at = self.now + self.rng.uniform(span, latest)
+            timeout_s *= FAST_ELECTION_SHARE
+        latest = ELECTION_SPREAD * timeout_s
+        self.election_at = self.now + self.rng.uniform(timeout_s, latest)
 
     @property
     def _uses_fast_elections(self) -> bool:
         """Return whether this member still uses short timeouts after a restart.
 
-        Several voters may have restarted at the same time, and some of them
-        failed to. Then it can never be known that all have restarted, and a
-        majority suffices once every lease from before must have expired.
+        Several voters may have restarted at the same time, and some of them may
+        not come back. Then no member learns that all have restarted, and a
+        majority suffices once all leases from before have expired.
         """
-        waits = (
+        is_in_period = (
             self.ignore_candidates_until <= self.now < self.fast_election_until
         )
-        return waits and self.restarted and self.restarted_voters is not None
+        return (
+            is_in_period
+            and self.restarted
+            and self.restarted_voters is not None
+        )
 
     def append(self, entries: Iterable[LogEntry]) -> None:
         """Append entries that follow the end of the log."""
@@ -234,7 +242,7 @@
     entries = usable_entries(snapshot, restored.entries)
     if entries and entries[0].index != start + 1:
         raise CorruptionError(
-            f'the log starts at {entries[0].index} instead of {start + 1}',
+            f'log starts at index {entries[0].index} instead of {start + 1}',
             step='restore',
         )
     members = snapshot.members if snapshot else restored.members
--- a/src/snipebend/consensus/proposals.py
+++ b/src/snipebend/consensus/proposals.py
@@ -25,18 +25,18 @@
 
 def on_proposed(node: Node, event: Proposed) -> None:
     """Append a command or reject the proposal."""
-    refused = _refusal(node)
-    if refused is not None:
-        _reject(node, event.proposal_id, refused)
+    reason = _rejection_reason(node)
+    if reason is not None:
+        _reject(node, event.proposal_id, reason)
         return
     _append(node, event.proposal_id, EntryKind.COMMAND, event.payload)
 
 
 def on_members_proposed(node: Node, event: MembersProposed) -> None:
     """Append a change of the members, or reject it."""
-    refused = _refusal(node) or change_refusal(node, event)
-    if refused is not None:
-        _reject(node, event.proposal_id, refused)
+    reason = _rejection_reason(node) or change_rejection_reason(node, event)
+    if reason is not None:
+        _reject(node, event.proposal_id, reason)
         return
     changed = apply_change(node.members.latest, event.change)
     if changed is None:
@@ -46,7 +46,9 @@
     _append(node, event.proposal_id, EntryKind.MEMBERS, payload)
 
 
-def change_refusal(node: Node, event: MembersProposed) -> RejectReason | None:
+def change_rejection_reason(
+    node: Node, event: MembersProposed
+) -> RejectReason | None:
     """Return why a change of the members cannot start now, if it cannot.
 
     The previous change and an entry of the leader's term must be committed.
@@ -56,11 +58,13 @@
     leadership = node.leadership
     if leadership is None:
         return RejectReason.NOT_LEADER
-    settled = max(node.members.latest_index, leadership.first_index)
-    if node.commit_index < settled:
+    required_index = max(node.members.latest_index, leadership.first_index)
+    if node.commit_index < required_index:
         return RejectReason.CHANGE_IN_PROGRESS
     if isinstance(event.change, PromoteLearner):
-        return _promotion_refusal(node, leadership, event.change.member_id)
+        return _promotion_rejection_reason(
+            node, leadership, event.change.member_id
+        )
     return None
 
 
@@ -74,7 +78,7 @@
             node.emit(ProposalCommitted(proposal_id, entry.index))
 
 
-def _refusal(node: Node) -> RejectReason | None:
+def _rejection_reason(node: Node) -> RejectReason | None:
     if node.leadership is None:
         return RejectReason.NOT_LEADER
     if node.leadership.successor is not None:
@@ -85,7 +89,7 @@
     return None
 
 
-def _promotion_refusal(
+def _promotion_rejection_reason(
     node: Node, leadership: Leadership, member_id: str
 ) -> RejectReason | None:
     progress = leadership.progress.get(member_id)
--- a/src/snipebend/consensus/reads.py
+++ b/src/snipebend/consensus/reads.py
@@ -14,8 +14,8 @@
 
 from snipebend.consensus.actions import ReadReady, ReadRejected
 from snipebend.consensus.leadership import PendingRead
-from snipebend.consensus.quorum import reached_by_majority
 from snipebend.consensus.log_sender import start_round
+from snipebend.consensus.quorum import reached_by_majority
 
 if TYPE_CHECKING:
     from snipebend.consensus.config import CoreConfig
--- a/src/snipebend/consensus/replication.py
+++ b/src/snipebend/consensus/replication.py
@@ -6,10 +6,10 @@
 
 from snipebend.consensus.actions import Role
 from snipebend.consensus.leadership import Leadership
+from snipebend.consensus.log_sender import start_round
 from snipebend.consensus.records import EntryKind, LogEntry
 from snipebend.consensus.roles import become_follower
 from snipebend.consensus.rounds import Rounds
-from snipebend.consensus.log_sender import start_round
 
 if TYPE_CHECKING:
     from snipebend.consensus.messages import AppendReply, SnapshotReply
--- a/src/snipebend/consensus/step_completion.py
+++ b/src/snipebend/consensus/step_completion.py
@@ -7,11 +7,11 @@
 from snipebend.consensus.actions import Send
 from snipebend.consensus.commit_index import advance_commit
 from snipebend.consensus.elections import on_vote_reply
-from snipebend.consensus.handover import step_down_if_removed, prompt_successor
+from snipebend.consensus.handover import prompt_successor, step_down_if_removed
+from snipebend.consensus.log_sender import replicate
 from snipebend.consensus.messages import VoteReply
 from snipebend.consensus.proposals import confirm_committed
 from snipebend.consensus.reads import serve_reads
-from snipebend.consensus.log_sender import replicate
 
 if TYPE_CHECKING:
     from snipebend.consensus.leadership import Leadership
--- a/tests/consensus/faults.py
+++ b/tests/consensus/faults.py
@@ -100,7 +100,7 @@
 def overlapping_member_changes() -> AbstractContextManager[object]:
     """Start a change of the members before the previous one is committed."""
     return mock.patch(
-        f'{CORE}.proposals.change_refusal', lambda node, event: None
+        f'{CORE}.proposals.change_rejection_reason', lambda node, event: None
     )
 
 
--- a/tests/consensus/test_core.py
+++ b/tests/consensus/test_core.py
@@ -119,8 +119,8 @@
         asked = _sent(core.step(evt.Tick(), 0.25, RNG))
         self.assertEqual(asked, 2 * [msg.PreVoteRequest(2, 1, 1)])
         agreed = msg.PreVoteReply(2, granted=True)
-        stood = _feed(core, agreed, 0.26)
-        self.assertTrue(any(isinstance(one, act.Persist) for one in stood))
+        started = _feed(core, agreed, 0.26)
+        self.assertTrue(any(isinstance(one, act.Persist) for one in started))
 
     def test_vote_is_granted_immediately(self) -> None:
         request = msg.PreVoteRequest(2, 1, 1)
--- a/tests/consensus/test_member_removal.py
+++ b/tests/consensus/test_member_removal.py
@@ -4,11 +4,11 @@
 
 import unittest
 
-from snipebend.consensus.records import Member, Members
 from snipebend.consensus.member_removal import (
     REMOVAL_TIMEOUT_S,
     find_failed_member,
 )
+from snipebend.consensus.records import Member, Members
 
 A = Member('a', 'a', '10.0.0.1:1')
 B = Member('b', 'b', '10.0.0.2:1')
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -22,7 +22,7 @@
     SnapshotMeta,
 )
 from snipebend.consensus.snapshot_file import Snapshot
-from snipebend.consensus.storage import StoredState, Storage
+from snipebend.consensus.storage import Storage, StoredState
 from snipebend.errors.hierarchy import CorruptionError
 
 
