--- a/src/snipebend/balancing/group_care.py
+++ b/src/snipebend/balancing/group_care.py
@@ -12,7 +12,7 @@
 from snipebend.experts.group_watch import GroupWatch, Kept, Outlook
 from snipebend.state.commands import DecideGroupPlan
 from snipebend.state.group_plans import GroupPlan, PlanReply, PlanRequest
-from snipebend.state.host_news import GroupPhase, GroupStanding
+from snipebend.state.host_updates import GroupPhase, UpstreamGroupStatus
 from snipebend.balancing.demand_follower import DemandFollower
 from snipebend.balancing.group_eyes import GroupKey
 from snipebend.balancing.last_switch import LastSwitch
@@ -284,7 +284,7 @@
         else:
             members = seen.identities
         self._tools.keeper.tell_group(
-            GroupStanding(
+            UpstreamGroupStatus(
                 self.key.group,
                 self.key.service,
                 phase,
--- a/src/snipebend/balancing/pace_listener.py
+++ b/src/snipebend/balancing/pace_listener.py
@@ -11,7 +11,7 @@
 
 from snipebend.kernel.service import Service
 from snipebend.settings.seeds import split_address
-from snipebend.state.pace_news import PacesTold
+from snipebend.state.step_times import StepTimesReport
 
 if TYPE_CHECKING:
     from snipebend.experts.group_pace import GroupPaces
@@ -27,7 +27,7 @@
         super().__init__(name)
         self._server = server
         self._paces = paces
-        self._decoder = msgpack.Decoder(PacesTold)
+        self._decoder = msgpack.Decoder(StepTimesReport)
         #: The last message of each entry: when it started, and the number.
         self._last: dict[str, tuple[float, int]] = {}
         self._transport: asyncio.DatagramTransport | None = None
@@ -69,5 +69,5 @@
             return
         self._last[told.entry] = stamp
         now = self._clock.now()
-        for group, (events, seconds) in told.paces.items():
+        for group, (events, seconds) in told.step_times.items():
             self._paces.note(group, events, seconds, now)
--- a/src/snipebend/edge/host_follower.py
+++ b/src/snipebend/edge/host_follower.py
@@ -23,7 +23,7 @@
 from snipebend.kernel.service import Service
 from snipebend.relay.entry_lists import EntryLists
 from snipebend.settings.relay import RelaySettings
-from snipebend.state.host_news import HostWatch
+from snipebend.state.host_updates import HostWatchRequest
 from snipebend.transport.methods import WATCH_HOSTS
 from snipebend.transport.rpc_clients import RpcClients
 
@@ -31,7 +31,7 @@
     from collections.abc import Mapping
 
     from snipebend.kernel.registry import Registry
-    from snipebend.state.host_news import GroupStanding, HostNews
+    from snipebend.state.host_updates import HostUpdate, UpstreamGroupStatus
     from snipebend.state.roster import UpstreamRecord
 
 #: Reads the body of a document.
@@ -87,9 +87,11 @@
         #: Called after each batch of news.
         self.on_news: Callable[[], None] = _nobody
         #: Told of groups of upstreams, and of none while nobody tells.
-        self.on_groups: Callable[[tuple[GroupStanding, ...]], None] = _drop
+        self.on_groups: Callable[[tuple[UpstreamGroupStatus, ...]], None] = (
+            _drop
+        )
         #: What each daemon tells of groups; only the leader does.
-        self._groups: dict[str, tuple[GroupStanding, ...]] = {}
+        self._groups: dict[str, tuple[UpstreamGroupStatus, ...]] = {}
         self.gossip_address = ''
         self._process = cfg.process.name
         self.data_center = cfg.process.data_center
@@ -219,7 +221,7 @@
         )
 
     async def _follow(self, address: str, tally: WatchTally) -> None:
-        req = HostWatch(
+        req = HostWatchRequest(
             self._process,
             self._number,
             self._revision,
@@ -240,7 +242,7 @@
             tally.number = news.number
             self._take(news, address)
 
-    def _take(self, news: HostNews, address: str) -> None:
+    def _take(self, news: HostUpdate, address: str) -> None:
         now = self._clock.now()
         self.news_at = now
         if self._first_news_at is None:
@@ -256,10 +258,10 @@
         if 0 <= news.confirmed_ago_s <= CONFIRMED_S:
             self._confirmed_number = max(self._confirmed_number, news.number)
             self._note_confirmed()
-        if not news.groups_hold:
+        if not news.groups_unchanged:
             self._take_groups(address, news.groups)
         if news.entries:
-            self._lists.take(address, news.entries, news.entry_places)
+            self._lists.take(address, news.entries, news.entry_data_centers)
             self._note_entries()
         if news.members and self._members != frozenset(news.members):
             self._members = frozenset(news.members)
@@ -271,7 +273,7 @@
         self.entries = frozenset(self.places) - {self.gossip_address}
 
     def _take_groups(
-        self, address: str, groups: tuple[GroupStanding, ...]
+        self, address: str, groups: tuple[UpstreamGroupStatus, ...]
     ) -> None:
         if groups == self._groups.get(address, ()):
             return
@@ -311,5 +313,5 @@
     """Stand in while nobody wants to know."""
 
 
-def _drop(_: tuple[GroupStanding, ...]) -> None:
+def _drop(_: tuple[UpstreamGroupStatus, ...]) -> None:
     """Stand in while nobody wants to know of groups."""
--- a/src/snipebend/edge/pace_teller.py
+++ b/src/snipebend/edge/pace_teller.py
@@ -10,7 +10,7 @@
 from snipebend.edge.gossip import Gossip
 from snipebend.edge.host_follower import HostFollower
 from snipebend.kernel.service import Service
-from snipebend.state.pace_news import PacesTold
+from snipebend.state.step_times import StepTimesReport
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -51,7 +51,9 @@
             if not paces:
                 continue
             number += 1
-            told = PacesTold(self._process, self._started_at, number, paces)
+            told = StepTimesReport(
+                self._process, self._started_at, number, paces
+            )
             self._gossip.send_to(
                 self._follower.control_addresses, msgpack.encode(told)
             )
--- a/src/snipebend/relay/upstream_groups.py
+++ b/src/snipebend/relay/upstream_groups.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from snipebend.state.host_news import GroupPhase
+from snipebend.state.host_updates import GroupPhase
 
 if TYPE_CHECKING:
-    from snipebend.state.host_news import GroupStanding
+    from snipebend.state.host_updates import UpstreamGroupStatus
 
 #: Seconds for which a group counts as down after a call named a rank of it as
 #: lost: control sees it within 0.3 s, and a group forms anew in 0.6 s and more.
@@ -40,7 +40,7 @@
     _seconds: float = 0
     _event_at: float = 0
 
-    def take(self, standing: GroupStanding) -> None:
+    def take(self, standing: UpstreamGroupStatus) -> None:
         """Take over what control tells."""
         self.phase = standing.phase
         self.has_slow = bool(standing.slow)
--- a/src/snipebend/relay/upstreams.py
+++ b/src/snipebend/relay/upstreams.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Iterator, Mapping
 
     from snipebend.relay.refusals import RefusalsTold
-    from snipebend.state.host_news import GroupStanding
+    from snipebend.state.host_updates import UpstreamGroupStatus
     from snipebend.state.roster import UpstreamRecord
 
 #: Seconds that an upstream is left alone after a failure, doubled with each
@@ -138,7 +138,7 @@
                 ended.extend(self._end(known, record))
             elif known is None:
                 self._add(record)
-            elif record.is_news_after(known.record):
+            elif record.supersedes(known.record):
                 known.record = record
         return ended
 
@@ -150,7 +150,7 @@
         """Return the upstream of that identity."""
         return self._known.get(identity)
 
-    def take_groups(self, told: Iterable[GroupStanding]) -> None:
+    def take_groups(self, told: Iterable[UpstreamGroupStatus]) -> None:
         """Take over what control tells of groups; what it doesn't stays."""
         for standing in told:
             group = self._groups.setdefault(
@@ -230,7 +230,7 @@
     def _end(
         self, known: Upstream | None, record: UpstreamRecord
     ) -> list[Upstream]:
-        if known is None or not record.is_news_after(known.record):
+        if known is None or not record.supersedes(known.record):
             return []
         return self._drop(record.identity)
 
--- a/src/snipebend/state/__init__.py
+++ b/src/snipebend/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state machine: fleet, claims, fences, expert maps."""
+"""The replicated state machine: fleet, claims, fences, documents, roster."""
--- a/src/snipebend/state/claim_book.py
+++ b/src/snipebend/state/claim_state.py
@@ -1,4 +1,4 @@
-"""The rules by which idempotency keys are claimed and settled (pure)."""
+"""State and rules of claims of idempotency keys; performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
     StoredAnswer,
 )
 
-#: Bytes of stored answers that one workspace may hold.
-WORKSPACE_ANSWER_BYTES = 8_388_608
+#: Limit on the bytes of stored answers per workspace.
+MAX_WORKSPACE_ANSWER_BYTES = 8_388_608
 
-#: Seconds that a claim is kept at least, whatever its asker's clock says.
-MIN_KEEP_S = 60.0
+#: Shortest time in seconds to keep a claim, independent of the requester's
+#: clock.
+MIN_CLAIM_S = 60.0
 
-#: Width in seconds of the slots in which claims are forgotten.
+#: Length in seconds of the time slots by which claims expire.
 _SLOT_S = 10.0
 
 
 class ClaimRecord(Struct):
-    """One key: what it stands for, who may run it and how that ended."""
+    """A claimed key: its request, the attempt that may run, and the outcome."""
 
     fingerprint: str
     holder: Holder
@@ -35,73 +36,84 @@
     answer: StoredAnswer | None = None
 
 
-class Ledger(Struct):
-    """The claims of one workspace; ``answered`` lists the oldest first."""
+class WorkspaceClaims(Struct):
+    """The claims of one workspace.
+
+    ``answered`` maps keys with a stored answer to its size, oldest first.
+    """
 
     claims: dict[str, ClaimRecord] = {}
     answered: dict[str, int] = {}
     answer_bytes: int = 0
 
 
-class KeyName(Struct, frozen=True):
+class WorkspaceKey(Struct, frozen=True):
     """A key within its workspace."""
 
     workspace: str
     key: str
 
 
-class ClaimBook(Struct):
-    """All claims, and the slots of time in which they are forgotten."""
+class ClaimState(Struct):
+    """All claims by workspace, and their keys by expiry time slot."""
 
-    ledgers: dict[str, Ledger] = {}
-    slots: dict[int, list[KeyName]] = {}
+    ledgers: dict[str, WorkspaceClaims] = {}
+    slots: dict[int, list[WorkspaceKey]] = {}
 
     def claim(self, req: ClaimRequest, now: float) -> ClaimReply:
         """Grant a key to at most one attempt at a time."""
-        ledger = self.ledgers.setdefault(req.workspace, Ledger())
-        expires_at = max(req.expires_at, now + MIN_KEEP_S)
+        ledger = self.ledgers.setdefault(req.workspace, WorkspaceClaims())
+        expires_at = max(req.expires_at, now + MIN_CLAIM_S)
         record = ledger.claims.get(req.key)
         if record is None:
             record = ClaimRecord(req.fingerprint, req.holder, 0)
             ledger.claims[req.key] = record
-            self._keep_until(KeyName(req.workspace, req.key), expires_at)
+            self._extend_expiry(
+                WorkspaceKey(req.workspace, req.key), expires_at
+            )
             return ClaimReply(ClaimVerdict.GRANTED, record.holder)
         if record.fingerprint != req.fingerprint:
             return ClaimReply(ClaimVerdict.MISMATCH)
-        reply = _judge(record, req.holder)
+        reply = _decide_claim(record, req.holder)
         if reply.verdict is ClaimVerdict.GRANTED:
             record.holder = req.holder
             record.settlement = None
-            self._keep_until(KeyName(req.workspace, req.key), expires_at)
+            self._extend_expiry(
+                WorkspaceKey(req.workspace, req.key), expires_at
+            )
         return reply
 
     def settle(self, req: SettleRequest, max_bytes: int) -> SettleReply:
-        """Note how the attempt that holds a key ended.
+        """Record the outcome of the attempt that holds a key.
 
-        An attempt that no longer holds the key was settled as not run, or its
-        successor wouldn't have been granted. Nothing is known of a key that
-        nobody holds.
+        An attempt that no longer holds the key was settled as not run, because
+        otherwise the next attempt would not have been granted. For a key
+        without a claim the outcome is unknown.
         """
         ledger = self.ledgers.get(req.workspace)
         record = ledger.claims.get(req.key) if ledger else None
         if ledger is None or record is None:
             return SettleReply(Settlement.UNKNOWN)
-        if _attempt(record.holder) != (req.request_id, req.attempt):
+        if _attempt_key(record.holder) != (req.request_id, req.attempt):
             return SettleReply(Settlement.NOT_RUN)
         if record.settlement in {None, Settlement.UNKNOWN}:
-            record.settlement = _settle_on(record.settlement, req.settlement)
+            record.settlement = _merge_settlement(
+                record.settlement, req.settlement
+            )
         if record.settlement is Settlement.RAN and record.answer is None:
-            _store(ledger, req, max_bytes)
+            _store_answer(ledger, req, max_bytes)
         return SettleReply(record.settlement or Settlement.UNKNOWN)
 
     def expire(self, now: float) -> None:
-        """Forget the keys whose time has come, slot by slot."""
-        due = [slot for slot in self.slots if (slot + 1) * _SLOT_S <= now]
-        for slot in due:
+        """Remove the expired claims of all time slots that have passed."""
+        expired_slots = [
+            slot for slot in self.slots if (slot + 1) * _SLOT_S <= now
+        ]
+        for slot in expired_slots:
             for name in self.slots.pop(slot):
-                self._forget(name, now)
+                self._remove_expired(name, now)
 
-    def _keep_until(self, name: KeyName, expires_at: float) -> None:
+    def _extend_expiry(self, name: WorkspaceKey, expires_at: float) -> None:
         record = self.ledgers[name.workspace].claims[name.key]
         if expires_at <= record.expires_at:
             return
@@ -109,7 +121,7 @@
         slot = int(expires_at // _SLOT_S)
         self.slots.setdefault(slot, []).append(name)
 
-    def _forget(self, name: KeyName, now: float) -> None:
+    def _remove_expired(self, name: WorkspaceKey, now: float) -> None:
         ledger = self.ledgers.get(name.workspace)
         record = ledger.claims.get(name.key) if ledger else None
         if ledger is None or record is None or record.expires_at > now:
@@ -120,16 +132,16 @@
             self.ledgers.pop(name.workspace)
 
 
-def _attempt(holder: Holder) -> tuple[str, int]:
+def _attempt_key(holder: Holder) -> tuple[str, int]:
     return (holder.request_id, holder.attempt)
 
 
-def _judge(record: ClaimRecord, asker: Holder) -> ClaimReply:
+def _decide_claim(record: ClaimRecord, requester: Holder) -> ClaimReply:
     match record.settlement:
-        case None if _attempt(record.holder) == _attempt(asker):
+        case None if _attempt_key(record.holder) == _attempt_key(requester):
             return ClaimReply(ClaimVerdict.GRANTED, record.holder)
-        case Settlement.NOT_RUN if not _is_stale(record.holder, asker):
-            return ClaimReply(ClaimVerdict.GRANTED, asker)
+        case Settlement.NOT_RUN if not _is_stale(record.holder, requester):
+            return ClaimReply(ClaimVerdict.GRANTED, requester)
         case Settlement.RAN:
             return ClaimReply(ClaimVerdict.RAN, record.holder, record.answer)
         case Settlement.UNKNOWN:
@@ -138,29 +150,31 @@
             return ClaimReply(ClaimVerdict.IN_PROGRESS, record.holder)
 
 
-def _is_stale(holder: Holder, asker: Holder) -> bool:
-    """Tell a late copy of a settled attempt from a new attempt."""
-    same = holder.request_id == asker.request_id
-    return same and asker.attempt <= holder.attempt
+def _is_stale(holder: Holder, requester: Holder) -> bool:
+    """Return whether this is a late duplicate of a settled attempt."""
+    same = holder.request_id == requester.request_id
+    return same and requester.attempt <= holder.attempt
 
 
-def _settle_on(
-    standing: Settlement | None, settlement: Settlement
+def _merge_settlement(
+    current: Settlement | None, settlement: Settlement
 ) -> Settlement:
-    if standing is Settlement.UNKNOWN and settlement is not Settlement.RAN:
-        return standing
+    if current is Settlement.UNKNOWN and settlement is not Settlement.RAN:
+        return current
     return settlement
 
 
-def _store(ledger: Ledger, req: SettleRequest, max_bytes: int) -> None:
-    """Keep an answer that fits; the workspace's oldest answers give way."""
+def _store_answer(
+    ledger: WorkspaceClaims, req: SettleRequest, max_bytes: int
+) -> None:
+    """Store an answer within the limits; evict the workspace's oldest ones."""
     answer = req.answer
     if answer is None or len(answer.body) > max_bytes:
         return
     ledger.claims[req.key].answer = answer
     ledger.answered[req.key] = len(answer.body)
     ledger.answer_bytes += len(answer.body)
-    while ledger.answer_bytes > WORKSPACE_ANSWER_BYTES:
+    while ledger.answer_bytes > MAX_WORKSPACE_ANSWER_BYTES:
         oldest = next(iter(ledger.answered))
         ledger.answer_bytes -= ledger.answered.pop(oldest)
         ledger.claims[oldest].answer = None
--- a/src/snipebend/state/claims.py
+++ b/src/snipebend/state/claims.py
@@ -1,7 +1,8 @@
 """Messages about claims of idempotency keys.
 
-A claim is made before the first attempt and names who may run the request. A
-new attempt is granted only after the former one was settled as ``not-run``.
+A claim is made before the first attempt and determines which attempt may run
+the request. A new attempt is granted only after the previous one was settled as
+``not-run``.
 """
 
 from __future__ import annotations
@@ -12,26 +13,26 @@
 
 
 class ClaimVerdict(Enum):
-    """What a claim was answered with."""
+    """The result of a claim."""
 
     #: The attempt may be sent to the named upstream.
     GRANTED = 'granted'
-    #: An earlier attempt is not settled; ``holder`` names it.
+    #: An earlier attempt is not settled; ``holder`` identifies it.
     IN_PROGRESS = 'in-progress'
-    #: The request ran; ``answer`` is the stored one, if it fitted.
+    #: The request ran; ``answer`` is set if it was small enough to store.
     RAN = 'ran'
-    #: Nobody can tell whether the request ran; it won't run again.
+    #: It cannot be determined whether the request ran; it is not retried.
     UNKNOWN = 'unknown'
-    #: The key was used before with another request.
+    #: The key was used before for a different request.
     MISMATCH = 'mismatch'
 
 
 class Holder(Struct, frozen=True):
-    """The one attempt that may run, and where.
+    """The only attempt that may run, and its target upstream.
 
     An empty ``grpc_address`` means that the attempt is never sent: the key was
-    only looked up. After ``deadline_at`` (wall time in seconds, 0 if unknown)
-    no agent starts the attempt.
+    only looked up. No agent starts the attempt after ``deadline_at`` (wall time
+    in seconds, 0 if unknown).
     """
 
     request_id: str
@@ -44,7 +45,7 @@
 
 
 class StoredAnswer(Struct, frozen=True):
-    """A complete answer, kept for resends of the same key."""
+    """A complete response, stored for resends with the same key."""
 
     status: int
     content_type: str
@@ -52,10 +53,10 @@
 
 
 class ClaimRequest(Struct, frozen=True):
-    """Ask to run an attempt under a key.
+    """Requests permission to run an attempt under a key.
 
-    ``fingerprint`` is a hash of method, path and body; ``expires_at`` is wall
-    time in seconds after which the key may be forgotten.
+    ``fingerprint`` is a hash of method, path and body; ``expires_at`` is the
+    wall time in seconds after which the claim can be removed.
     """
 
     workspace: str
@@ -74,7 +75,7 @@
 
 
 class Settlement(Enum):
-    """How an attempt ended, as far as it could be proved."""
+    """The proven outcome of an attempt."""
 
     RAN = 'ran'
     NOT_RUN = 'not-run'
@@ -82,9 +83,10 @@
 
 
 class SettleRequest(Struct, frozen=True):
-    """Tell how the attempt of a key ended; the first settlement stands.
+    """Reports the outcome of an attempt.
 
-    Except that ``unknown`` gives way to a later proof of ``ran``.
+    The first settlement of a key is final, except that a later proof of ``ran``
+    replaces ``unknown``.
     """
 
     workspace: str
@@ -96,6 +98,6 @@
 
 
 class SettleReply(Struct, frozen=True):
-    """The settlement that stands."""
+    """The settlement in force."""
 
     settlement: Settlement
--- a/src/snipebend/state/commands.py
+++ b/src/snipebend/state/commands.py
@@ -1,7 +1,7 @@
-"""The commands of the replicated state machine, as they stand in the log.
+"""The commands of the replicated state machine, as encoded in the log.
 
-Each carries the leader's wall time ``at`` in seconds: the machine has no clock
-of its own, so that all members come to the same state.
+Each contains the leader's wall time ``at`` in seconds: the state machine reads
+no clock, so that all members compute the same state.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class Settle(Struct, frozen=True, tag=True):
-    """Settle the attempt that holds a key."""
+    """Record the outcome of the attempt that holds a key."""
 
     req: SettleRequest
     at: float
@@ -55,21 +55,21 @@
 
 
 class ReportCrash(Struct, frozen=True, tag=True):
-    """Count an upstream's death."""
+    """Record the crash of an upstream."""
 
     req: CrashReport
     at: float
 
 
 class ClearSuspect(Struct, frozen=True, tag=True):
-    """Clear a request that ran to its end."""
+    """Clear a suspect request that ran to completion."""
 
     req: SuspectCleared
     at: float
 
 
 class DecideExpertMap(Struct, frozen=True, tag=True):
-    """Decide on a group's expert map."""
+    """Change the expert map record of a group."""
 
     req: MapDecision
     at: float
@@ -83,14 +83,14 @@
 
 
 class RecordUpstream(Struct, frozen=True, tag=True):
-    """Note an upstream in the roster."""
+    """Record an upstream in the roster."""
 
     req: RecordRequest
     at: float
 
 
 class DecideGroupPlan(Struct, frozen=True, tag=True):
-    """Decide on the next map of a group of engines."""
+    """Decide the next expert map of a group of engines."""
 
     req: PlanRequest
     at: float
@@ -121,7 +121,7 @@
     | PlanReply
 )
 
-#: What each command is answered with, to decode a reply from the leader.
+#: The reply type of each command, to decode a reply from the leader.
 REPLY_TYPES: MappingProxyType[type, Any] = MappingProxyType(
     {
         ApplyFleet: ApplyReply,
@@ -146,7 +146,7 @@
 
 
 def decode_command(payload: bytes) -> Command:
-    """Decode a command; raises ``msgspec.DecodeError`` on damage."""
+    """Decode a command; raises ``msgspec.DecodeError`` if it is invalid."""
     return _decoder.decode(payload)
 
 
--- a/src/snipebend/state/configuration.py
+++ b/src/snipebend/state/configuration.py
@@ -1,4 +1,4 @@
-"""The rules by which one configuration follows another (pure)."""
+"""State and rules of configuration changes; performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,23 +9,25 @@
 from snipebend.fleet.rendering import render_fleet
 from snipebend.state.messages import ApplyOutcome, ApplyReply, ApplyRequest
 
-#: An answer is kept for at least so many revisions ...
-KEEP_REVISIONS = 1000
+#: Number of revisions for which the reply to a change is kept at least ...
+MIN_REPLY_REVISIONS = 1000
 
-#: ... and for at least so many seconds, whichever lasts longer.
-KEEP_S = 3600.0
+#: ... and the shortest time in seconds; it is removed after both.
+MIN_REPLY_S = 3600.0
 
-#: Texts of past revisions, for deltas and for the losers of a race.
-KEEP_TEXTS = 32
+#: Number of past texts to keep, for deltas and for replies to changes that
+#: lost a race.
+MAX_TEXTS = 32
 
-#: Bytes of past texts; the one in force is kept whatever its size.
-KEEP_TEXT_BYTES = 16_777_216
+#: Limit on the total length of these texts in characters; the text in force is
+#: always kept.
+MAX_TEXTS_SIZE = 16_777_216
 
 _SOURCE = 'fleet file'
 
 
-class FirstAnswer(Struct, frozen=True):
-    """What a change id was answered with; the text stands in the history."""
+class RecordedReply(Struct, frozen=True):
+    """The reply to a change id, without its text: that is in the history."""
 
     reply: ApplyReply
     digest: int
@@ -33,49 +35,52 @@
 
 
 class ConfigurationState(Struct):
-    """The configuration in force and the first answer to each change id."""
+    """The configuration in force and the first reply to each change id."""
 
     revision: int = 0
     text: str = ''
     routing: RoutingPolicy = RoutingPolicy()
-    answers: dict[str, FirstAnswer] = {}
+    answers: dict[str, RecordedReply] = {}
     history: dict[int, str] = {}
 
     def apply(self, req: ApplyRequest, now: float = 0) -> ApplyReply:
-        """Decide on a change; a resend gets the first answer again."""
+        """Apply or reject a change; a resend gets the first reply again."""
         digest = xxh64_intdigest(req.text.encode())
-        known = self.answers.get(req.change_id)
-        if known is not None:
-            return self._repeat(known, digest)
+        recorded = self.answers.get(req.change_id)
+        if recorded is not None:
+            return self._resend_reply(recorded, digest)
         reply = self._decide(req)
         if reply.outcome is not ApplyOutcome.INVALID:
-            self._remember(req.change_id, reply, digest, now)
+            self._record_reply(req.change_id, reply, digest, now)
         return reply
 
-    def _repeat(self, known: FirstAnswer, digest: int) -> ApplyReply:
-        if known.digest != digest:
+    def _resend_reply(self, recorded: RecordedReply, digest: int) -> ApplyReply:
+        if recorded.digest != digest:
             message = 'the change id was used before with another file'
             return ApplyReply(ApplyOutcome.INVALID, self.revision, message)
-        if known.reply.outcome is ApplyOutcome.CONFLICT:
-            text = self.history.get(known.reply.revision, '')
-            return structs.replace(known.reply, text=text)
-        return known.reply
+        if recorded.reply.outcome is ApplyOutcome.CONFLICT:
+            text = self.history.get(recorded.reply.revision, '')
+            return structs.replace(recorded.reply, text=text)
+        return recorded.reply
 
-    def _remember(
+    def _record_reply(
         self, change_id: str, reply: ApplyReply, digest: int, now: float
     ) -> None:
-        bare = structs.replace(reply, text='')
-        self.answers[change_id] = FirstAnswer(bare, digest, now + KEEP_S)
+        without_text = structs.replace(reply, text='')
+        self.answers[change_id] = RecordedReply(
+            without_text, digest, now + MIN_REPLY_S
+        )
         while self.answers:
             change = next(iter(self.answers))
             oldest = self.answers[change]
             age = self.revision - oldest.reply.revision
-            if age <= KEEP_REVISIONS or oldest.keep_until > now:
+            if age <= MIN_REPLY_REVISIONS or oldest.keep_until > now:
                 return
             self.answers.pop(change)
 
     def _decide(self, req: ApplyRequest) -> ApplyReply:
-        # Its library takes 0.1 s to import, and not all daemons hold a fleet.
+        # Imported here because its TOML library takes 0.1 s to import, and not
+        # all daemons have a fleet.
         from snipebend.fleet.parsing import parse_fleet
 
         parsed = parse_fleet(req.text, _SOURCE)
@@ -88,13 +93,13 @@
         self.revision += 1
         self.text = render_fleet(fleet)
         self.routing = fleet.routing
-        self._keep_text()
+        self._store_text()
         return ApplyReply(ApplyOutcome.ACCEPTED, self.revision)
 
-    def _keep_text(self) -> None:
+    def _store_text(self) -> None:
         self.history[self.revision] = self.text
         size = sum(len(text) for text in self.history.values())
-        while len(self.history) > KEEP_TEXTS or size > KEEP_TEXT_BYTES:
+        while len(self.history) > MAX_TEXTS or size > MAX_TEXTS_SIZE:
             oldest = next(iter(self.history))
             if oldest == self.revision:
                 return
--- a/src/snipebend/state/configuration_feed.py
+++ b/src/snipebend/state/configuration_feed.py
@@ -1,4 +1,4 @@
-"""What a watcher is sent next, by what it has already (pure)."""
+"""Builds configuration messages for watchers; performs no I/O."""
 
 from __future__ import annotations
 
@@ -13,38 +13,39 @@
     from snipebend.state.configuration import ConfigurationState
 
 Key = TypeVar('Key')
-Made = TypeVar('Made')
+Value = TypeVar('Value')
 
-#: Fleets and deltas that are kept for the next watcher.
-_MAX_KEPT = 8
+#: Limit on the parsed fleets, and on the messages, that are cached.
+_MAX_CACHED = 8
 
 
 class ConfigurationFeed:
-    """Makes messages from the state; the same for all watchers of a base."""
+    """Builds and caches messages; watchers with the same base share them."""
 
     def __init__(self) -> None:
-        """Start with nothing kept."""
+        """Start with empty caches."""
         self._fleets: dict[int, Fleet] = {}
         self._messages: dict[tuple[int, int], Configuration] = {}
 
     def next_after(
         self, state: ConfigurationState, base: int | None
     ) -> Configuration:
-        """Return the message for a watcher at ``base``; ``None``: whole text.
+        """Return the message for a watcher at ``base``.
 
-        A base that is no longer in the history gets the whole text, too. A
-        watcher that is ahead of this state is told this state's revision.
+        The message has the complete text if ``base`` is ``None`` or no longer
+        in the history. A watcher that is ahead of this state is sent only this
+        state's revision.
         """
         if base is not None and base >= state.revision:
             return Configuration(state.revision)
         key = (base or 0, state.revision)
-        known = self._messages.get(key)
-        if known is None:
-            known = self._compose(state, base)
-            _keep(self._messages, key, known)
-        return known
+        cached = self._messages.get(key)
+        if cached is None:
+            cached = self._build_message(state, base)
+            _add_to_cache(self._messages, key, cached)
+        return cached
 
-    def _compose(
+    def _build_message(
         self, state: ConfigurationState, base: int | None
     ) -> Configuration:
         fleet = self._fleet(state, state.revision)
@@ -61,17 +62,17 @@
         )
 
     def _fleet(self, state: ConfigurationState, revision: int) -> Fleet | None:
-        known = self._fleets.get(revision)
-        if known is not None:
-            return known
+        cached = self._fleets.get(revision)
+        if cached is not None:
+            return cached
         parsed = parse_fleet(state.history.get(revision, ''), 'history')
         if parsed.is_err():
             return None
-        _keep(self._fleets, revision, parsed.unwrap())
+        _add_to_cache(self._fleets, revision, parsed.unwrap())
         return parsed.unwrap()
 
 
-def _keep(kept: dict[Key, Made], key: Key, made: Made) -> None:
-    kept[key] = made
-    if len(kept) > _MAX_KEPT:
-        kept.pop(next(iter(kept)))
+def _add_to_cache(cache: dict[Key, Value], key: Key, value: Value) -> None:
+    cache[key] = value
+    if len(cache) > _MAX_CACHED:
+        cache.pop(next(iter(cache)))
--- a/src/snipebend/state/crashes.py
+++ b/src/snipebend/state/crashes.py
@@ -1,4 +1,4 @@
-"""Messages about requests that were running when an upstream died."""
+"""Messages about requests that were running when an upstream crashed."""
 
 from __future__ import annotations
 
@@ -6,11 +6,10 @@
 
 
 class CrashReport(Struct, frozen=True):
-    """One death of an upstream and what was running there.
+    """A crash of an upstream and the requests that were running on it.
 
-    ``fingerprints`` are hashes of workspace, path and body; the death is
-    counted once, whoever else reports the same ``upstream`` and
-    ``incarnation``.
+    ``fingerprints`` are hashes of workspace, path and body. Several reports of
+    the same ``upstream`` and ``incarnation`` count as one crash.
     """
 
     upstream: str
@@ -20,7 +19,7 @@
 
 
 class Suspect(Struct, frozen=True):
-    """A fingerprint with its deaths; quarantined until a wall time."""
+    """A suspect request with its crashes; quarantined until a wall time."""
 
     fingerprint: str
     deaths: int
@@ -28,9 +27,10 @@
 
 
 class SuspectCleared(Struct, frozen=True):
-    """A suspect ran to its end; ``deaths`` is the number known at its start.
+    """Reports that a suspect request ran to completion.
 
-    A death that was counted meanwhile keeps it a suspect.
+    ``deaths`` is its number of crashes known when it started; the request stays
+    a suspect if another crash was recorded meanwhile.
     """
 
     fingerprint: str
@@ -38,7 +38,7 @@
 
 
 class SuspectQuery(Struct, frozen=True):
-    """Ask for the suspects; ``revision`` is the one that the asker has."""
+    """Requests the suspects; ``revision`` is the one that the sender has."""
 
     process: str = ''
     revision: int = -1
@@ -47,7 +47,8 @@
 class SuspectList(Struct, frozen=True):
     """All suspects, with the revision of the list.
 
-    In answer to a query it is empty when the asker has that revision already.
+    In the reply to a query the list is empty if the sender of the query already
+    has that revision.
     """
 
     revision: int
--- a/src/snipebend/state/documents.py
+++ b/src/snipebend/state/documents.py
@@ -1,8 +1,8 @@
-"""The numbered document in force: the highest number wins (pure).
+"""The numbered document in force, the highest number; performs no I/O.
 
-Operators number their documents themselves and may send one again, late or
-twice. What has a lower number than the one in force, or the same, changes
-nothing and is acknowledged: it was overtaken.
+Operators number their documents, and may send one late or several times. A
+document whose number is not higher than the number in force is acknowledged but
+not stored, because it is outdated.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 
 
 class PutRequest(Struct, frozen=True):
-    """Put a checked document in force; ``body`` is kept byte for byte."""
+    """Puts a validated document in force; ``body`` is stored unchanged."""
 
     number: int
     body: bytes
 
 
 class PutReply(Struct, frozen=True):
-    """The number in force afterwards, and whether it is this document's."""
+    """The number in force afterwards, and whether the document was stored."""
 
     number: int
     stored: bool
 
 
-class DocumentBook(Struct):
-    """The document in force; number 0: none came yet."""
+class DocumentState(Struct):
+    """The document in force; number 0 if there is none yet."""
 
     number: int = 0
     body: bytes = b''
 
     def put(self, req: PutRequest) -> PutReply:
-        """Keep the document if its number is higher."""
+        """Store the document if its number is higher than the current one."""
         stored = req.number > self.number
         if stored:
             self.number = req.number
--- a/src/snipebend/state/expert_maps.py
+++ b/src/snipebend/state/expert_maps.py
@@ -1,4 +1,4 @@
-"""Messages about expert map decisions, and the rules for them (pure)."""
+"""Messages and rules for decisions on expert maps; performs no I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MapDecision(Struct, frozen=True):
-    """A change of a group's record by the holder of its fence."""
+    """A change of a group's record by the holder of the group's fence."""
 
     group: str
     fence: int
@@ -23,34 +23,34 @@
 
 
 class DecideMapReply(Struct, frozen=True):
-    """Whether the change stands, and the record in force."""
+    """Whether the change was accepted, and the record in force."""
 
     accepted: bool
     record: GroupRecord
 
 
 class MapQuery(Struct, frozen=True):
-    """Ask a quorum for a group's record."""
+    """Requests a group's record from a quorum."""
 
     group: str
 
 
-class MapBook(Struct):
+class MapState(Struct):
     """The record of each group."""
 
     records: dict[str, GroupRecord] = {}
 
     def decide(self, req: MapDecision, fence: int) -> DecideMapReply:
-        """Let a change stand if its fence is in force and it still applies.
+        """Apply a change if its fence is in force and the record permits it.
 
-        A resend of a change that stands is accepted again.
+        A resend of a change that was already applied is accepted again.
         """
         record = self.records.get(req.group, GroupRecord())
         if req.fence != fence:
             return DecideMapReply(accepted=False, record=record)
         changed = change_record(record, req.change)
         if changed is None:
-            accepted = _stands(record, req.change)
+            accepted = _is_already_applied(record, req.change)
             return DecideMapReply(accepted=accepted, record=record)
         self.records[req.group] = changed
         return DecideMapReply(accepted=True, record=changed)
@@ -61,8 +61,8 @@
         return DecideMapReply(accepted=False, record=record)
 
 
-def _stands(record: GroupRecord, change: RecordChange) -> bool:
-    """Tell whether a change that no longer applies was made before."""
+def _is_already_applied(record: GroupRecord, change: RecordChange) -> bool:
+    """Return whether an inapplicable change had been applied before."""
     match change:
         case Decide(decision):
             return record.decision == decision
--- a/src/snipebend/state/fences.py
+++ b/src/snipebend/state/fences.py
@@ -1,20 +1,20 @@
-"""Messages about fences: committed, growing numbers, one sequence a group."""
+"""Messages about fences: committed numbers that increase per group."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-#: Begins the group of a lease under which one suspect request runs.
+#: Prefix of group names for the leases under which suspect requests run.
 SUSPECT_PREFIX = 'suspect:'
 
 
 class FenceRequest(Struct, frozen=True):
-    """Ask for a new fence, which makes all earlier ones of the group stale.
+    """Requests a new fence, which makes all earlier ones of the group stale.
 
-    ``lease_until`` is wall time in seconds until which the holder may order.
-    ``renews`` is the fence that the holder has and wants to keep; 0 asks for
-    a new one. ``releases`` ends the holder's lease instead, by its name: the
-    number may have been lost with an answer.
+    Until ``lease_until`` (wall time in seconds) the holder may give orders.
+    ``renews`` is the fence that the holder has and wants to keep; 0 requests a
+    new one. ``releases`` ends the lease instead. The lease is identified by the
+    holder's name, because the reply with the number may have been lost.
     """
 
     group: str
@@ -25,10 +25,11 @@
 
 
 class FenceReply(Struct, frozen=True):
-    """The fence in force; ``granted`` tells whether the asker holds it.
+    """The fence in force; ``granted`` is set if the requester holds it.
 
-    ``not_before`` is wall time in seconds before which the holder must not
-    order an engine that ignores fences: the former lease may still run.
+    Before ``not_before`` (wall time in seconds) the holder must not give orders
+    to an engine that ignores fences, because the previous lease may not have
+    expired.
     """
 
     granted: bool
@@ -39,6 +40,6 @@
 
 
 class FenceQuery(Struct, frozen=True):
-    """Ask a quorum for a group's fence in force."""
+    """Requests a group's fence in force from a quorum."""
 
     group: str
--- a/src/snipebend/state/followed.py
+++ b/src/snipebend/state/followed_configuration.py
@@ -1,10 +1,10 @@
-"""A process's copy of the configuration, and how long it may trust it (pure).
+"""A process's copy of the configuration, with a lease; performs no I/O.
 
-A copy is trusted until its lease ends: ``config_lease_s`` after the latest
-moment at which it was surely the newest. That moment is counted on this
-process's clock from when it opened the watch, plus what the sender says has
-passed since the watch arrived, minus the age of the sender's own confirmation.
-A message that was delayed on its way therefore brings no longer lease.
+The copy is valid until its lease expires: ``config_lease_s`` after the latest
+time at which it was known to be current. On this process's clock that is the
+time at which it opened the watch, plus the time that has passed on the sender
+since the watch arrived, minus the age of the sender's own confirmation. A
+message that is delayed in transit therefore does not extend the lease.
 """
 
 from __future__ import annotations
@@ -22,42 +22,42 @@
     from snipebend.state.messages import Configuration
 
 
-class Taken(Enum):
-    """What became of a message."""
+class UpdateResult(Enum):
+    """The result of applying a message."""
 
     SAME = 'same'
     NEWER = 'newer'
-    #: It doesn't fit this copy: the whole text is needed.
+    #: The message does not apply to this copy; the full text is needed.
     MISSED = 'missed'
 
 
 class FollowedConfiguration:
-    """The newest configuration seen; its revision only grows."""
+    """The newest configuration received; its revision never decreases."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without a configuration."""
         self.revision = 0
         self.index: FleetIndex | None = None
         self.lease_until = -math.inf
 
-    def take(self, message: Configuration, opened_at: float) -> Taken:
-        """Take in a message of a watch that was opened at that time."""
-        taken = Taken.SAME
+    def apply(self, message: Configuration, opened_at: float) -> UpdateResult:
+        """Apply a message of a watch that was opened at ``opened_at``."""
+        result = UpdateResult.SAME
         if message.revision > self.revision:
-            fleet = self._read(message)
+            fleet = self._decode_fleet(message)
             if fleet is None:
-                return Taken.MISSED
+                return UpdateResult.MISSED
             self.index = FleetIndex(fleet)
             self.revision = message.revision
-            taken = Taken.NEWER
-        self._renew(message, opened_at)
-        return taken
+            result = UpdateResult.NEWER
+        self._renew_lease(message, opened_at)
+        return result
 
-    def lapsed(self, now: float) -> bool:
-        """Tell whether the copy may be outdated."""
+    def is_expired(self, now: float) -> bool:
+        """Return whether the lease has expired."""
         return now >= self.lease_until
 
-    def _read(self, message: Configuration) -> Fleet | None:
+    def _decode_fleet(self, message: Configuration) -> Fleet | None:
         if message.delta is not None:
             if self.index is None or message.base != self.revision:
                 return None
@@ -69,7 +69,7 @@
             fleet = parsed.unwrap()
         return fleet if checksum(fleet) == message.checksum else None
 
-    def _renew(self, message: Configuration, opened_at: float) -> None:
+    def _renew_lease(self, message: Configuration, opened_at: float) -> None:
         if message.confirmed_ago_s < 0 or self.index is None:
             return
         current_at = opened_at + message.elapsed_s - message.confirmed_ago_s
--- a/src/snipebend/state/group_plans.py
+++ b/src/snipebend/state/group_plans.py
@@ -1,8 +1,8 @@
-"""The decided expert map of each group of engines (pure).
+"""The decided expert map of each group of engines; performs no I/O.
 
-Whoever coordinates a group's switch works from what is committed here, so that
-two coordinators, one of which doesn't know that it was replaced, drive the
-group to the same map.
+The coordinator of a group's switch uses only plans that are committed here.
+Two coordinators, one of which does not know yet that it was replaced, therefore
+switch the group to the same map.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class GroupPlan(Struct, frozen=True):
-    """A map that a group shall switch to; versions are never used twice.
+    """An expert map that a group must switch to; versions are never reused.
 
-    ``epoch`` is the group's life that the plan was made for: a group that
-    formed anew has dropped it.
+    ``epoch`` identifies the formation of the group for which the plan was made:
+    a group that has formed again has dropped the plan.
     """
 
     group: str = ''
@@ -26,20 +26,20 @@
 
 
 class PlanRequest(Struct, frozen=True):
-    """Decide on a plan, if nobody decided since version ``after``."""
+    """Requests a plan; valid only if ``after`` is still the latest version."""
 
     plan: GroupPlan
     after: int
 
 
 class PlanReply(Struct, frozen=True):
-    """Whether the plan was decided, and the one that holds now."""
+    """Whether the plan was accepted, and the plan in force."""
 
     accepted: bool
     plan: GroupPlan
 
 
-class PlanBook(Struct):
+class PlanState(Struct):
     """The latest plan of each group."""
 
     plans: dict[str, GroupPlan] = {}
@@ -48,18 +48,21 @@
     def next_version(self) -> int:
         """Return a version above those of all groups.
 
-        A rank refuses versions up to the highest that it has had, and it may
-        have had them in another group: numbered group by group, a group with
-        such a rank kept its first map for as many plans as it was behind.
+        A rank rejects versions up to the highest one that it has had, possibly
+        in another group. When each group had its own numbers, a group with such
+        a rank kept its first map for as many plans as its numbers were behind.
         """
         return 1 + max((one.version for one in self.plans.values()), default=0)
 
     def latest(self, group: str) -> GroupPlan:
-        """Return a group's plan; version 0: none was decided."""
+        """Return a group's plan; version 0 if there is none."""
         return self.plans.get(group, GroupPlan(group))
 
     def decide(self, req: PlanRequest) -> PlanReply:
-        """Take the plan if it follows the one that its maker knew."""
+        """Accept the plan if it is based on the latest one.
+
+        A resend of the latest plan is accepted again.
+        """
         latest = self.latest(req.plan.group)
         if latest == req.plan:
             return PlanReply(accepted=True, plan=latest)
--- a/src/snipebend/state/machine.py
+++ b/src/snipebend/state/machine.py
@@ -1,14 +1,14 @@
-"""The replicated state machine: commands in, replies out (pure).
+"""The replicated state machine: executes commands; performs no I/O.
 
-It depends on nothing but its commands, so that all members that execute the
-same ones hold the same state and give the same replies.
+It depends only on its commands, so that all members that execute the same
+commands have the same state and return the same replies.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct, field, msgpack
 
-from snipebend.state.claim_book import ClaimBook
+from snipebend.state.claim_state import ClaimState
 from snipebend.state.commands import (
     ApplyFleet,
     Claim,
@@ -24,48 +24,48 @@
     TakeFence,
 )
 from snipebend.state.configuration import ConfigurationState
-from snipebend.state.crash_book import CrashBook
-from snipebend.state.documents import DocumentBook
-from snipebend.state.expert_maps import MapBook
-from snipebend.state.fence_book import FenceBook
-from snipebend.state.group_plans import PlanBook
+from snipebend.state.crash_state import CrashState
+from snipebend.state.documents import DocumentState
+from snipebend.state.expert_maps import MapState
+from snipebend.state.fence_state import FenceState
+from snipebend.state.group_plans import PlanState
 from snipebend.state.roster import Roster
 
 
 class MachineState(Struct):
-    """All that a snapshot holds; ``now`` is the latest time of a command."""
+    """The contents of a snapshot; ``now`` is the latest command time."""
 
     now: float = 0
     configuration: ConfigurationState = field(
         default_factory=ConfigurationState,
     )
-    claims: ClaimBook = field(default_factory=ClaimBook)
-    fences: FenceBook = field(default_factory=FenceBook)
-    crashes: CrashBook = field(default_factory=CrashBook)
-    maps: MapBook = field(default_factory=MapBook)
-    documents: DocumentBook = field(default_factory=DocumentBook)
+    claims: ClaimState = field(default_factory=ClaimState)
+    fences: FenceState = field(default_factory=FenceState)
+    crashes: CrashState = field(default_factory=CrashState)
+    maps: MapState = field(default_factory=MapState)
+    documents: DocumentState = field(default_factory=DocumentState)
     roster: Roster = field(default_factory=Roster)
-    plans: PlanBook = field(default_factory=PlanBook)
+    plans: PlanState = field(default_factory=PlanState)
 
 
 class Machine:
-    """Executes the commands of the log in their order."""
+    """Executes the commands of the log in order."""
 
     def __init__(self, state: MachineState | None = None) -> None:
-        """Start empty, or with the state of a snapshot."""
+        """Start with an empty state, or with that of a snapshot."""
         self.state = state or MachineState()
 
     @classmethod
     def decode(cls, data: bytes) -> Machine:
-        """Restore a snapshot; raises ``msgspec.DecodeError`` on damage."""
+        """Restore a snapshot; raises ``msgspec.DecodeError`` if invalid."""
         return cls(msgpack.decode(data, type=MachineState))
 
     def encode(self) -> bytes:
-        """Return a snapshot with all dedupe tables."""
+        """Return a snapshot, including the tables for deduplication."""
         return msgpack.encode(self.state)
 
     def sizes(self) -> dict[str, int]:
-        """Return the revision and how much the tables hold."""
+        """Return the revision and the sizes of the tables."""
         state = self.state
         ledgers = state.claims.ledgers.values()
         return {
@@ -80,7 +80,7 @@
         }
 
     def execute(self, command: Command) -> Reply:
-        """Carry out one command; time in the state only grows."""
+        """Execute a command; the time of the state never decreases."""
         state = self.state
         routing = state.configuration.routing
         state.now = max(state.now, command.at)
@@ -113,7 +113,7 @@
     def _execute_for_hosts(
         self, command: PutDocument | RecordUpstream | DecideGroupPlan
     ) -> Reply:
-        """Carry out a command of entries that route by host and path."""
+        """Execute a command of entries that route by host and path."""
         match command:
             case PutDocument(req=req):
                 return self.state.documents.put(req)
--- a/src/snipebend/state/messages.py
+++ b/src/snipebend/state/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the control daemons' interface about the configuration."""
+"""Messages of the control daemons' API about the configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ApplyOutcome(Enum):
-    """What became of an ``apply``."""
+    """The outcome of an ``apply``."""
 
     ACCEPTED = 'accepted'
     CONFLICT = 'conflict'
@@ -18,10 +18,10 @@
 
 
 class ApplyRequest(Struct, frozen=True):
-    """Put a fleet file in force as a whole.
+    """Puts a complete fleet file in force.
 
-    ``change_id`` makes a resend safe; ``expected_revision`` is the revision
-    that the operator has seen.
+    ``change_id`` makes resends idempotent. ``expected_revision`` is the
+    revision on which the operator's change is based.
     """
 
     change_id: str
@@ -31,10 +31,10 @@
 
 
 class ApplyReply(Struct, frozen=True):
-    """The first answer to a change id, for all its resends.
+    """The first reply to a change id, repeated for all its resends.
 
-    ``revision`` is the revision in force after the change, or the winner's on
-    a conflict, whose file is then ``text``.
+    ``revision`` is the revision in force after the change. On a conflict it is
+    the revision of the change that won, and ``text`` is its file.
     """
 
     outcome: ApplyOutcome
@@ -44,15 +44,16 @@
 
 
 class ShowRequest(Struct, frozen=True):
-    """Ask what is in force."""
+    """Requests the configuration in force."""
 
 
 class ShowReply(Struct, frozen=True):
-    """The configuration in force; revision 0 and no text: none yet.
+    """The configuration in force; revision 0 without text if none yet.
 
-    ``confirmed`` holds the revisions of the processes whose configuration
-    lease may still run, ``lapsed`` those that fell silent. ``complete`` tells
-    whether the answering daemon has been up for a lease's time.
+    ``confirmed`` maps processes whose configuration lease may not have expired
+    to their revisions. ``lapsed`` lists processes whose lease has expired
+    without a new confirmation. ``complete`` is set if the replying daemon has
+    been running for at least the duration of a lease.
     """
 
     revision: int
@@ -63,9 +64,10 @@
 
 
 class WatchRequest(Struct, frozen=True):
-    """Ask for every configuration newer than ``revision``.
+    """Subscribes to all configurations newer than ``revision``.
 
-    ``full`` asks for the whole text first, after a delta that didn't fit.
+    ``full`` requests the complete text first, after a delta that could not be
+    applied.
     """
 
     process: str
@@ -74,12 +76,13 @@
 
 
 class Configuration(Struct, frozen=True):
-    """What is in force, on its way to a process.
+    """The configuration in force, as sent to a watching process.
 
-    A whole ``text``, a ``delta`` from revision ``base``, or neither: then
-    ``revision`` is still in force. ``checksum`` is that of the fleet.
-    ``elapsed_s`` counts from when the watch arrived, ``confirmed_ago_s`` from
-    when a quorum last confirmed that the sender was current; negative: never.
+    It contains the complete ``text`` or a ``delta`` from revision ``base``.
+    Without either, ``revision`` is still in force. ``checksum`` is that of the
+    fleet. ``elapsed_s`` is the time since the watch arrived at the sender,
+    ``confirmed_ago_s`` the time since a quorum last confirmed that the sender
+    was current; negative if it never has.
     """
 
     revision: int
--- a/src/snipebend/state/roster.py
+++ b/src/snipebend/state/roster.py
@@ -1,9 +1,10 @@
-"""The replicated roster of upstreams that announce themselves (pure).
+"""The replicated roster of upstreams that announce themselves.
 
-What was acknowledged about an upstream must outlive every control daemon: a
-leaving that was forgotten would send work to an upstream that is ending. An
-identity and the time of its start stand for one life of an upstream, and the
-phase of a life only grows. A later life under the same identity begins anew.
+An acknowledged announcement must survive the failure of every control daemon:
+if the announcement that an upstream is leaving were lost, work would be sent to
+an upstream that is shutting down. An identity and its start time identify one
+incarnation of an upstream, whose phase never goes back. A later incarnation
+under the same identity starts with the first phase. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 
 from msgspec import Struct
 
-#: Identities of ended upstreams that are remembered, so that a late
-#: announcement doesn't bring one back. At 2,200 restarts a day (the target
-#: size) they reach back more than a day.
-KEEP_ENDED = 4096
+#: Number of ended upstreams that are kept, so that a late announcement does not
+#: bring one back. At 2,200 restarts a day (the target size) that covers more
+#: than a day.
+MAX_ENDED = 4096
 
 
 class RosterPhase(IntEnum):
-    """How far an upstream's life is; it never goes back."""
+    """The phase of an upstream's incarnation; it never goes back."""
 
     READY = 0
     LEAVING = 1
@@ -28,26 +29,26 @@
 
 
 class UpstreamRecord(Struct, frozen=True):
-    """One life of an upstream, as it announced itself."""
+    """An incarnation of an upstream, as it announced itself."""
 
     identity: str
     service: str
-    #: ``host:port``; may belong to another identity later.
+    #: ``host:port``; can later be used by another identity.
     address: str
     data_center: str
-    #: Requests that it runs at the same time.
+    #: Number of requests that it runs concurrently.
     slots: int
     phase: RosterPhase = RosterPhase.READY
-    #: The roster's revision that this record came with.
+    #: The revision of the roster that added this record.
     revision: int = 0
-    #: Unix milliseconds of the life's start; 0: not told.
+    #: Start time of the incarnation in Unix milliseconds; 0 if not reported.
     born: int = 0
 
-    def is_news_after(self, known: UpstreamRecord | None) -> bool:
-        """Tell whether this adds to what is known of the identity.
+    def supersedes(self, known: UpstreamRecord | None) -> bool:
+        """Return whether this record replaces the known one of its identity.
 
-        What doesn't tell its start speaks of the life that is known. What
-        names another service than that life has speaks of somebody else.
+        A record without a start time refers to the known incarnation. A record
+        with another service than that incarnation refers to another upstream.
         """
         if known is None:
             return True
@@ -59,13 +60,13 @@
 
 
 class RecordRequest(Struct, frozen=True):
-    """Note an upstream, or a later phase of one."""
+    """Records an upstream, or a later phase of one."""
 
     upstream: UpstreamRecord
 
 
 class RecordReply(Struct, frozen=True):
-    """The phase that holds afterwards, at the roster's revision."""
+    """The phase in force afterwards, and the revision of the roster."""
 
     phase: RosterPhase
     revision: int
@@ -78,33 +79,40 @@
     upstreams: dict[str, UpstreamRecord] = {}
 
     def record(self, req: RecordRequest) -> RecordReply:
-        """Take over what is news about an upstream."""
-        told = req.upstream
-        known = self.upstreams.get(told.identity)
-        if known is not None and not told.is_news_after(known):
+        """Record an update of an upstream, unless it is outdated."""
+        update = req.upstream
+        known = self.upstreams.get(update.identity)
+        if known is not None and not update.supersedes(known):
             return RecordReply(known.phase, self.revision)
         self.revision += 1
-        source = told
-        if known is not None and known.address and told.born in {0, known.born}:
+        source = update
+        if (
+            known is not None
+            and known.address
+            and update.born in {0, known.born}
+        ):
             source = known
-        self.upstreams.pop(told.identity, None)
-        self.upstreams[told.identity] = UpstreamRecord(
-            told.identity,
+        self.upstreams.pop(update.identity, None)
+        self.upstreams[update.identity] = UpstreamRecord(
+            update.identity,
             source.service,
             source.address,
             source.data_center,
             source.slots,
-            told.phase,
+            update.phase,
             self.revision,
-            told.born or (known or told).born,
+            update.born or (known or update).born,
         )
-        self._forget()
-        return RecordReply(told.phase, self.revision)
+        self._drop_oldest_ended()
+        return RecordReply(update.phase, self.revision)
 
-    def since(self, revision: int, most: int) -> tuple[UpstreamRecord, ...]:
+    def records_since(
+        self, revision: int, max_records: int
+    ) -> tuple[UpstreamRecord, ...]:
         """Return the oldest records that are newer than a revision.
 
-        What is recorded goes to the end, so that they are in that order.
+        Each update moves a record to the end, so that the records are ordered
+        by revision.
         """
         newer = list(
             takewhile(
@@ -113,13 +121,13 @@
             )
         )
         newer.reverse()
-        return tuple(newer[:most])
+        return tuple(newer[:max_records])
 
-    def _forget(self) -> None:
+    def _drop_oldest_ended(self) -> None:
         ended = [
             record.identity
             for record in self.upstreams.values()
             if record.phase is RosterPhase.ENDED
         ]
-        for identity in ended[:-KEEP_ENDED]:
+        for identity in ended[:-MAX_ENDED]:
             self.upstreams.pop(identity)
--- a/src/snipebend/transport/followers.py
+++ b/src/snipebend/transport/followers.py
@@ -13,7 +13,10 @@
 from snipebend.fleet.lease import STALE_S
 from snipebend.fleet.lookup import FleetIndex
 from snipebend.kernel.service import Service
-from snipebend.state.followed import FollowedConfiguration, Taken
+from snipebend.state.followed_configuration import (
+    FollowedConfiguration,
+    UpdateResult,
+)
 from snipebend.state.messages import Configuration, WatchRequest
 from snipebend.transport.methods import WATCH
 from snipebend.transport.rpc_clients import RpcClients
@@ -69,7 +72,7 @@
 
         The fleet's ``stale_policy`` says what becomes of new work then.
         """
-        return self._copy.lapsed(now)
+        return self._copy.is_expired(now)
 
     async def wait_newer(self, revision: int, span_s: float) -> None:
         """Wait until a newer revision is in force here, or for the span."""
@@ -126,13 +129,13 @@
 
     def _take(self, message: Configuration, opened_at: float) -> bool:
         """Take in a message; return whether to go on with this daemon."""
-        taken = self._copy.take(message, opened_at)
-        self._needs_full = taken is Taken.MISSED
-        if taken is Taken.NEWER:
+        taken = self._copy.apply(message, opened_at)
+        self._needs_full = taken is UpdateResult.MISSED
+        if taken is UpdateResult.NEWER:
             self._changed.set()
             self._changed = asyncio.Event()
             logger.info('event=configuration revision={}', self.revision)
-        if taken is Taken.MISSED:
+        if taken is UpdateResult.MISSED:
             logger.warning('event=delta_missed revision={}', message.revision)
             return False
         return not self._is_stale(message)
--- a/src/snipebend/transport/host_keeper.py
+++ b/src/snipebend/transport/host_keeper.py
@@ -14,8 +14,12 @@
 from snipebend.hosts.parts import DocumentPart, DocumentShelf, PartRequest
 from snipebend.kernel.service import Service
 from snipebend.state.commands import PutDocument, RecordUpstream
-from snipebend.state.documents import DocumentBook, PutReply, PutRequest
-from snipebend.state.host_news import GroupStanding, HostNews, HostWatch
+from snipebend.state.documents import DocumentState, PutReply, PutRequest
+from snipebend.state.host_updates import (
+    HostUpdate,
+    HostWatchRequest,
+    UpstreamGroupStatus,
+)
 from snipebend.state.roster import RecordReply, RecordRequest
 from snipebend.transport.methods import FETCH_PART, WATCH_HOSTS
 from snipebend.transport.replicated_state import ReplicatedState
@@ -63,8 +67,8 @@
         self._stopping = False
         self._started = False
         #: The latest watch of each process.
-        self._watchers: dict[str, HostWatch] = {}
-        self._groups: dict[str, GroupStanding] = {}
+        self._watchers: dict[str, HostWatchRequest] = {}
+        self._groups: dict[str, UpstreamGroupStatus] = {}
         #: Grow with each change of what is told of groups, and of watchers.
         self._groups_changed = 0
         self._watchers_changed = 0
@@ -100,7 +104,7 @@
         }
 
     @property
-    def book(self) -> DocumentBook:
+    def book(self) -> DocumentState:
         """Return the document as this daemon has it, perhaps behind others."""
         return self._store.machine.state.documents
 
@@ -115,7 +119,7 @@
         )
         return reply
 
-    async def read(self) -> Result[DocumentBook, UnavailableError]:
+    async def read(self) -> Result[DocumentState, UnavailableError]:
         """Return the document that no other has overtaken by now."""
         try:
             machine = await self._store.read()
@@ -129,7 +133,7 @@
         """Note an upstream; only news is committed."""
         roster = self._store.machine.state.roster
         known = roster.upstreams.get(upstream.identity)
-        if known is not None and not upstream.is_news_after(known):
+        if known is not None and not upstream.supersedes(known):
             return Ok(RecordReply(known.phase, roster.revision))
         req = RecordRequest(upstream)
         reply = await self._execute(RecordUpstream(req, self._store.wall()))
@@ -144,7 +148,7 @@
         )
         return reply
 
-    def tell_group(self, standing: GroupStanding) -> None:
+    def tell_group(self, standing: UpstreamGroupStatus) -> None:
         """Note what a group of upstreams does; watchers are told at once."""
         if standing == self._groups.get(standing.group):
             return
@@ -171,7 +175,7 @@
         for group in tuple(self._groups):
             self.forget_group(group)
 
-    async def watch(self, req: HostWatch) -> AsyncIterator[HostNews]:
+    async def watch(self, req: HostWatchRequest) -> AsyncIterator[HostUpdate]:
         """Yield what is newer than the watcher's, and that nothing is."""
         logger.info(
             'event=watch_opened process={} number={} roster_revision={}',
@@ -217,7 +221,7 @@
             )
         return part
 
-    def _news_after(self, req: HostWatch, told: Told) -> HostNews:
+    def _news_after(self, req: HostWatchRequest, told: Told) -> HostUpdate:
         """Return what a watcher wasn't told yet."""
         state = self._store.machine.state
         group = self._store.group
@@ -225,13 +229,15 @@
         voters = group.replica.status.members.voters if group else ()
         book = state.documents
         inline = book.number > told.number and not req.fetches
-        upstreams = state.roster.since(told.revision, MOST_RECORDS)
+        upstreams = state.roster.records_since(told.revision, MOST_RECORDS)
         all_told = len(upstreams) < MOST_RECORDS
-        groups_hold = req.keeps_groups and told.groups == self._groups_changed
+        groups_unchanged = (
+            req.keeps_groups and told.groups == self._groups_changed
+        )
         entries = self._entries_after(told)
         told.groups = self._groups_changed
         told.watchers = self._watchers_changed
-        return HostNews(
+        return HostUpdate(
             book.number,
             state.roster.revision if all_told else upstreams[-1].revision,
             -1 if ago is None else ago,
@@ -239,12 +245,12 @@
             upstreams,
             tuple(member.address for member in voters),
             tuple(entry.gossip_address for entry in entries),
-            () if groups_hold else tuple(self._groups.values()),
-            groups_hold,
+            () if groups_unchanged else tuple(self._groups.values()),
+            groups_unchanged,
             tuple(entry.data_center for entry in entries),
         )
 
-    def _entries_after(self, told: Told) -> list[HostWatch]:
+    def _entries_after(self, told: Told) -> list[HostWatchRequest]:
         """Return the entries, unless a watch told of the same ones before."""
         if told.watchers == self._watchers_changed:
             return []
--- a/src/snipebend/transport/methods.py
+++ b/src/snipebend/transport/methods.py
@@ -24,7 +24,7 @@
 )
 from snipebend.state.expert_maps import DecideMapReply, MapDecision, MapQuery
 from snipebend.state.fences import FenceQuery, FenceReply, FenceRequest
-from snipebend.state.host_news import HostNews, HostWatch
+from snipebend.state.host_updates import HostUpdate, HostWatchRequest
 from snipebend.state.messages import (
     ApplyReply,
     ApplyRequest,
@@ -59,8 +59,8 @@
 )
 WATCH_HOSTS = Method(
     '/snipebend.Control/WatchHosts',
-    HostWatch,
-    HostNews,
+    HostWatchRequest,
+    HostUpdate,
     streams_replies=True,
 )
 FETCH_PART = Method('/snipebend.Control/FetchPart', PartRequest, DocumentPart)
--- a/tests/delivery/test_suspect_lease.py
+++ b/tests/delivery/test_suspect_lease.py
@@ -5,7 +5,7 @@
 from unittest import TestCase
 
 from snipebend.delivery.suspect_lease import NEWS_S, SuspectLease
-from snipebend.state.fence_book import FenceBook
+from snipebend.state.fence_state import FenceState
 
 _DEADLINE = 60.0
 _END = _DEADLINE + NEWS_S
@@ -15,7 +15,7 @@
     """Two entries' leases of one fingerprint, before one book."""
 
     def setUp(self) -> None:
-        self.book = FenceBook()
+        self.book = FenceState()
         self.mine = SuspectLease('bad', 'entry', _DEADLINE)
         self.other = SuspectLease('bad', 'other', _DEADLINE)
 
--- a/tests/delivery/world.py
+++ b/tests/delivery/world.py
@@ -15,7 +15,7 @@
 from snipebend.delivery.events import Arrived, CallerGone, DeadlineReached
 from snipebend.delivery.facts import RequestFacts
 from snipebend.delivery.guard import GuardLimits
-from snipebend.state.claim_book import ClaimBook
+from snipebend.state.claim_state import ClaimState
 from tests.delivery.driver import perform
 from tests.delivery.engines import break_all
 from tests.delivery.pieces import DEFAULT_MIX, Agent, Sending, Work
@@ -40,7 +40,7 @@
         self.mix = mix
         self.now: float = 0
         self.steps = 0
-        self.store = ClaimBook()
+        self.store = ClaimState()
         self.sendings: list[Sending] = []
         self.runs: list[Run] = []
         self.finals: Counter[str] = Counter()
--- a/tests/edge/test_blame.py
+++ b/tests/edge/test_blame.py
@@ -5,7 +5,7 @@
 import unittest
 
 from snipebend.relay.upstream_groups import LEFT_FOR_S
-from snipebend.state.host_news import GroupPhase, GroupStanding
+from snipebend.state.host_updates import GroupPhase, UpstreamGroupStatus
 from tests.edge.rig import read_answer, request, running
 from tests.edge.test_relay import answer
 
@@ -25,7 +25,7 @@
             writer.write(answer(req, b'', '503 Busy', lines))
 
         async with running(refuse) as relay:
-            standing = GroupStanding('g', 's', GroupPhase.OPEN, ('i-0',))
+            standing = UpstreamGroupStatus('g', 's', GroupPhase.OPEN, ('i-0',))
             relay.desk._upstreams.take_groups([standing])
             group = relay.desk._upstreams.find('i-0').group
             reader, writer = await relay.connect()
--- a/tests/edge/test_paces.py
+++ b/tests/edge/test_paces.py
@@ -20,7 +20,7 @@
 from snipebend.settings.model import ProcessSection
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
-from snipebend.state.pace_news import PacesTold
+from snipebend.state.step_times import StepTimesReport
 from snipebend.balancing.pace_listener import PaceListener
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import RpcServer
@@ -123,7 +123,7 @@
         _, listener = await self.listen()
 
         def tell(number, seconds):
-            told = PacesTold('e', 5.0, number, {'g': (1, seconds)})
+            told = StepTimesReport('e', 5.0, number, {'g': (1, seconds)})
             data = msgpack.encode(told)
             listener.datagram_received(data, ('127.0.0.1', 9))
 
--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -11,7 +11,7 @@
 from snipebend.orders.fencing import FenceGate
 from snipebend.orders.issuer import IssuerConfig, OrderIssuer
 from snipebend.orders.messages import EngineOrder
-from snipebend.state.fence_book import FenceBook
+from snipebend.state.fence_state import FenceState
 
 CFG = IssuerConfig()
 DRAFT = EngineOrder('load', 'g', 0, 0)
@@ -35,7 +35,7 @@
 
 class IssuerTest(unittest.TestCase):
     def test_waits_for_engines_that_ignore_fences(self) -> None:
-        book = FenceBook()
+        book = FenceState()
         old = OrderIssuer(CFG, 'g', 'old')
         new = OrderIssuer(CFG, 'g', 'new')
         old.note(book.take(old.request(0), 0))
@@ -77,7 +77,7 @@
     def __init__(self, seed: int, issuer: type[OrderIssuer]) -> None:
         self.rng = Random(seed)
         self.now = 0.0
-        self.book = FenceBook()
+        self.book = FenceState()
         self.kind = issuer
         self.issuers = [issuer(CFG, 'g', str(number)) for number in range(2)]
         # The leader's clock, which judges leases, is the true one.
--- a/tests/relay/test_choosing.py
+++ b/tests/relay/test_choosing.py
@@ -19,7 +19,7 @@
     Upstream,
     UpstreamTable,
 )
-from snipebend.state.host_news import GroupPhase, GroupStanding
+from snipebend.state.host_updates import GroupPhase, UpstreamGroupStatus
 from snipebend.state.roster import RosterPhase, UpstreamRecord
 
 WISH = Wish('dc-a')
@@ -160,7 +160,9 @@
     def test_control_tells_of_groups(self):
         """Also of a rank whose record comes later."""
         table = UpstreamTable()
-        down = GroupStanding('g', 's', GroupPhase.DOWN, ('a', 'b'), ('b',))
+        down = UpstreamGroupStatus(
+            'g', 's', GroupPhase.DOWN, ('a', 'b'), ('b',)
+        )
         table.take([UpstreamRecord('a', 's', '10.0.0.1:80', 'dc-a', 4)])
         table.take_groups([down])
         table.take([UpstreamRecord('b', 's', '10.0.0.2:80', 'dc-a', 4)])
--- a/tests/state/test_documents.py
+++ b/tests/state/test_documents.py
@@ -1,4 +1,4 @@
-"""The highest number wins."""
+"""The document with the highest number is in force."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TestDocuments(unittest.TestCase):
-    """Documents through the whole machine."""
+    """Commands that put documents in force."""
 
     def setUp(self):
         self.machine = Machine()
@@ -28,14 +28,14 @@
         self.assertEqual(self.put(9, b'nine'), PutReply(9, stored=True))
         self.assertEqual(self.machine.state.documents.body, b'nine')
 
-    def test_overtaken_and_resent_change_nothing(self):
+    def test_outdated_and_resent_documents_change_nothing(self):
         self.put(9, b'nine')
         for number in (4, 9):
             reply = self.put(number, b'other content')
             self.assertEqual(reply, PutReply(9, stored=False))
         self.assertEqual(self.machine.state.documents.body, b'nine')
 
-    def test_body_is_kept_byte_for_byte_through_a_snapshot(self):
+    def test_body_is_unchanged_in_a_snapshot(self):
         body = b'{"version": 7,\n  "x": "\xc3\xa4"}'
         self.put(7, body)
         restored = Machine.decode(self.machine.encode())
--- a/tests/state/test_followed.py
+++ b/tests/state/test_followed_configuration.py
@@ -1,4 +1,4 @@
-"""From the state through the feed to a process's copy, and its lease."""
+"""Configuration messages applied to a process's copy, and its lease."""
 
 from __future__ import annotations
 
@@ -16,9 +16,12 @@
 )
 from snipebend.fleet.rendering import render_fleet
 from snipebend.membership.confirmations import Confirmations
-from snipebend.state.configuration import KEEP_TEXTS, ConfigurationState
+from snipebend.state.configuration import MAX_TEXTS, ConfigurationState
 from snipebend.state.configuration_feed import ConfigurationFeed
-from snipebend.state.followed import FollowedConfiguration, Taken
+from snipebend.state.followed_configuration import (
+    FollowedConfiguration,
+    UpdateResult,
+)
 from snipebend.state.messages import ApplyRequest, Configuration
 
 
@@ -33,24 +36,24 @@
 
 
 class FollowedTest(unittest.TestCase):
-    """A copy is the state's fleet or is known to be missing something."""
+    """A copy equals the fleet in force, or detects that it is incomplete."""
 
     def setUp(self) -> None:
         self.state = ConfigurationState()
         self.feed = ConfigurationFeed()
         self.copy = FollowedConfiguration()
 
-    def take(self, *, full: bool = False) -> Taken:
+    def take(self, *, full: bool = False) -> UpdateResult:
         base = None if full else self.copy.revision
         message = self.feed.next_after(self.state, base)
-        return self.copy.take(over_the_wire(message), 0)
+        return self.copy.apply(over_the_wire(message), 0)
 
     def text(self) -> str:
         return render_fleet(self.copy.index.fleet) if self.copy.index else ''
 
     @settings(derandomize=True, deadline=None, max_examples=40)
     @given(st.lists(st.integers(0, 9), min_size=1, max_size=50), st.data())
-    def test_any_pace_leads_to_the_text_in_force(
+    def test_skipped_revisions_lead_to_the_text_in_force(
         self, numbers: list[int], data: st.DataObject
     ) -> None:
         self.setUp()
@@ -58,11 +61,11 @@
             apply(self.state, number)
             if data.draw(st.integers(0, 3)):
                 continue
-            self.assertIs(self.take(), Taken.NEWER)
+            self.assertIs(self.take(), UpdateResult.NEWER)
             self.assertEqual(self.text(), self.state.text)
             self.assertEqual(self.copy.revision, self.state.revision)
 
-    def test_small_change_is_a_small_delta_and_an_old_base_gets_the_text(
+    def test_known_base_gets_a_delta_and_an_old_base_the_text(
         self,
     ) -> None:
         apply(self.state, 0)
@@ -70,49 +73,49 @@
         apply(self.state, 1)
         message = self.feed.next_after(self.state, 1)
         self.assertEqual((message.text, message.base), ('', 1))
-        for number in range(KEEP_TEXTS):
+        for number in range(MAX_TEXTS):
             apply(self.state, number)
         restarted = ConfigurationFeed()
         message = restarted.next_after(self.state, 1)
         self.assertEqual(message.text, self.state.text)
 
-    def test_a_wrong_delta_is_noticed_and_mended(self) -> None:
+    def test_wrong_delta_is_detected_and_replaced_by_the_text(self) -> None:
         apply(self.state, 0)
         self.take()
         apply(self.state, 1)
         message = self.feed.next_after(self.state, 1)
         wrong = structs.replace(message, checksum=message.checksum ^ 1)
-        self.assertIs(self.copy.take(wrong, 0), Taken.MISSED)
+        self.assertIs(self.copy.apply(wrong, 0), UpdateResult.MISSED)
         other_base = structs.replace(message, base=0)
-        self.assertIs(self.copy.take(other_base, 0), Taken.MISSED)
+        self.assertIs(self.copy.apply(other_base, 0), UpdateResult.MISSED)
         self.assertEqual(self.copy.revision, 1)
-        self.assertIs(self.take(full=True), Taken.NEWER)
+        self.assertIs(self.take(full=True), UpdateResult.NEWER)
         self.assertEqual(self.text(), self.state.text)
 
-    def test_revisions_never_go_back(self) -> None:
+    def test_revision_never_decreases(self) -> None:
         apply(self.state, 0)
         apply(self.state, 1)
         self.take()
         older = ConfigurationState()
         apply(older, 5)
         stale = ConfigurationFeed().next_after(older, None)
-        self.assertIs(self.copy.take(stale, 0), Taken.SAME)
+        self.assertIs(self.copy.apply(stale, 0), UpdateResult.SAME)
         self.assertEqual(self.text(), self.state.text)
 
-    def test_lease_counts_from_the_confirmation_not_the_arrival(self) -> None:
+    def test_lease_starts_at_the_confirmation_not_the_arrival(self) -> None:
         apply(self.state, 0)
         message = self.feed.next_after(self.state, None)
         unconfirmed = structs.replace(message, elapsed_s=9)
-        self.copy.take(unconfirmed, opened_at=100)
-        self.assertTrue(self.copy.lapsed(100))
+        self.copy.apply(unconfirmed, opened_at=100)
+        self.assertTrue(self.copy.is_expired(100))
         dated = structs.replace(message, elapsed_s=9, confirmed_ago_s=2)
-        self.copy.take(dated, opened_at=100)
+        self.copy.apply(dated, opened_at=100)
         self.assertEqual(self.copy.lease_until, 112)
         late = structs.replace(message, elapsed_s=3, confirmed_ago_s=0)
-        self.copy.take(late, opened_at=100)
+        self.copy.apply(late, opened_at=100)
         self.assertEqual(self.copy.lease_until, 112)
-        self.assertFalse(self.copy.lapsed(111))
-        self.assertTrue(self.copy.lapsed(112))
+        self.assertFalse(self.copy.is_expired(111))
+        self.assertTrue(self.copy.is_expired(112))
 
     def test_shortest_lease_lasts_until_the_next_message(self) -> None:
         for lease_s, lapsed in (
@@ -127,23 +130,23 @@
                 message, elapsed_s=0, confirmed_ago_s=STALE_S
             )
             copy = FollowedConfiguration()
-            copy.take(oldest, opened_at=100)
+            copy.apply(oldest, opened_at=100)
             before_next = 100 + KEEPALIVE_S - 0.01
-            self.assertIs(copy.lapsed(before_next), lapsed)
+            self.assertIs(copy.is_expired(before_next), lapsed)
             self.feed = ConfigurationFeed()
 
 
 class ConfirmationsTest(unittest.TestCase):
-    """Only processes that may still trust their copy count."""
-
-    def test_silent_processes_lapse_and_are_forgotten(self) -> None:
-        heard = Confirmations(0, 5)
-        heard.note('a', 3, 1, 5)
-        heard.note('b', 4, 4, 5)
-        heard.note('b', 2, 5, 5)
-        self.assertFalse(heard.complete(4))
-        self.assertTrue(heard.complete(5))
-        self.assertEqual(heard.fresh(5), {'a': 3, 'b': 4})
-        self.assertEqual(heard.fresh(6), {'b': 4})
-        self.assertEqual(heard.lapsed(6), ('a',))
-        self.assertEqual(heard.lapsed(61), ('b',))
+    """Only processes whose lease has not expired are counted."""
+
+    def test_unresponsive_processes_expire_and_are_removed(self) -> None:
+        confirmations = Confirmations(0, 5)
+        confirmations.note('a', 3, 1, 5)
+        confirmations.note('b', 4, 4, 5)
+        confirmations.note('b', 2, 5, 5)
+        self.assertFalse(confirmations.complete(4))
+        self.assertTrue(confirmations.complete(5))
+        self.assertEqual(confirmations.fresh(5), {'a': 3, 'b': 4})
+        self.assertEqual(confirmations.fresh(6), {'b': 4})
+        self.assertEqual(confirmations.lapsed(6), ('a',))
+        self.assertEqual(confirmations.lapsed(61), ('b',))
--- a/tests/state/test_group_plans.py
+++ b/tests/state/test_group_plans.py
@@ -1,44 +1,44 @@
-"""One plan after the other for each group."""
+"""Each plan of a group must be based on the previous one."""
 
 from __future__ import annotations
 
 import unittest
 
-from snipebend.state.group_plans import GroupPlan, PlanBook, PlanRequest
+from snipebend.state.group_plans import GroupPlan, PlanRequest, PlanState
 
 FIRST = GroupPlan('g', 1, 1, (((0,), (1,)),))
 
 
 class TestPlanBook(unittest.TestCase):
-    """Which plans are decided."""
+    """Acceptance of plans."""
 
     def setUp(self):
-        self.book = PlanBook()
+        self.book = PlanState()
 
-    def test_a_plan_follows_the_one_its_maker_knew(self):
+    def test_plan_based_on_the_latest_is_accepted(self):
         self.assertTrue(self.book.decide(PlanRequest(FIRST, 0)).accepted)
         second = GroupPlan('g', 1, 2, FIRST.layers)
         self.assertTrue(self.book.decide(PlanRequest(second, 1)).accepted)
         self.assertEqual(self.book.latest('g'), second)
 
-    def test_of_two_makers_one_wins(self):
+    def test_first_of_two_competing_plans_is_accepted(self):
         self.book.decide(PlanRequest(FIRST, 0))
         rival = GroupPlan('g', 1, 1, (((1,), (0,)),))
         reply = self.book.decide(PlanRequest(rival, 0))
         self.assertFalse(reply.accepted)
         self.assertEqual(reply.plan, FIRST)
 
-    def test_a_resend_is_accepted_again(self):
+    def test_resend_is_accepted_again(self):
         self.book.decide(PlanRequest(FIRST, 0))
         self.assertTrue(self.book.decide(PlanRequest(FIRST, 0)).accepted)
 
-    def test_a_version_is_never_used_twice(self):
+    def test_version_is_never_reused(self):
         self.book.decide(PlanRequest(FIRST, 0))
         again = GroupPlan('g', 2, 1, FIRST.layers)
         self.assertFalse(self.book.decide(PlanRequest(again, 1)).accepted)
 
-    def test_versions_grow_over_all_groups(self):
-        """A rank may come from another group, and refuses what is lower."""
+    def test_versions_increase_across_groups(self):
+        """A rank that comes from another group rejects lower versions."""
         self.assertEqual(self.book.next_version, 1)
         self.book.decide(PlanRequest(FIRST, 0))
         other = GroupPlan('h', 1, self.book.next_version, FIRST.layers)
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine, command by command."""
+"""The commands of the replicated state machine."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 
 
 def claim(
-    request: str = 'r', attempt: int = 1, mark: str = 'f', at: float = 1
+    request: str = 'r', attempt: int = 1, fingerprint: str = 'f', at: float = 1
 ) -> Claim:
     holder = Holder(request, attempt, 'entry', 'u', '127.0.0.1:1', 7)
-    return Claim(ClaimRequest('w', 'k', mark, holder, 100), at)
+    return Claim(ClaimRequest('w', 'k', fingerprint, holder, 100), at)
 
 
 def settle(
@@ -67,12 +67,14 @@
     return Settle(req, 2)
 
 
-def crash(upstream: str, *marks: str, alone: bool = False) -> ReportCrash:
-    return ReportCrash(CrashReport(upstream, 1, marks, alone), 1)
+def crash(
+    upstream: str, *fingerprints: str, alone: bool = False
+) -> ReportCrash:
+    return ReportCrash(CrashReport(upstream, 1, fingerprints, alone), 1)
 
 
 class ConfigurationTest(unittest.TestCase):
-    """One of equal numbers wins; a change id has one outcome."""
+    """One of two competing changes wins; a change id has one outcome."""
 
     def test_race_resend_and_restart(self) -> None:
         machine = Machine()
@@ -90,9 +92,9 @@
         self.assertEqual(misused.outcome, ApplyOutcome.INVALID)
         self.assertEqual(machine.state.configuration.revision, 2)
 
-    def test_answers_outlast_both_bounds_and_no_more(self) -> None:
+    def test_replies_are_removed_after_both_limits(self) -> None:
         state = configuration.ConfigurationState()
-        state.answers['old'] = configuration.FirstAnswer(
+        state.answers['old'] = configuration.RecordedReply(
             msgspec.convert(
                 {'outcome': 'accepted', 'revision': 1},
                 configuration.ApplyReply,
@@ -100,7 +102,7 @@
             0,
             keep_until=50,
         )
-        state.revision = configuration.KEEP_REVISIONS + 1
+        state.revision = configuration.MIN_REPLY_REVISIONS + 1
         state.apply(ApplyRequest('x', 0, FLEET), now=50)
         self.assertIn('old', state.answers)
         state.revision += 1
@@ -111,7 +113,7 @@
 
 
 class ClaimTest(unittest.TestCase):
-    """A key has at most one attempt that may run."""
+    """At most one attempt of a key may run."""
 
     def verdicts(self, *commands: Command) -> list[Any]:
         machine = Machine()
@@ -121,10 +123,14 @@
             for reply in replies
         ]
 
-    def test_resend_is_idempotent_and_others_wait(self) -> None:
+    def test_resend_is_granted_again_and_others_are_not(self) -> None:
         self.assertEqual(
             self.verdicts(
-                claim(), claim(), claim(attempt=2), claim('s'), claim(mark='g')
+                claim(),
+                claim(),
+                claim(attempt=2),
+                claim('s'),
+                claim(fingerprint='g'),
             ),
             [
                 ClaimVerdict.GRANTED,
@@ -135,7 +141,9 @@
             ],
         )
 
-    def test_new_attempt_after_proof_only(self) -> None:
+    def test_new_attempt_only_after_proof_that_the_last_did_not_run(
+        self,
+    ) -> None:
         self.assertEqual(
             self.verdicts(
                 claim(),
@@ -165,7 +173,7 @@
             ],
         )
 
-    def test_answers_are_bounded_but_ran_stays(self) -> None:
+    def test_old_answers_are_evicted_but_settlements_kept(self) -> None:
         machine = Machine()
         answer = StoredAnswer(200, 'text/plain', b'x' * 262_144)
         for number in range(40):
@@ -181,7 +189,7 @@
         self.assertIs(ledger.claims['k7'].settlement, Settlement.RAN)
         self.assertIsNotNone(ledger.claims['k8'].answer)
 
-    def test_forgotten_after_expiry_only(self) -> None:
+    def test_claim_is_removed_only_after_its_expiry(self) -> None:
         self.assertEqual(
             self.verdicts(
                 claim(),
@@ -199,9 +207,9 @@
 
 
 class CrashTest(unittest.TestCase):
-    """Poison is stopped at the limit; those beside it are spared."""
+    """Crashing requests are quarantined, those that ran beside them not."""
 
-    def test_poison_is_quarantined_and_the_innocent_cleared(self) -> None:
+    def test_crashing_request_is_quarantined_and_others_cleared(self) -> None:
         machine = Machine()
         machine.execute(crash('u1', 'poison', 'beside'))
         machine.execute(crash('u1', 'poison', 'beside'))
@@ -215,7 +223,7 @@
         left = machine.execute(ClearSuspect(SuspectCleared('beside', 1), 2))
         self.assertEqual([one.fingerprint for one in left.suspects], ['poison'])
 
-    def test_shared_deaths_never_quarantine(self) -> None:
+    def test_shared_crashes_never_quarantine(self) -> None:
         machine = Machine()
         for number in range(5):
             upstream = f'u{number}'
@@ -230,7 +238,7 @@
         }
         self.assertEqual(quarantines['b'], 0)
 
-    def test_a_repeat_after_the_quarantine_is_stopped_at_once(self) -> None:
+    def test_crash_after_the_quarantine_renews_it_at_once(self) -> None:
         machine = Machine()
         machine.execute(crash('u1', 'p', alone=True))
         machine.execute(crash('u2', 'p', alone=True))
@@ -240,7 +248,7 @@
 
 
 class FenceAndMapTest(unittest.TestCase):
-    """Fences grow; a decision needs the fence in force."""
+    """Fences increase; a decision requires the fence in force."""
 
     def test_take_renew_and_decide(self) -> None:
         machine = Machine()
@@ -264,7 +272,9 @@
         self.assertEqual(take('a', 12, 6, renews=1).fence, 1)
         restarted = take('a', 14, 7)
         self.assertEqual((restarted.fence, restarted.not_before), (2, 12))
-        self.assertFalse(decide(1, 2), 'the incarnation has not begun')
+        self.assertFalse(
+            decide(1, 2), 'accepted before the incarnation was committed'
+        )
         self.assertTrue(change(2, Bump(1, 0)))
         self.assertTrue(decide(1, 2))
         self.assertTrue(decide(1, 2))
@@ -276,9 +286,9 @@
         )
         self.assertFalse(decide(2, 2))
         self.assertTrue(change(3, Abort(2)))
-        self.assertFalse(decide(2, 3), 'an aborted version stays so')
+        self.assertFalse(decide(2, 3), 'accepted an aborted version')
         self.assertTrue(decide(3, 3))
-        self.assertFalse(change(3, Abort(3)), 'a decided version stays so')
+        self.assertFalse(change(3, Abort(3)), 'aborted a decided version')
         self.assertEqual(machine.state.maps.read('g').record.settled, 3)
 
 
@@ -308,11 +318,13 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    """A snapshot at any point changes no later reply."""
+    """A restored snapshot does not change any later reply."""
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(st.lists(_COMMANDS, max_size=20), st.integers(0, 20))
-    def test_snapshot_anywhere(self, commands: list[Any], cut: int) -> None:
+    def test_snapshot_between_any_commands(
+        self, commands: list[Any], cut: int
+    ) -> None:
         whole = Machine()
         halved = Machine()
         for number, command in enumerate(commands):
--- a/tests/transport/test_host_keeper.py
+++ b/tests/transport/test_host_keeper.py
@@ -5,7 +5,11 @@
 import unittest
 from contextlib import AsyncExitStack, aclosing
 
-from snipebend.state.host_news import GroupPhase, GroupStanding, HostWatch
+from snipebend.state.host_updates import (
+    GroupPhase,
+    HostWatchRequest,
+    UpstreamGroupStatus,
+)
 from snipebend.transport import host_keeper
 from tests.edge.document_rig import Daemon
 
@@ -20,7 +24,7 @@
         self.keeper = self.daemon.keeper
 
     async def first_news(self, *, fetches):
-        watch = HostWatch('e', 0, 0, fetches=fetches)
+        watch = HostWatchRequest('e', 0, 0, fetches=fetches)
         async with aclosing(self.keeper.watch(watch)) as news:
             return await anext(news)
 
@@ -33,17 +37,17 @@
 
     async def test_the_end_of_an_old_watch_leaves_the_new_one(self):
         """Else the others forget an entry that lives, and its calls."""
-        old = self.keeper.watch(HostWatch('e', 0, 0, '10.0.0.1:7'))
+        old = self.keeper.watch(HostWatchRequest('e', 0, 0, '10.0.0.1:7'))
         await anext(old)
-        new = self.keeper.watch(HostWatch('e', 0, 0, '10.0.0.1:8'))
+        new = self.keeper.watch(HostWatchRequest('e', 0, 0, '10.0.0.1:8'))
         await anext(new)
         await old.aclose()
         third = self.keeper.watch(
-            HostWatch('f', 0, 0, '10.0.0.2:7', data_center='dc-b')
+            HostWatchRequest('f', 0, 0, '10.0.0.2:7', data_center='dc-b')
         )
         told = await anext(third)
         self.assertEqual(
-            dict(zip(told.entries, told.entry_places, strict=True)),
+            dict(zip(told.entries, told.entry_data_centers, strict=True)),
             {'10.0.0.1:8': '', '10.0.0.2:7': 'dc-b'},
         )
         await new.aclose()
@@ -58,7 +62,7 @@
         revision = 0
         pieces = 0
         while revision < count:
-            watch = HostWatch('e', 0, revision, fetches=True)
+            watch = HostWatchRequest('e', 0, revision, fetches=True)
             async with aclosing(self.keeper.watch(watch)) as news:
                 told = await anext(news)
             self.assertLessEqual(len(told.upstreams), host_keeper.MOST_RECORDS)
@@ -73,9 +77,11 @@
 
         With 1,000 upstreams and 100 entries that made 17 kB of a sign of life.
         """
-        standing = GroupStanding('g', 's', GroupPhase.OPEN, ('i-1', 'i-2'))
+        standing = UpstreamGroupStatus(
+            'g', 's', GroupPhase.OPEN, ('i-1', 'i-2')
+        )
         self.keeper.tell_group(standing)
-        watch = HostWatch('e', 0, 0, '10.0.0.1:7', keeps_groups=True)
+        watch = HostWatchRequest('e', 0, 0, '10.0.0.1:7', keeps_groups=True)
         async with aclosing(self.keeper.watch(watch)) as news:
             first = await anext(news)
             self.assertEqual(first.groups, (standing,))
@@ -83,24 +89,28 @@
             self.daemon.record('i-1')
             second = await anext(news)
             self.assertEqual((second.groups, second.entries), ((), ()))
-            self.assertTrue(second.groups_hold)
+            self.assertTrue(second.groups_unchanged)
             self.keeper.forget_groups()
             third = await anext(news)
-            self.assertEqual((third.groups, third.groups_hold), ((), False))
+            self.assertEqual(
+                (third.groups, third.groups_unchanged), ((), False)
+            )
 
     async def test_earlier_versions_are_told_of_groups_each_time(self):
-        standing = GroupStanding('g', 's', GroupPhase.OPEN, ('i-1', 'i-2'))
+        standing = UpstreamGroupStatus(
+            'g', 's', GroupPhase.OPEN, ('i-1', 'i-2')
+        )
         self.keeper.tell_group(standing)
-        watch = HostWatch('e', 0, 0, '10.0.0.1:7')
+        watch = HostWatchRequest('e', 0, 0, '10.0.0.1:7')
         async with aclosing(self.keeper.watch(watch)) as news:
             for number in range(2):
                 told = await anext(news)
                 self.assertEqual(told.groups, (standing,))
-                self.assertFalse(told.groups_hold)
+                self.assertFalse(told.groups_unchanged)
                 self.daemon.record(f'i-{number}')
 
     async def test_changes_that_come_together_are_told_together(self):
-        watch = HostWatch('e', 0, 0, '10.0.0.1:7')
+        watch = HostWatchRequest('e', 0, 0, '10.0.0.1:7')
         async with aclosing(self.keeper.watch(watch)) as news:
             await anext(news)
             for number in range(50):
