--- a/src/snipebend/consensus/durability.py
+++ b/src/snipebend/consensus/durability.py
@@ -47,8 +47,8 @@
 
     def mark_entries_changed(self, first_index: int) -> None:
         """Include the log from ``first_index`` on in the next ``Persist``."""
-        known = self._changed_from
-        if known is None or first_index < known:
+        changed_from = self._changed_from
+        if changed_from is None or first_index < changed_from:
             self._changed_from = first_index
         self._invalidate_from(first_index)
 
--- a/src/snipebend/consensus/elections.py
+++ b/src/snipebend/consensus/elections.py
@@ -162,8 +162,8 @@
 
 
 def _all_restarted(node: Node) -> bool:
-    known = node.restarted_voters
-    return known is not None and known.issuperset(node.voters)
+    restarted = node.restarted_voters
+    return restarted is not None and restarted.issuperset(node.voters)
 
 
 def _is_eligible_candidate(node: Node) -> bool:
--- a/src/snipebend/consensus/follower.py
+++ b/src/snipebend/consensus/follower.py
@@ -129,10 +129,10 @@
 
 def _merge_entries(node: Node, entries: tuple[LogEntry, ...]) -> None:
     for position, entry in enumerate(entries):
-        known = node.log.term_at(entry.index)
-        if known == entry.term:
+        local_term = node.log.term_at(entry.index)
+        if local_term == entry.term:
             continue
-        if known is not None:
+        if local_term is not None:
             node.truncate_from(entry.index)
         node.append(entries[position:])
         return
--- a/src/snipebend/consensus/log.py
+++ b/src/snipebend/consensus/log.py
@@ -83,8 +83,8 @@
         """
         probe = min(index, self.last_index)
         while probe > self.base_index:
-            known = self.term_at(probe)
-            if known is not None and known <= term:
+            probe_term = self.term_at(probe)
+            if probe_term is not None and probe_term <= term:
                 break
             probe -= 1
         return probe
--- a/src/snipebend/consensus/log_sender.py
+++ b/src/snipebend/consensus/log_sender.py
@@ -44,11 +44,11 @@
     latest = node.members.latest
     expected = {one.member_id for one in latest.voters + latest.learners}
     expected.discard(node.member_id)
-    known = leadership.progress
-    for member_id in sorted(expected.difference(known)):
-        known[member_id] = Progress(node.log.last_index + 1)
-    for member_id in sorted(set(known).difference(expected)):
-        known.pop(member_id)
+    tracked = leadership.progress
+    for member_id in sorted(expected.difference(tracked)):
+        tracked[member_id] = Progress(node.log.last_index + 1)
+    for member_id in sorted(set(tracked).difference(expected)):
+        tracked.pop(member_id)
 
 
 def on_snapshot_loaded(node: Node, event: SnapshotLoaded) -> None:
--- a/src/snipebend/consensus/members.py
+++ b/src/snipebend/consensus/members.py
@@ -53,8 +53,8 @@
 
     def at(self, index: int) -> Members:
         """Return the members as of ``index``, which must not be dropped."""
-        known = [one for one in self._versions if one.since_index <= index]
-        return known[-1].members
+        versions = [one for one in self._versions if one.since_index <= index]
+        return versions[-1].members
 
     def append(self, entries: Iterable[LogEntry]) -> None:
         """Record the changes of members among the entries."""
--- a/src/snipebend/consensus/reads.py
+++ b/src/snipebend/consensus/reads.py
@@ -95,10 +95,10 @@
 
 
 def _majority_round(node: Node, leadership: Leadership) -> int:
-    answered = [
+    acked_rounds = [
         leadership.progress[voter].acked_round
         if voter != node.member_id
         else leadership.rounds.number
         for voter in node.voters
     ]
-    return reached_by_majority(answered)
+    return reached_by_majority(acked_rounds)
--- a/src/snipebend/state/claims.py
+++ b/src/snipebend/state/claims.py
@@ -15,7 +15,7 @@
 class ClaimVerdict(Enum):
     """The result of a claim."""
 
-    #: The attempt may be sent to the named upstream.
+    #: The attempt can be sent to the upstream of ``holder``.
     GRANTED = 'granted'
     #: An earlier attempt is not settled; ``holder`` identifies it.
     IN_PROGRESS = 'in-progress'
--- a/src/snipebend/state/crash_state.py
+++ b/src/snipebend/state/crash_state.py
@@ -35,8 +35,8 @@
 
     def counts_against(self, fingerprint: str) -> bool:
         """Return whether the crash counts against a request."""
-        known = fingerprint in self.fingerprints
-        return known and fingerprint not in self.cleared
+        was_running = fingerprint in self.fingerprints
+        return was_running and fingerprint not in self.cleared
 
 
 class CrashState(Struct):
--- a/src/snipebend/state/roster.py
+++ b/src/snipebend/state/roster.py
@@ -44,19 +44,23 @@
     #: Start time of the incarnation in Unix milliseconds; 0 if not reported.
     born: int = 0
 
-    def supersedes(self, known: UpstreamRecord | None) -> bool:
+    def supersedes(self, existing: UpstreamRecord | None) -> bool:
         """Return whether this record replaces the known one of its identity.
 
         A record without a start time refers to the known incarnation. A record
         with another service than that incarnation refers to another upstream.
         """
-        if known is None:
+        if existing is None:
             return True
-        if self.born and self.born != known.born:
-            return self.born > known.born
-        if self.service and known.service and self.service != known.service:
+        if self.born and self.born != existing.born:
+            return self.born > existing.born
+        if (
+            self.service
+            and existing.service
+            and self.service != existing.service
+        ):
             return False
-        return self.phase > known.phase
+        return self.phase > existing.phase
 
 
 class RecordRequest(Struct, frozen=True):
@@ -81,17 +85,17 @@
     def record(self, req: RecordRequest) -> RecordReply:
         """Record an update of an upstream, unless it is outdated."""
         update = req.upstream
-        known = self.upstreams.get(update.identity)
-        if known is not None and not update.supersedes(known):
-            return RecordReply(known.phase, self.revision)
+        existing = self.upstreams.get(update.identity)
+        if existing is not None and not update.supersedes(existing):
+            return RecordReply(existing.phase, self.revision)
         self.revision += 1
         source = update
         if (
-            known is not None
-            and known.address
-            and update.born in {0, known.born}
+            existing is not None
+            and existing.address
+            and update.born in {0, existing.born}
         ):
-            source = known
+            source = existing
         self.upstreams.pop(update.identity, None)
         self.upstreams[update.identity] = UpstreamRecord(
             update.identity,
@@ -101,7 +105,7 @@
             source.slots,
             update.phase,
             self.revision,
-            update.born or (known or update).born,
+            update.born or (existing or update).born,
         )
         self._drop_oldest_ended()
         return RecordReply(update.phase, self.revision)
--- a/tests/consensus/checker.py
+++ b/tests/consensus/checker.py
@@ -35,8 +35,8 @@
         Late votes can still elect a leader when a later term has already
         committed entries, so only entries of earlier terms are compared.
         """
-        known = self.leaders.setdefault(term, member_id)
-        _require(known == member_id, f'two leaders in term {term}')
+        leader = self.leaders.setdefault(term, member_id)
+        _require(leader == member_id, f'two leaders in term {term}')
         base = core.status().base_index
         for index, entry in self.committed.items():
             if index > base and self.commit_terms[index] < term:
@@ -46,9 +46,9 @@
     def on_commit(self, applied: int, entry: LogEntry, term: int) -> None:
         """Check that entries are applied in order, once, and agree."""
         _require(entry.index == applied + 1, 'applied out of order')
-        known = self.committed.setdefault(entry.index, entry)
+        first = self.committed.setdefault(entry.index, entry)
         self.commit_terms.setdefault(entry.index, term)
-        _require(known == entry, f'two entries committed at {entry.index}')
+        _require(first == entry, f'two entries committed at {entry.index}')
         command = entry.kind is EntryKind.COMMAND
         was_rejected = command and entry.payload in self.rejected
         _require(
--- a/tests/consensus/faults.py
+++ b/tests/consensus/faults.py
@@ -108,8 +108,8 @@
     """Treat the restart of a majority as a restart of all voters."""
 
     def all_restarted(node: Node) -> bool:
-        known = node.restarted_voters or set()
-        return len(known.intersection(node.voters)) * 2 > len(node.voters)
+        restarted = node.restarted_voters or set()
+        return len(restarted.intersection(node.voters)) * 2 > len(node.voters)
 
     return mock.patch(f'{CORE}.elections._all_restarted', all_restarted)
 
--- a/tests/consensus/schedule.py
+++ b/tests/consensus/schedule.py
@@ -152,7 +152,7 @@
             self._cut_off({self.rng.choice(leaders).name})
 
     def _cut_from_leaders(self) -> None:
-        """Cut one member off from the leaders only."""
+        """Cut one member off from the leaders; others stay connected."""
         isolated = self.rng.choice(self.world.hosts).name
         leading = {host.name for host in self.world.leaders()}
         self.world.is_cut = lambda source, target: (
@@ -209,7 +209,7 @@
         host.sync_done_at = max(host.sync_done_at, stalled_until)
 
     def _wipe(self) -> None:
-        """Wipe a disk, unless a change of the members is pending."""
+        """Wipe a disk, unless another member is still being replaced."""
         host = self.rng.choice(self.world.hosts)
         repairing = self.leaving or self.joining
         if repairing or len(self._members().voters) < 3:
@@ -261,7 +261,10 @@
         return self.observed_members
 
     def _run_operator(self) -> None:
-        """Propose the changes that lead to the required members."""
+        """Propose the changes that lead to the required members.
+
+        Only one at a time, unless the plan has concurrent changes.
+        """
         for host in self.world.leaders():
             changes = self._required_changes(host.core.status().members)
             self.rng.shuffle(changes)
--- a/tests/consensus/test_core.py
+++ b/tests/consensus/test_core.py
@@ -65,8 +65,8 @@
 
     def _assert_restart_probe(self, core: Core) -> None:
         """Check that the member asks whether the other voters restarted."""
-        asked = _sent(core.step(evt.Tick(), 0.25, RNG))
-        self.assertEqual(asked, 2 * [msg.PreVoteRequest(2, 1, 1, True)])
+        sent = _sent(core.step(evt.Tick(), 0.25, RNG))
+        self.assertEqual(sent, 2 * [msg.PreVoteRequest(2, 1, 1, True)])
 
     def _starts_election(self, actions: list[act.Action]) -> bool:
         return any(isinstance(one, act.Persist) for one in actions)
@@ -116,8 +116,8 @@
     def test_a_majority_suffices_for_an_election(self) -> None:
         """Two of five members lost their disks and cannot report a restart."""
         core = _core(_entry(1, 1), process_started_at=-CFG.election_timeout_s)
-        asked = _sent(core.step(evt.Tick(), 0.25, RNG))
-        self.assertEqual(asked, 2 * [msg.PreVoteRequest(2, 1, 1)])
+        sent = _sent(core.step(evt.Tick(), 0.25, RNG))
+        self.assertEqual(sent, 2 * [msg.PreVoteRequest(2, 1, 1)])
         agreed = msg.PreVoteReply(2, granted=True)
         started = _feed(core, agreed, 0.26)
         self.assertTrue(any(isinstance(one, act.Persist) for one in started))
@@ -125,21 +125,23 @@
     def test_vote_is_granted_immediately(self) -> None:
         request = msg.PreVoteRequest(2, 1, 1)
         granted = msg.PreVoteReply(2, granted=True)
-        early = _core(_entry(1, 1), process_started_at=-CFG.election_timeout_s)
-        self.assertEqual(_sent(_feed(early, request, 0.01)), [granted])
-        fresh = _core(_entry(1, 1))
-        refused = msg.PreVoteReply(1, granted=False)
-        self.assertEqual(_sent(_feed(fresh, request, 0.01)), [refused])
+        started_before = _core(
+            _entry(1, 1), process_started_at=-CFG.election_timeout_s
+        )
+        self.assertEqual(_sent(_feed(started_before, request, 0.01)), [granted])
+        just_started = _core(_entry(1, 1))
+        rejected = msg.PreVoteReply(1, granted=False)
+        self.assertEqual(_sent(_feed(just_started, request, 0.01)), [rejected])
 
     def test_partitioned_member_returns_to_the_usual_timeout(self) -> None:
         core = _core(_entry(1, 1), process_started_at=-CFG.election_timeout_s)
         moments = [0.01 * number for number in range(1000)]
-        asked = [
+        sent = [
             moment
             for moment in moments
             if _sent(core.step(evt.Tick(), moment, RNG))
         ]
-        usual = [at for at in asked if at > FAST_ELECTION_TIMEOUTS]
+        usual = [at for at in sent if at > FAST_ELECTION_TIMEOUTS]
         self.assertLessEqual(len(usual), 8)
 
 
@@ -149,9 +151,9 @@
     def test_a_vote_waits_for_its_write(self) -> None:
         """The reply is sent only after term and vote are synced."""
         core = _core()
-        asked = _feed(core, msg.VoteRequest(2, 0, 0), 5)
-        self.assertEqual(_sent(asked), [])
-        write = _only([one for one in asked if isinstance(one, act.Persist)])
+        sent = _feed(core, msg.VoteRequest(2, 0, 0), 5)
+        self.assertEqual(_sent(sent), [])
+        write = _only([one for one in sent if isinstance(one, act.Persist)])
         self.assertEqual(write.hard_state, HardState(2, 'b'))
         synced = core.step(evt.Persisted(write.sequence), 5, RNG)
         self.assertEqual(_sent(synced), [msg.VoteReply(2, granted=True)])
@@ -167,8 +169,8 @@
         self.assertEqual(_feed(core, request, 0.9, 'c'), [])
         _feed(core, msg.AppendRequest(1, 0, 0, 0, 1), 2)
         self.assertEqual(_feed(core, request, 2.9, 'c'), [])
-        asked = _sent(_feed(core, msg.PreVoteRequest(2, 5, 1), 2.9, 'c'))
-        self.assertEqual(asked, [msg.PreVoteReply(1, granted=False)])
+        sent = _sent(_feed(core, msg.PreVoteRequest(2, 5, 1), 2.9, 'c'))
+        self.assertEqual(sent, [msg.PreVoteReply(1, granted=False)])
         handed = msg.VoteRequest(2, 5, 1, hand_over=True)
         self.assertEqual(len(_feed(core, handed, 2.9, 'c')), 2)
 
@@ -185,8 +187,8 @@
     def test_messages_for_another_identity_are_dropped(self) -> None:
         """A new identity must not reply for the old one at its address."""
         core = _core()
-        old = msg.Envelope('b', 'a-before', msg.VoteRequest(9, 9, 9))
-        self.assertEqual(core.step(evt.Received(old), 5, RNG), [])
+        envelope = msg.Envelope('b', 'a-before', msg.VoteRequest(9, 9, 9))
+        self.assertEqual(core.step(evt.Received(envelope), 5, RNG), [])
 
     def test_snapshot_is_installed_after_the_writes_of_its_step(self) -> None:
         """Otherwise entries of the old log would follow the snapshot."""
@@ -234,13 +236,15 @@
         """Another member leads at once; proposals are rejected meanwhile."""
         before = self.world.propose(self.leader)
         self.world.feed(self.leader, evt.HandOver())
-        refused = self.world.propose(self.leader)
+        rejected = self.world.propose(self.leader)
         self.run_for(0.2)
         successor = _only(self.world.leaders())
         self.assertIsNot(successor, self.leader)
-        self.assertIsInstance(self.world.answers[before], act.ProposalCommitted)
+        self.assertIsInstance(
+            self.world.outcomes[before], act.ProposalCommitted
+        )
         self.assertEqual(
-            self.world.answers[refused], act.RejectReason.HANDING_OVER
+            self.world.outcomes[rejected], act.RejectReason.HANDING_OVER
         )
 
     def test_hand_over_ends_at_its_deadline(self) -> None:
@@ -251,7 +255,7 @@
         self.run_for(1.5)
         later = self.world.propose(self.leader)
         self.run_for(0.5)
-        self.assertIsInstance(self.world.answers[later], act.ProposalCommitted)
+        self.assertIsInstance(self.world.outcomes[later], act.ProposalCommitted)
 
     def test_isolated_leader_reports_unknown_then_not_leader(self) -> None:
         """Appended entries may still commit; rejected proposals never do."""
@@ -259,9 +263,9 @@
         self.world.is_cut = lambda source, target: isolated in {source, target}
         appended = self.world.propose(self.leader)
         self.run_for(2)
-        refused = self.world.propose(self.leader)
+        rejected = self.world.propose(self.leader)
         self.assertEqual(
-            [self.world.answers[one] for one in (appended, refused)],
+            [self.world.outcomes[one] for one in (appended, rejected)],
             [act.RejectReason.UNKNOWN, act.RejectReason.NOT_LEADER],
         )
 
@@ -271,7 +275,7 @@
         proposed = self.world.propose(self.leader)
         self.run_for(0.2)
         self.assertIsInstance(
-            self.world.answers[proposed], act.ProposalCommitted
+            self.world.outcomes[proposed], act.ProposalCommitted
         )
         self.world.read(self.leader)
         self.run_for(0.2)
@@ -289,7 +293,7 @@
         self.leader.sync_done_at = 0
         self.run_for(3)
         self.assertIsInstance(
-            self.world.answers[proposed], act.ProposalCommitted
+            self.world.outcomes[proposed], act.ProposalCommitted
         )
         self.assertGreaterEqual(self.leader.applied, applied)
 
@@ -320,30 +324,32 @@
 
     def test_learner_is_promoted_only_after_it_has_caught_up(self) -> None:
         """An unresponsive learner is not promoted; one with all entries is."""
-        fresh = Member('h9-0', 'h9', '')
-        self._change('add', evt.AddLearner(fresh))
+        learner = Member('h9-0', 'h9', '')
+        self._change('add', evt.AddLearner(learner))
         self.run_for(0.5)
         self._change('early', evt.PromoteLearner('h9-0'))
-        self.world.add_host(fresh, Members())
+        self.world.add_host(learner, Members())
         self.run_for(1)
         self._change('late', evt.PromoteLearner('h9-0'))
         again = self._change('again', evt.RemoveMember('h9-0'))
         self.run_for(0.5)
         self.assertEqual(
-            self.world.answers['early'], act.RejectReason.NOT_CAUGHT_UP
+            self.world.outcomes['early'], act.RejectReason.NOT_CAUGHT_UP
         )
         self.assertEqual(again, act.RejectReason.CHANGE_IN_PROGRESS)
-        self.assertIsInstance(self.world.answers['late'], act.ProposalCommitted)
+        self.assertIsInstance(
+            self.world.outcomes['late'], act.ProposalCommitted
+        )
 
     def test_removed_leader_is_succeeded_by_a_member(self) -> None:
         """It leads until its removal is committed, then steps down."""
         self._change('out', evt.RemoveMember(self.leader.member.member_id))
         self.run_for(0.5)
-        self.assertIsInstance(self.world.answers['out'], act.ProposalCommitted)
+        self.assertIsInstance(self.world.outcomes['out'], act.ProposalCommitted)
         successor = _only(self.world.leaders())
         self.assertIsNot(successor, self.leader)
 
     def _change(self, proposal_id: str, change: evt.MembersChange) -> object:
         event = evt.MembersProposed(proposal_id, change)
         self.world.feed(self.leader, event)
-        return self.world.answers.get(proposal_id)
+        return self.world.outcomes.get(proposal_id)
--- a/tests/consensus/world.py
+++ b/tests/consensus/world.py
@@ -117,16 +117,16 @@
 class World:
     """Hosts, network and virtual time; the checker verifies every step."""
 
-    #: Planted fault: number of election timeouts by which processes assume to
-    #: have started too early.
+    #: Planted fault: number of election timeouts by which the start time that
+    #: processes assume is too early.
     start_error_timeouts = 0.0
 
     def __init__(self, seed: int, cfg: CoreConfig, voters: int) -> None:
         """Create a group of ``voters`` founding members."""
         self.rng = random.Random(seed)
         self.cfg = cfg
-        #: For the start times of processes: between the end of the previous
-        #: process and the first step of the new one.
+        #: Chooses the start times of processes, which lie between the end of
+        #: the previous process and the first step of the new one.
         self._start_time_rng = random.Random(seed)
         self.checker = Checker()
         self.now = 0.0
@@ -139,7 +139,7 @@
         self.delay = (0.001, 0.005)
         self.sync_delay = (0.001, 0.01)
         self.is_cut: Callable[[str, str], bool] = lambda source, target: False
-        self.answers: dict[str, act.ProposalCommitted | act.RejectReason] = {}
+        self.outcomes: dict[str, act.ProposalCommitted | act.RejectReason] = {}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = iter(range(1 << 60))
         self.hosts: list[Host] = []
@@ -297,10 +297,10 @@
         match action:
             case act.ProposalCommitted(proposal_id, index):
                 self.checker.on_acknowledged(index, proposal_id)
-                self.answers[proposal_id] = action
+                self.outcomes[proposal_id] = action
             case act.ProposalRejected(proposal_id, _, reason):
                 self.checker.on_rejected(action)
-                self.answers[proposal_id] = reason
+                self.outcomes[proposal_id] = reason
 
     def _send(self, host: Host, envelope: Envelope) -> None:
         wire = msgspec.msgpack.encode(envelope)
--- a/tests/state/test_group_plans.py
+++ b/tests/state/test_group_plans.py
@@ -13,34 +13,34 @@
     """Acceptance of plans."""
 
     def setUp(self):
-        self.book = PlanState()
+        self.plans = PlanState()
 
     def test_plan_based_on_the_latest_is_accepted(self):
-        self.assertTrue(self.book.decide(PlanRequest(FIRST, 0)).accepted)
+        self.assertTrue(self.plans.decide(PlanRequest(FIRST, 0)).accepted)
         second = GroupPlan('g', 1, 2, FIRST.layers)
-        self.assertTrue(self.book.decide(PlanRequest(second, 1)).accepted)
-        self.assertEqual(self.book.latest('g'), second)
+        self.assertTrue(self.plans.decide(PlanRequest(second, 1)).accepted)
+        self.assertEqual(self.plans.latest('g'), second)
 
     def test_first_of_two_competing_plans_is_accepted(self):
-        self.book.decide(PlanRequest(FIRST, 0))
+        self.plans.decide(PlanRequest(FIRST, 0))
         rival = GroupPlan('g', 1, 1, (((1,), (0,)),))
-        reply = self.book.decide(PlanRequest(rival, 0))
+        reply = self.plans.decide(PlanRequest(rival, 0))
         self.assertFalse(reply.accepted)
         self.assertEqual(reply.plan, FIRST)
 
     def test_resend_is_accepted_again(self):
-        self.book.decide(PlanRequest(FIRST, 0))
-        self.assertTrue(self.book.decide(PlanRequest(FIRST, 0)).accepted)
+        self.plans.decide(PlanRequest(FIRST, 0))
+        self.assertTrue(self.plans.decide(PlanRequest(FIRST, 0)).accepted)
 
     def test_version_is_never_reused(self):
-        self.book.decide(PlanRequest(FIRST, 0))
+        self.plans.decide(PlanRequest(FIRST, 0))
         again = GroupPlan('g', 2, 1, FIRST.layers)
-        self.assertFalse(self.book.decide(PlanRequest(again, 1)).accepted)
+        self.assertFalse(self.plans.decide(PlanRequest(again, 1)).accepted)
 
     def test_versions_increase_across_groups(self):
         """A rank that comes from another group rejects lower versions."""
-        self.assertEqual(self.book.next_version, 1)
-        self.book.decide(PlanRequest(FIRST, 0))
-        other = GroupPlan('h', 1, self.book.next_version, FIRST.layers)
-        self.assertTrue(self.book.decide(PlanRequest(other, 0)).accepted)
-        self.assertEqual(self.book.next_version, 3)
+        self.assertEqual(self.plans.next_version, 1)
+        self.plans.decide(PlanRequest(FIRST, 0))
+        other = GroupPlan('h', 1, self.plans.next_version, FIRST.layers)
+        self.assertTrue(self.plans.decide(PlanRequest(other, 0)).accepted)
+        self.assertEqual(self.plans.next_version, 3)
