--- a/src/snipebend/consensus/commit_index.py
+++ b/src/snipebend/consensus/commit_index.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from snipebend.consensus.quorum import reached_by_majority
+from snipebend.consensus.quorum import highest_reached_by_majority
 
 if TYPE_CHECKING:
     from snipebend.consensus.leadership import Leadership
@@ -35,4 +35,4 @@
         else node.durability.persisted_index
         for voter in node.voters
     ]
-    return reached_by_majority(matches)
+    return highest_reached_by_majority(matches)
--- a/src/snipebend/consensus/data_folder.py
+++ b/src/snipebend/consensus/data_folder.py
@@ -65,8 +65,8 @@
         raise damage_error(path, 0) from exc
 
 
-def open_identity(folder: Path, fresh_id: str) -> Identity:
-    """Return the identity of the folder; an empty one is given ``fresh_id``.
+def open_identity(folder: Path, new_id: str) -> Identity:
+    """Return the identity of the folder; an empty one is given ``new_id``.
 
     Raises:
         CorruptionError: if the folder contains files but no identity.
@@ -82,7 +82,7 @@
             f'{folder}: contains files, but no identity file',
             step='read data folder',
         )
-    identity = Identity(fresh_id)
+    identity = Identity(new_id)
     write_record(path, identity)
     return identity
 
--- a/src/snipebend/consensus/dispatch.py
+++ b/src/snipebend/consensus/dispatch.py
@@ -47,7 +47,7 @@
     VoteRequest,
 )
 from snipebend.consensus.proposals import on_members_proposed, on_proposed
-from snipebend.consensus.reads import majority_contact, on_read_requested
+from snipebend.consensus.reads import majority_contact_at, on_read_requested
 from snipebend.consensus.replication import (
     on_append_reply,
     on_snapshot_reply,
@@ -95,18 +95,20 @@
 def _on_tick(node: Node) -> None:
     if node.leadership is not None:
         _on_leader_tick(node, node.leadership)
-    elif node.now >= node.election_at:
+    elif node.now >= node.election_due_at:
         on_election_timeout(node)
 
 
 def _on_leader_tick(node: Node, leadership: Leadership) -> None:
-    contact_at = max(majority_contact(node, leadership), leadership.elected_at)
+    contact_at = max(
+        majority_contact_at(node, leadership), leadership.elected_at
+    )
     if node.now - contact_at > node.cfg.election_timeout_s:
         # Check-quorum: without contact to a majority the leader steps down.
         become_follower(node, node.term, None)
         return
     expire_hand_over(node, leadership)
-    if node.now >= leadership.heartbeat_at:
+    if node.now >= leadership.heartbeat_due_at:
         start_round(node, leadership)
 
 
--- a/src/snipebend/consensus/handover.py
+++ b/src/snipebend/consensus/handover.py
@@ -37,9 +37,9 @@
     progress = leadership.progress.get(successor or '')
     if successor is None or progress is None:
         return
-    due = node.now >= leadership.prompt_at
+    due = node.now >= leadership.next_prompt_at
     if due and progress.match_index == node.log.last_index:
-        leadership.prompt_at = node.now + node.cfg.heartbeat_s
+        leadership.next_prompt_at = node.now + node.cfg.heartbeat_s
         # From here on the voters can elect it without waiting for the lease.
         leadership.lease_given_up = True
         node.send(successor, TimeoutNow(node.term))
--- a/src/snipebend/consensus/leadership.py
+++ b/src/snipebend/consensus/leadership.py
@@ -33,12 +33,12 @@
     rounds: Rounds
     elected_at: float
     first_index: int
-    heartbeat_at: float = -math.inf
+    heartbeat_due_at: float = -math.inf
     progress: dict[str, Progress] = field(default_factory=dict)
     proposals: dict[int, str] = field(default_factory=dict)
     queued_reads: list[str] = field(default_factory=list)
     reads: list[PendingRead] = field(default_factory=list)
     successor: str | None = None
     successor_until: float = math.inf
-    prompt_at: float = -math.inf
+    next_prompt_at: float = -math.inf
     lease_given_up: bool = False
--- a/src/snipebend/consensus/log_sender.py
+++ b/src/snipebend/consensus/log_sender.py
@@ -11,7 +11,7 @@
 
 from snipebend.consensus.actions import NeedSnapshot
 from snipebend.consensus.messages import AppendRequest, SnapshotRequest
-from snipebend.consensus.progress import Mode, Progress
+from snipebend.consensus.progress import ReplicationMode, Progress
 from snipebend.consensus.records import SnapshotMeta
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 def start_round(node: Node, leadership: Leadership) -> None:
     """Start a round and send entries or a heartbeat to each member."""
     leadership.rounds.start(node.now)
-    leadership.heartbeat_at = node.now + node.cfg.heartbeat_s
+    leadership.heartbeat_due_at = node.now + node.cfg.heartbeat_s
     track_members(node, leadership)
     for member_id, progress in leadership.progress.items():
         progress.allow_probe()
@@ -57,7 +57,7 @@
     if leadership is None or event.target not in leadership.progress:
         return
     progress = leadership.progress[event.target]
-    if progress.mode is Mode.SNAPSHOT:
+    if progress.mode is ReplicationMode.SNAPSHOT:
         meta = SnapshotMeta(event.index, event.term, event.members)
         number = leadership.rounds.number
         node.send(
@@ -80,7 +80,7 @@
 
 
 def _has_entries_due(node: Node, progress: Progress) -> bool:
-    if progress.mode is Mode.SNAPSHOT:
+    if progress.mode is ReplicationMode.SNAPSHOT:
         return node.now >= progress.retry_at
     if progress.next_index <= node.log.base_index:
         # The next entry has been dropped; it needs a snapshot, no matter
--- a/src/snipebend/consensus/node.py
+++ b/src/snipebend/consensus/node.py
@@ -74,7 +74,7 @@
     durability: Durability
     rng: random.Random
     now: float
-    election_at: float
+    election_due_at: float
     ignore_candidates_until: float
     commit_index: int
     delivered_index: int
@@ -140,7 +140,7 @@
         if self.is_checking_restarts or self._uses_fast_elections:
             timeout_s *= FAST_ELECTION_SHARE
         latest = ELECTION_SPREAD * timeout_s
-        self.election_at = self.now + self.rng.uniform(timeout_s, latest)
+        self.election_due_at = self.now + self.rng.uniform(timeout_s, latest)
 
     @property
     def _uses_fast_elections(self) -> bool:
@@ -259,7 +259,7 @@
         durability=Durability(log.last_index),
         rng=rng,
         now=now,
-        election_at=now,
+        election_due_at=now,
         # The previous process may have acknowledged a leader until its end.
         ignore_candidates_until=process_started_at + cfg.election_timeout_s,
         fast_election_until=process_started_at
--- a/src/snipebend/consensus/progress.py
+++ b/src/snipebend/consensus/progress.py
@@ -12,7 +12,7 @@
     from snipebend.consensus.messages import AppendReply
 
 
-class Mode(enum.Enum):
+class ReplicationMode(enum.Enum):
     """How entries are sent to the follower."""
 
     PROBING = 'probing'
@@ -29,7 +29,7 @@
 
     def __init__(self, next_index: int) -> None:
         """Start by probing up to which index the logs match."""
-        self.mode = Mode.PROBING
+        self.mode = ReplicationMode.PROBING
         self.match_index = 0
         self.next_index = next_index
         self.acked_round = 0
@@ -41,16 +41,16 @@
     def can_send(self, max_in_flight: int) -> bool:
         """Return whether another message with entries can be sent now."""
         match self.mode:
-            case Mode.PROBING:
+            case ReplicationMode.PROBING:
                 return not self._probe_sent
-            case Mode.REPLICATING:
+            case ReplicationMode.REPLICATING:
                 return len(self._in_flight) < max_in_flight
-            case Mode.SNAPSHOT:
+            case ReplicationMode.SNAPSHOT:
                 return False
 
     def record_sent(self, last_index: int) -> None:
         """Record that entries up to ``last_index`` were sent."""
-        if self.mode is Mode.PROBING:
+        if self.mode is ReplicationMode.PROBING:
             self._probe_sent = True
             return
         self._in_flight.append(last_index)
@@ -62,7 +62,7 @@
 
     def await_snapshot(self, retry_at: float) -> None:
         """Send no entries until the snapshot is acknowledged or sent again."""
-        self._switch(Mode.SNAPSHOT)
+        self._switch(ReplicationMode.SNAPSHOT)
         self.retry_at = retry_at
 
     def record_contact(self, round_number: int, sent_at: float) -> None:
@@ -76,27 +76,30 @@
         while self._in_flight and self._in_flight[0] <= match_index:
             self._in_flight.popleft()
         self.next_index = max(self.next_index, self.match_index + 1)
-        if self.match_index >= base_index and self.mode is not Mode.REPLICATING:
-            self._switch(Mode.REPLICATING)
+        if (
+            self.match_index >= base_index
+            and self.mode is not ReplicationMode.REPLICATING
+        ):
+            self._switch(ReplicationMode.REPLICATING)
             self.next_index = self.match_index + 1
 
     def record_rejection(self, reply: AppendReply, log: ReplicatedLog) -> None:
         """Go back to where the logs can match; ignore stale replies."""
-        if self.mode is Mode.SNAPSHOT or self._is_outdated(reply):
+        if self.mode is ReplicationMode.SNAPSHOT or self._is_outdated(reply):
             return
         agreed = log.last_index_within_term(reply.hint_index, reply.hint_term)
         self.next_index = max(
             self.match_index, min(agreed, reply.rejected_index - 1)
         )
         self.next_index += 1
-        self._switch(Mode.PROBING)
+        self._switch(ReplicationMode.PROBING)
 
     def _is_outdated(self, reply: AppendReply) -> bool:
-        if self.mode is Mode.REPLICATING:
+        if self.mode is ReplicationMode.REPLICATING:
             return reply.rejected_index <= self.match_index
         return reply.rejected_index != self.next_index - 1
 
-    def _switch(self, mode: Mode) -> None:
+    def _switch(self, mode: ReplicationMode) -> None:
         self.mode = mode
         self._probe_sent = False
         self._in_flight.clear()
--- a/src/snipebend/consensus/proposals.py
+++ b/src/snipebend/consensus/proposals.py
@@ -11,7 +11,7 @@
 )
 from snipebend.consensus.events import PromoteLearner
 from snipebend.consensus.members import apply_change
-from snipebend.consensus.progress import Mode
+from snipebend.consensus.progress import ReplicationMode
 from snipebend.consensus.records import EntryKind, LogEntry, encode_members
 
 if TYPE_CHECKING:
@@ -97,7 +97,7 @@
         return RejectReason.INVALID_CHANGE
     oldest_contact = node.now - node.cfg.election_timeout_s
     caught_up = (
-        progress.mode is Mode.REPLICATING
+        progress.mode is ReplicationMode.REPLICATING
         and progress.match_index >= node.commit_index
         and progress.contact_at >= oldest_contact
     )
--- a/src/snipebend/consensus/quorum.py
+++ b/src/snipebend/consensus/quorum.py
@@ -12,7 +12,7 @@
     return voters // 2 + 1
 
 
-def reached_by_majority(reached_values: list[Ordered]) -> Ordered:
+def highest_reached_by_majority(reached_values: list[Ordered]) -> Ordered:
     """Return the largest value that a majority has reached.
 
     There is one value for each voter.
--- a/src/snipebend/consensus/reads.py
+++ b/src/snipebend/consensus/reads.py
@@ -15,7 +15,7 @@
 from snipebend.consensus.actions import ReadReady, ReadRejected
 from snipebend.consensus.leadership import PendingRead
 from snipebend.consensus.log_sender import start_round
-from snipebend.consensus.quorum import reached_by_majority
+from snipebend.consensus.quorum import highest_reached_by_majority
 
 if TYPE_CHECKING:
     from snipebend.consensus.config import CoreConfig
@@ -46,7 +46,7 @@
     """Return the end of the lease on this member's clock."""
     if leadership.lease_given_up:
         return -math.inf
-    return majority_contact(node, leadership) + lease_duration_s(node.cfg)
+    return majority_contact_at(node, leadership) + lease_duration_s(node.cfg)
 
 
 def lease_duration_s(cfg: CoreConfig) -> float:
@@ -55,7 +55,7 @@
     return cfg.election_timeout_s * slowest
 
 
-def majority_contact(node: Node, leadership: Leadership) -> float:
+def majority_contact_at(node: Node, leadership: Leadership) -> float:
     """Return the send time of the latest message a majority acknowledged."""
     contacts = [
         leadership.progress[voter].contact_at
@@ -63,7 +63,7 @@
         else node.now
         for voter in node.voters
     ]
-    return reached_by_majority(contacts)
+    return highest_reached_by_majority(contacts)
 
 
 def _serve_queued(node: Node, leadership: Leadership) -> None:
@@ -101,4 +101,4 @@
         else leadership.rounds.number
         for voter in node.voters
     ]
-    return reached_by_majority(acked_rounds)
+    return highest_reached_by_majority(acked_rounds)
--- a/src/snipebend/consensus/replication.py
+++ b/src/snipebend/consensus/replication.py
@@ -41,7 +41,7 @@
     if reply.term > node.term:
         become_follower(node, reply.term, None)
         return
-    progress = _contact(node, source, reply)
+    progress = _record_reply(node, source, reply)
     if progress is None:
         return
     if reply.success:
@@ -55,12 +55,12 @@
     if reply.term > node.term:
         become_follower(node, reply.term, None)
         return
-    progress = _contact(node, source, reply)
+    progress = _record_reply(node, source, reply)
     if progress is not None:
         progress.record_match(reply.match_index, node.log.base_index)
 
 
-def _contact(
+def _record_reply(
     node: Node, source: str, reply: AppendReply | SnapshotReply
 ) -> Progress | None:
     leadership = node.leadership
--- a/src/snipebend/consensus/storage.py
+++ b/src/snipebend/consensus/storage.py
@@ -43,13 +43,13 @@
         self._log = LogFile(folder)
         self._snapshots = SnapshotStore(folder)
 
-    def open(self, fresh_id: str) -> StoredState:
-        """Read the folder; an empty one is given the identity ``fresh_id``.
+    def open(self, new_id: str) -> StoredState:
+        """Read the folder; an empty one is given the identity ``new_id``.
 
         Raises:
             CorruptionError: if anything but a torn last write is damaged.
         """
-        identity = open_identity(self._folder, fresh_id)
+        identity = open_identity(self._folder, new_id)
         founding = read_founding_members(self._folder)
         snapshot = self._snapshots.load()
         if (founding.voters or snapshot) and not self._log.exists():
--- a/tests/consensus/faults.py
+++ b/tests/consensus/faults.py
@@ -8,7 +8,7 @@
 
 from snipebend.consensus.durability import Durability
 from snipebend.consensus.node import Node
-from snipebend.consensus.reads import lease_duration_s, majority_contact
+from snipebend.consensus.reads import lease_duration_s, majority_contact_at
 from tests.consensus.world import World
 
 if TYPE_CHECKING:
@@ -71,7 +71,9 @@
     """Serve reads by the lease although the successor can be elected."""
 
     def until(node: Node, leadership: Leadership) -> float:
-        return majority_contact(node, leadership) + lease_duration_s(node.cfg)
+        return majority_contact_at(node, leadership) + lease_duration_s(
+            node.cfg
+        )
 
     return mock.patch(f'{CORE}.reads.lease_until', until)
 
