--- a/src/snipebend/consensus/proposals.py
+++ b/src/snipebend/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of commands and of member changes, on the leader."""
+"""Handles proposals of commands and of membership changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 )
 from snipebend.consensus.events import PromoteLearner
 from snipebend.consensus.members import apply_change
-from snipebend.consensus.progress import Mode
+from snipebend.consensus.progress import ReplicationMode
 from snipebend.consensus.records import EntryKind, LogEntry, encode_members
 
 if TYPE_CHECKING:
@@ -24,19 +24,19 @@
 
 
 def on_proposed(node: Node, event: Proposed) -> None:
-    """Append a command, or say why not."""
-    refused = _refusal(node)
-    if refused is not None:
-        _reject(node, event.proposal_id, refused)
+    """Append a command or reject the proposal."""
+    reason = _rejection_reason(node)
+    if reason is not None:
+        _reject(node, event.proposal_id, reason)
         return
     _append(node, event.proposal_id, EntryKind.COMMAND, event.payload)
 
 
 def on_members_proposed(node: Node, event: MembersProposed) -> None:
-    """Append a change of the members, one at a time."""
-    refused = _refusal(node) or change_refusal(node, event)
-    if refused is not None:
-        _reject(node, event.proposal_id, refused)
+    """Append a change of the members, or reject it."""
+    reason = _rejection_reason(node) or change_rejection_reason(node, event)
+    if reason is not None:
+        _reject(node, event.proposal_id, reason)
         return
     changed = apply_change(node.members.latest, event.change)
     if changed is None:
@@ -46,35 +46,39 @@
     _append(node, event.proposal_id, EntryKind.MEMBERS, payload)
 
 
-def change_refusal(node: Node, event: MembersProposed) -> RejectReason | None:
-    """Say why a change of the members can't start now.
+def change_rejection_reason(
+    node: Node, event: MembersProposed
+) -> RejectReason | None:
+    """Return why a change of the members cannot start now, if it cannot.
 
-    The last change must be committed, and an entry of the own term too: only
-    then is no older, unfinished change left that a majority could disagree on
-    (Ongaro, 2014, 4.1, and the correction to it of July 2015).
+    The previous change and an entry of the leader's term must be committed.
+    Otherwise two disjoint majorities are possible, because an older change may
+    be incomplete (Ongaro, 2014, 4.1, and the correction to it of July 2015).
     """
     leadership = node.leadership
     if leadership is None:
         return RejectReason.NOT_LEADER
-    settled = max(node.members.latest_index, leadership.first_index)
-    if node.commit_index < settled:
+    required_index = max(node.members.latest_index, leadership.first_index)
+    if node.commit_index < required_index:
         return RejectReason.CHANGE_IN_PROGRESS
     if isinstance(event.change, PromoteLearner):
-        return _promotion_refusal(node, leadership, event.change.member_id)
+        return _promotion_rejection_reason(
+            node, leadership, event.change.member_id
+        )
     return None
 
 
-def answer_committed(
+def confirm_committed(
     node: Node, leadership: Leadership, entries: Iterable[LogEntry]
 ) -> None:
-    """Answer the proposals whose entries are handed out."""
+    """Report the proposals whose entries were committed."""
     for entry in entries:
         proposal_id = leadership.proposals.pop(entry.index, None)
         if proposal_id is not None:
             node.emit(ProposalCommitted(proposal_id, entry.index))
 
 
-def _refusal(node: Node) -> RejectReason | None:
+def _rejection_reason(node: Node) -> RejectReason | None:
     if node.leadership is None:
         return RejectReason.NOT_LEADER
     if node.leadership.successor is not None:
@@ -85,17 +89,17 @@
     return None
 
 
-def _promotion_refusal(
+def _promotion_rejection_reason(
     node: Node, leadership: Leadership, member_id: str
 ) -> RejectReason | None:
     progress = leadership.progress.get(member_id)
     if progress is None or _is_voter(node.members.latest, member_id):
         return RejectReason.INVALID_CHANGE
-    silent_since = node.now - node.cfg.election_timeout_s
+    oldest_contact = node.now - node.cfg.election_timeout_s
     caught_up = (
-        progress.mode is Mode.REPLICATING
+        progress.mode is ReplicationMode.REPLICATING
         and progress.match_index >= node.commit_index
-        and progress.contact_at >= silent_since
+        and progress.contact_at >= oldest_contact
     )
     return None if caught_up else RejectReason.NOT_CAUGHT_UP
 
--- a/tests/delivery/test_suspect_lease.py
+++ b/tests/delivery/test_suspect_lease.py
@@ -5,7 +5,7 @@
 from unittest import TestCase
 
 from snipebend.delivery.suspect_lease import DEATH_REPORT_GRACE_S, SuspectLease
-from snipebend.state.fence_book import FenceBook
+from snipebend.state.fence_state import FenceState
 
 _DEADLINE = 60.0
 _END = _DEADLINE + DEATH_REPORT_GRACE_S
@@ -15,7 +15,7 @@
     """Two entries request a lease on the same fingerprint."""
 
     def setUp(self) -> None:
-        self.book = FenceBook()
+        self.book = FenceState()
         self.first = SuspectLease('bad', 'entry', _DEADLINE)
         self.other = SuspectLease('bad', 'other', _DEADLINE)
 
--- a/tests/delivery/world.py
+++ b/tests/delivery/world.py
@@ -19,7 +19,7 @@
 )
 from snipebend.delivery.facts import RequestFacts
 from snipebend.delivery.guard import GuardLimits
-from snipebend.state.claim_book import ClaimBook
+from snipebend.state.claim_state import ClaimState
 from tests.delivery.driver import perform
 from tests.delivery.engines import break_all
 from tests.delivery.pieces import DEFAULT_RATES, Agent, SentRequest, Work
@@ -44,7 +44,7 @@
         self.rates = rates
         self.now: float = 0
         self.steps = 0
-        self.store = ClaimBook()
+        self.store = ClaimState()
         self.sent_requests: list[SentRequest] = []
         self.runs: list[Run] = []
         self.finals: Counter[str] = Counter()
