--- a/bench/quick_switch.py
+++ b/bench/quick_switch.py
@@ -31,10 +31,10 @@
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
     AskDecision,
-    BarrierSeen,
+    BarrierEntryReceived,
     EnterBarrier,
     FetchWeights,
-    OrderArrived,
+    OrderReceived,
     RunStep,
     SendReport,
     StepFinished,
@@ -138,7 +138,7 @@
             match action:
                 case SendOrder(rank, order):
                     self.orders += 1
-                    self._send(rank, OrderArrived(order))
+                    self._send(rank, OrderReceived(order))
                 case PersistDecision():
                     self._later(COMMIT_TICKS, '', action)
                 case NeedMap(incarnation):
@@ -154,7 +154,7 @@
                     self.orders += 1
                     self._send('', RankReported(report))
                 case EnterBarrier(peer, entry):
-                    self._later(0, peer, BarrierSeen(entry))
+                    self._later(0, peer, BarrierEntryReceived(entry))
                 case FetchWeights(digest):
                     self._later(4, name, WeightsFetched(digest))
                 case RunStep(step):
@@ -162,7 +162,7 @@
                 case AskDecision():
                     self.orders += 2
                     order = Activate('g', 1, self.record)
-                    self._later(2, name, OrderArrived(order))
+                    self._later(2, name, OrderReceived(order))
 
     def _send(self, receiver: str, event: object) -> None:
         if self.rng.random() >= self.loss:
--- a/src/snipebend/balancing/count_reader.py
+++ b/src/snipebend/balancing/count_reader.py
@@ -11,9 +11,9 @@
     from collections.abc import Collection
 
     from snipebend.experts.direct_orders import RankCounts
-    from snipebend.experts.group_watch import GroupWatch
+    from snipebend.experts.group_monitor import GroupMonitor
     from snipebend.kernel.clock import Clock
-    from snipebend.balancing.group_eyes import EngineLink, Seen
+    from snipebend.balancing.group_observer import EngineLink, GroupSnapshot
 
 #: Ranks whose counts are read: each reading is paid for and lets the
 #: group rest, and one rank's few requests tell the demand by a fifth wrong.
@@ -37,31 +37,31 @@
 
     async def read(
         self,
-        watch: GroupWatch,
-        seen: Seen,
+        monitor: GroupMonitor,
+        snapshot: GroupSnapshot,
         reading: Reading,
         *,
         is_new: bool = True,
     ) -> bool:
         """Begin or end a span; tell whether the epoch holds."""
-        number = FIRST_SAMPLE if watch.age.is_unknown else SAMPLE
-        ranks = _spread(seen.upstreams, number)
+        number = FIRST_SAMPLE if monitor.age.is_unknown else SAMPLE
+        ranks = _spread(snapshot.upstreams, number)
         if reading is Reading.GLANCE:
             ranks = ranks[:1]
         found = await asyncio.gather(
-            *(self._link.counts(seen.upstreams[rank]) for rank in ranks)
+            *(self._link.counts(snapshot.upstreams[rank]) for rank in ranks)
         )
         read: dict[int, RankCounts] = {
             rank: counts
             for rank, counts in zip(ranks, found, strict=True)
-            if counts is not None and counts.epoch == watch.epoch
+            if counts is not None and counts.epoch == monitor.epoch
         }
         if len(read) < len(ranks):
             return False
         if reading is Reading.BEGIN:
-            watch.begin_span(read, self._clock.now())
+            monitor.begin_span(read, self._clock.now())
         else:
-            watch.end_span(read, self._clock.now(), is_new=is_new)
+            monitor.end_span(read, self._clock.now(), is_new=is_new)
         return True
 
 
--- a/src/snipebend/balancing/engine_rests.py
+++ b/src/snipebend/balancing/engine_backoffs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class EngineRests:
+class EngineBackoffs:
     """Until when each engine wants neither questions nor orders."""
 
     def __init__(self) -> None:
@@ -11,7 +11,7 @@
         #: Monotonic seconds, by the engine's identity.
         self._until: dict[str, float] = {}
 
-    def note(self, identity: str, seconds: float, now: float) -> None:
+    def record(self, identity: str, seconds: float, now: float) -> None:
         """Take note of a rest; a longer one that was asked for stays."""
         until = max(now + seconds, self._until.get(identity, now))
         self._until = {
@@ -19,6 +19,6 @@
         }
         self._until[identity] = until
 
-    def left_s(self, identity: str, now: float) -> float:
+    def remaining_s(self, identity: str, now: float) -> float:
         """Return the seconds that are left of an engine's rest; 0: none."""
         return max(0, self._until.get(identity, now) - now)
--- a/src/snipebend/balancing/direct_http.py
+++ b/src/snipebend/balancing/engine_http.py
@@ -11,8 +11,8 @@
 
 from loguru import logger
 
-from snipebend.balancing.engine_rests import EngineRests
-from snipebend.balancing.order_desk import OrderDesk
+from snipebend.balancing.engine_backoffs import EngineBackoffs
+from snipebend.balancing.order_dispatcher import OrderDispatcher
 from snipebend.relay.statement_reading import read_rest
 
 if TYPE_CHECKING:
@@ -29,14 +29,14 @@
 _OK = 200
 
 
-class DirectHttp:
+class EngineHttpClient:
     """Reads from upstreams, and gives them orders."""
 
     def __init__(self) -> None:
         """Open nothing yet."""
         self._session: ClientSession | None = None
-        self._desk = OrderDesk()
-        self._rests = EngineRests()
+        self._dispatcher = OrderDispatcher()
+        self._backoffs = EngineBackoffs()
 
     def load(self) -> None:
         """Load the library; takes a tenth of a second."""
@@ -48,13 +48,13 @@
         """Return the body of a 200; nothing for anything else."""
         from aiohttp import ClientError
 
-        if self._is_resting(upstream, path):
+        if self._is_backing_off(upstream, path):
             return None
         try:
             async with self._open().get(
                 _url(upstream, path), headers=headers
             ) as resp:
-                self._note_rest(upstream, resp)
+                self._record_backoff(upstream, resp)
                 body = await resp.read()
                 return body if resp.status == _OK else None
         except (ClientError, asyncio.TimeoutError, OSError) as exc:
@@ -74,9 +74,9 @@
         body: bytes,
     ) -> int | None:
         """Give an order; return the answer's status, nothing without one."""
-        if self._is_resting(upstream, path):
+        if self._is_backing_off(upstream, path):
             return None
-        answer = await self._desk.give(
+        answer = await self._dispatcher.dispatch(
             len(body), lambda: self._post(upstream, path, headers, body)
         )
         if answer is None:
@@ -101,7 +101,7 @@
             async with self._open().post(
                 _url(upstream, path), data=body, headers=headers
             ) as resp:
-                self._note_rest(upstream, resp)
+                self._record_backoff(upstream, resp)
                 await resp.read()
                 return resp.status
         except (ClientError, asyncio.TimeoutError, OSError) as exc:
@@ -112,18 +112,18 @@
             )
             return None
 
-    def _is_resting(self, upstream: UpstreamRecord, path: str) -> bool:
-        left_s = self._rests.left_s(upstream.identity, _now())
-        if left_s:
+    def _is_backing_off(self, upstream: UpstreamRecord, path: str) -> bool:
+        remaining_s = self._backoffs.remaining_s(upstream.identity, _now())
+        if remaining_s:
             logger.info(
                 'event=engine_left_alone upstream={} path={} rest_ms={:.0f}',
                 upstream.identity,
                 path,
-                1000 * left_s,
+                1000 * remaining_s,
             )
-        return left_s > 0
+        return remaining_s > 0
 
-    def _note_rest(
+    def _record_backoff(
         self, upstream: UpstreamRecord, resp: ClientResponse
     ) -> None:
         rest = read_rest(resp.status, resp.headers.getall('Retry-After', ()))
@@ -135,7 +135,7 @@
             rest.seconds,
         )
         if rest.seconds is not None:
-            self._rests.note(upstream.identity, rest.seconds, _now())
+            self._backoffs.record(upstream.identity, rest.seconds, _now())
 
     def _open(self) -> ClientSession:
         if self._session is None:
--- a/src/snipebend/balancing/group_balancer.py
+++ b/src/snipebend/balancing/group_balancer.py
@@ -12,21 +12,24 @@
 from snipebend.state.roster import RosterPhase
 from snipebend.balancing.meters import BalancerMeters
 from snipebend.balancing.engine_sizes import expert_services
-from snipebend.balancing.group_eyes import GroupEyes, GroupKey
+from snipebend.balancing.group_observer import GroupObserver, GroupKey
 from snipebend.transport.host_keeper import HostKeeper
-from snipebend.balancing.lead import Lead
+from snipebend.balancing.leadership import Leadership
 from snipebend.transport.replicated_state import ReplicatedState
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from snipebend.experts.group_pace import GroupPaces
+    from snipebend.experts.group_pass_times import GroupPassTimes
     from snipebend.experts.sizes import ExpertSizes
     from snipebend.hosts.model import HostTable
     from snipebend.kernel.registry import Registry
     from snipebend.state.roster import UpstreamRecord
-    from snipebend.balancing.group_care import CareTools, GroupCare
-    from snipebend.balancing.group_eyes import EngineLink
+    from snipebend.balancing.group_controller import (
+        ControllerContext,
+        GroupController,
+    )
+    from snipebend.balancing.group_observer import EngineLink
 
 #: Seconds between two looks for ranks that belong to no group yet: about a
 #: quarter of the time in which a group forms anew (0.6 s and more).
@@ -46,24 +49,24 @@
         name: str,
         link: EngineLink,
         table: Callable[[], HostTable | None],
-        paces: GroupPaces,
+        paces: GroupPassTimes,
     ) -> None:
         """Keep the way to engines; ``table`` returns the document in force."""
         super().__init__(name)
-        self._paces = paces
+        self._pass_times = paces
         self._link = link
         self._table = table
         #: The care for each group, while a task gives it.
-        self.cares: dict[GroupKey, GroupCare] = {}
+        self.controllers: dict[GroupKey, GroupController] = {}
         #: What the care for groups needs; none: not started.
-        self._loading: asyncio.Task[CareTools] | None = None
+        self._loading: asyncio.Task[ControllerContext] | None = None
 
     async def start(self, registry: Registry) -> None:
         """Start the task."""
         self._tasks = registry.tasks
         self._store = registry.find('state', ReplicatedState)
         self._keeper = registry.find('hosts', HostKeeper)
-        self._lead = Lead(self._store, registry.clock)
+        self._leadership = Leadership(self._store, registry.clock)
         self._clock = registry.clock
         # Every daemon may have to lead, while groups stand still or have maps
         # that don't fit: what that needs is loaded beside its first election.
@@ -81,28 +84,28 @@
         return {
             key.group: {
                 'service': key.service,
-                'epoch': care.watch.epoch,
-                'step': care.watch.step,
-                'turning': care.watch.turning,
+                'epoch': controller.monitor.epoch,
+                'step': controller.monitor.step,
+                'turning': controller.monitor.turning,
             }
-            for key, care in self.cares.items()
-            if care.watch is not None
+            for key, controller in self.controllers.items()
+            if controller.monitor is not None
         }
 
     @property
     def pause_s(self) -> float:
         """Return seconds to the next look for groups."""
-        return SURVEY_EVERY_S if self._lead.may_order else IDLE_EVERY_S
+        return SURVEY_EVERY_S if self._leadership.can_order else IDLE_EVERY_S
 
-    async def look(self) -> list[GroupCare]:
+    async def check(self) -> list[GroupController]:
         """Look for groups, if this daemon leads; return those found now."""
-        self._lead.note_term()
-        if not self._lead.may_order:
+        self._leadership.update_term()
+        if not self._leadership.can_order:
             self._keeper.forget_groups()
             return []
-        return await self._survey(await self._find_tools())
+        return await self._survey(await self._load_context())
 
-    async def _find_tools(self) -> CareTools:
+    async def _load_context(self) -> ControllerContext:
         """Return what was loaded; load it again if that failed.
 
         The first time it is loaded beside all else that a daemon starts.
@@ -115,52 +118,55 @@
             self._loading = self._begin_loading()
         return await self._loading
 
-    def _begin_loading(self) -> asyncio.Task[CareTools]:
+    def _begin_loading(self) -> asyncio.Task[ControllerContext]:
         return asyncio.create_task(asyncio.to_thread(self._load))
 
-    async def _survey(self, tools: CareTools) -> list[GroupCare]:
-        found: list[GroupCare] = []
+    async def _survey(
+        self, context: ControllerContext
+    ) -> list[GroupController]:
+        found: list[GroupController] = []
         for service, _ in expert_services(self._table()):
             members = self._members(service)
-            for group in await tools.eyes.survey(service, members):
+            for group in await context.observer.survey(service, members):
                 key = GroupKey(service, group)
-                if key not in self.cares:
-                    self.cares[key] = tools.care_for(key)
-                    found.append(self.cares[key])
+                if key not in self.controllers:
+                    self.controllers[key] = context.create_controller(key)
+                    found.append(self.controllers[key])
         return found
 
-    def _load(self) -> CareTools:
+    def _load(self) -> ControllerContext:
         """Load what only a leader needs: 23 MB, 0.3 s of a core."""
         from snipebend.balancing.count_reader import CountReader
-        from snipebend.balancing.group_care import CareTools
+        from snipebend.balancing.group_controller import ControllerContext
 
         self._link.load()
-        return CareTools(
+        return ControllerContext(
             self._link,
             self._clock,
-            GroupEyes(self._link, self._clock),
+            GroupObserver(self._link, self._clock),
             CountReader(self._link, self._clock),
-            self._paces,
+            self._pass_times,
             self._store,
             self._keeper,
             BalancerMeters(),
-            self._lead,
+            self._leadership,
             self._members,
             self._sizes,
         )
 
     async def _balance_for_ever(self) -> None:
         while True:
-            for care in await self.look():
+            for controller in await self.check():
                 self._tasks.start(
-                    f'group-{care.key.group}', partial(self._tend, care)
+                    f'group-{controller.key.group}',
+                    partial(self._run_controller, controller),
                 )
             await asyncio.sleep(self.pause_s)
 
-    async def _tend(self, care: GroupCare) -> None:
+    async def _run_controller(self, controller: GroupController) -> None:
         """Care for a group to the end; after a failure it is begun again."""
-        await care.run()
-        self.cares.pop(care.key, None)
+        await controller.run()
+        self.controllers.pop(controller.key, None)
 
     def _members(self, service: str) -> dict[str, UpstreamRecord]:
         """Return a service's upstreams that haven't ended, by identity."""
--- a/src/snipebend/balancing/group_eyes.py
+++ b/src/snipebend/balancing/group_observer.py
@@ -5,7 +5,10 @@
 import asyncio
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from snipebend.experts.group_roll import GroupRoll, whole_group
+from snipebend.experts.rank_group_index import (
+    RankGroupIndex,
+    find_complete_group,
+)
 from snipebend.experts.sizes import first_map, fits
 
 if TYPE_CHECKING:
@@ -24,14 +27,14 @@
     from snipebend.state.roster import UpstreamRecord
 
 #: Seconds for which a group that was seen whole is taken to be so.
-SEEN_FOR_S = 1.0
+SNAPSHOT_TTL_S = 1.0
 
 #: Seconds before a replica that belongs to no group, as far as known, is asked
 #: again: each question is paid for, and one that is gone leaves it unanswered.
-ASK_AGAIN_S = 0.5
+QUERY_RETRY_S = 0.5
 
 #: A rank counts as slow from here on: all ranks wait for it in every pass.
-SLOW_PACE = 1.5
+SLOW_RANK = 1.5
 
 
 class EngineLink(Protocol):
@@ -65,7 +68,7 @@
     group: str
 
 
-class Seen(NamedTuple):
+class GroupSnapshot(NamedTuple):
     """A whole group: a report of each rank, and where each answers."""
 
     reports: dict[int, RankReport]
@@ -94,7 +97,7 @@
     def slowness(self) -> tuple[float, ...]:
         """Return how many times as long each rank takes, in their order."""
         return tuple(
-            max(1, self.reports[rank].pace) for rank in sorted(self.reports)
+            max(1, self.reports[rank].slowness) for rank in sorted(self.reports)
         )
 
     @property
@@ -103,7 +106,7 @@
         return frozenset(
             report.identity
             for report in self.reports.values()
-            if report.pace >= SLOW_PACE
+            if report.slowness >= SLOW_RANK
         )
 
     @property
@@ -122,7 +125,7 @@
         return all(one.identity in members for one in self.upstreams.values())
 
 
-class GroupEyes:
+class GroupObserver:
     """Looks at groups, and remembers for a while what it saw.
 
     Each group is looked at by itself, so that a rank of one that doesn't
@@ -133,48 +136,48 @@
         """Start without having seen any."""
         self._link = link
         self._clock = clock
-        self._seen: dict[GroupKey, Seen] = {}
-        self._rolls: dict[str, GroupRoll] = {}
+        self._snapshots: dict[GroupKey, GroupSnapshot] = {}
+        self._indexes: dict[str, RankGroupIndex] = {}
         #: Groups of which a rank said last that it stands still.
         self._broken: set[GroupKey] = set()
         #: When ranks that belong nowhere may be asked again.
-        self._ask_at: dict[str, float] = {}
+        self._query_at: dict[str, float] = {}
 
     async def survey(
         self, service: str, members: Mapping[str, UpstreamRecord]
     ) -> frozenset[str]:
         """Ask ranks that belong nowhere yet; return the service's groups."""
-        roll = self._roll(service)
-        roll.keep(members)
+        index = self._index(service)
+        index.keep(members)
         now = self._clock.now()
-        strangers = [
+        ungrouped = [
             record
             for identity, record in members.items()
-            if not roll.is_known(identity)
-            and now >= self._ask_at.get(identity, 0)
+            if not index.is_known(identity)
+            and now >= self._query_at.get(identity, 0)
         ]
-        for stranger in strangers:
-            self._ask_at[stranger.identity] = now + ASK_AGAIN_S
-        for report in await self._ask(strangers):
-            roll.note(report)
-        self._ask_at = {
-            identity: at for identity, at in self._ask_at.items() if at > now
+        for stranger in ungrouped:
+            self._query_at[stranger.identity] = now + QUERY_RETRY_S
+        for report in await self._read_reports(ungrouped):
+            index.note(report)
+        self._query_at = {
+            identity: at for identity, at in self._query_at.items() if at > now
         }
-        return roll.groups
+        return index.groups
 
-    async def see(
+    async def observe(
         self, key: GroupKey, members: Mapping[str, UpstreamRecord]
-    ) -> Seen | None:
+    ) -> GroupSnapshot | None:
         """Return a group; nothing unless it is seen whole."""
-        known = self._seen.get(key)
+        known = self._snapshots.get(key)
         if known is not None:
             if self._clock.now() < known.until and known.is_current(members):
                 return known
             self.forget(key)
-        seen = await self._look(key, members)
-        if seen is not None:
-            self._seen[key] = seen
-        return seen
+        snapshot = await self._poll_group(key, members)
+        if snapshot is not None:
+            self._snapshots[key] = snapshot
+        return snapshot
 
     def is_broken(self, key: GroupKey) -> bool:
         """Tell whether a rank said at the last look that its group is down."""
@@ -182,34 +185,34 @@
 
     def members(self, key: GroupKey) -> frozenset[str]:
         """Return the identities of the ranks that name this group."""
-        return self._roll(key.service).members(key.group)
+        return self._index(key.service).members(key.group)
 
     def forget(self, key: GroupKey) -> None:
         """Look anew at the next question."""
-        self._seen.pop(key, None)
+        self._snapshots.pop(key, None)
 
     async def map_in_force(
-        self, sizes: ExpertSizes, seen: Seen, plan: GroupPlan
+        self, sizes: ExpertSizes, snapshot: GroupSnapshot, plan: GroupPlan
     ) -> tuple[LayerMap, ...] | None:
         """Return the map that all ranks have; nothing while they differ."""
-        if len(seen.map_versions) > 1:
+        if len(snapshot.map_versions) > 1:
             return None
-        if seen.map_versions == {0}:
-            return first_map(sizes, seen.any_report.size)
-        if seen.map_versions == {plan.version}:
+        if snapshot.map_versions == {0}:
+            return first_map(sizes, snapshot.any_report.size)
+        if snapshot.map_versions == {plan.version}:
             return plan.layers
-        layers = await self._read_map(seen)
+        layers = await self._read_map(snapshot)
         return layers if layers and fits(sizes, layers) else None
 
-    def _roll(self, service: str) -> GroupRoll:
-        return self._rolls.setdefault(service, GroupRoll())
+    def _index(self, service: str) -> RankGroupIndex:
+        return self._indexes.setdefault(service, RankGroupIndex())
 
-    async def _look(
+    async def _poll_group(
         self, key: GroupKey, members: Mapping[str, UpstreamRecord]
-    ) -> Seen | None:
+    ) -> GroupSnapshot | None:
         """Ask a group's ranks until it is whole or all have answered."""
-        roll = self._roll(key.service)
-        named = roll.members(key.group) & members.keys()
+        index = self._index(key.service)
+        named = index.members(key.group) & members.keys()
         reports: dict[str, RankReport] = {}
         whole: dict[int, RankReport] | None = None
         asking = [
@@ -221,9 +224,9 @@
                 report = await answer
                 if report is None:
                     continue
-                roll.note(report)
+                index.note(report)
                 reports[report.identity] = report
-                whole = whole_group(key.group, reports.values())
+                whole = find_complete_group(key.group, reports.values())
                 if whole is not None:
                     break
         finally:
@@ -232,11 +235,13 @@
         self._note_broken(key, reports.values())
         if whole is None:
             return None
-        self._drop_replaced(roll, named, whole)
+        self._drop_replaced(index, named, whole)
         upstreams = {
             rank: members[report.identity] for rank, report in whole.items()
         }
-        return Seen(whole, upstreams, self._clock.now() + SEEN_FOR_S)
+        return GroupSnapshot(
+            whole, upstreams, self._clock.now() + SNAPSHOT_TTL_S
+        )
 
     def _note_broken(
         self, key: GroupKey, reports: Iterable[RankReport]
@@ -248,26 +253,30 @@
 
     def _drop_replaced(
         self,
-        roll: GroupRoll,
+        index: RankGroupIndex,
         named: Iterable[str],
         whole: Mapping[int, RankReport],
     ) -> None:
         """Forget ranks whose place another one has."""
         present = {report.identity for report in whole.values()}
         for identity in set(named) - present:
-            roll.drop(identity)
+            index.drop(identity)
 
-    async def _ask(self, members: Sequence[UpstreamRecord]) -> list[RankReport]:
+    async def _read_reports(
+        self, members: Sequence[UpstreamRecord]
+    ) -> list[RankReport]:
         answers = await asyncio.gather(
             *(self._link.report(member) for member in members)
         )
         return [report for report in answers if report is not None]
 
-    async def _read_map(self, seen: Seen) -> tuple[LayerMap, ...] | None:
+    async def _read_map(
+        self, snapshot: GroupSnapshot
+    ) -> tuple[LayerMap, ...] | None:
         """Ask every rank, when the version isn't the one decided last."""
-        ranks = sorted(seen.upstreams)
+        ranks = sorted(snapshot.upstreams)
         held = await asyncio.gather(
-            *(self._link.held(seen.upstreams[rank]) for rank in ranks)
+            *(self._link.held(snapshot.upstreams[rank]) for rank in ranks)
         )
         by_rank = [experts for experts in held if experts is not None]
         if len(by_rank) < len(ranks):
--- a/src/snipebend/balancing/order_desk.py
+++ b/src/snipebend/balancing/order_dispatcher.py
@@ -6,7 +6,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, NamedTuple
 
-from snipebend.orders.flow import ANSWER_S, OrderFlow
+from snipebend.orders.flow import REPLY_TIMEOUT_S, OrderFlow
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
@@ -25,7 +25,7 @@
     number: asyncio.Future[int]
 
 
-class OrderDesk:
+class OrderDispatcher:
     """The orders of one leader, over one link."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self._flow = OrderFlow()
         self._waiting: deque[_Turn] = deque()
 
-    async def give(
+    async def dispatch(
         self, size: int, send: Callable[[], Coroutine[None, None, int | None]]
     ) -> int | None:
         """Send an order of so many bytes; return the answer, none: lost."""
@@ -70,17 +70,17 @@
     ) -> int | None:
         fair_at: float = 0
         while True:
-            due_at = max(fair_at, self._flow.give_up_at(number))
+            due_at = max(fair_at, self._flow.expires_at(number))
             await asyncio.wait((sending,), timeout=max(0, due_at - _now()))
             if sending.done():
                 answer = sending.result()
                 if answer is not None:
-                    self._flow.note_answer(number, _now())
+                    self._flow.record_reply(number, _now())
                 return answer
             now = _now()
             if now > due_at + MOST_LATE_S:
-                fair_at = now + ANSWER_S
-            elif now >= max(due_at, self._flow.give_up_at(number)):
+                fair_at = now + REPLY_TIMEOUT_S
+            elif now >= max(due_at, self._flow.expires_at(number)):
                 return None
 
 
--- a/src/snipebend/balancing/pace_listener.py
+++ b/src/snipebend/balancing/pass_time_listener.py
@@ -14,19 +14,21 @@
 from snipebend.state.pace_news import PacesTold
 
 if TYPE_CHECKING:
-    from snipebend.experts.group_pace import GroupPaces
+    from snipebend.experts.group_pass_times import GroupPassTimes
     from snipebend.kernel.registry import Registry
     from snipebend.transport.rpc_server import RpcServer
 
 
-class PaceListener(Service, asyncio.DatagramProtocol):
+class PassTimeListener(Service, asyncio.DatagramProtocol):
     """Takes datagrams at the gRPC server's address."""
 
-    def __init__(self, name: str, server: RpcServer, paces: GroupPaces) -> None:
+    def __init__(
+        self, name: str, server: RpcServer, paces: GroupPassTimes
+    ) -> None:
         """Keep where to listen, and who takes over what is told."""
         super().__init__(name)
         self._server = server
-        self._paces = paces
+        self._pass_times = paces
         self._decoder = msgpack.Decoder(PacesTold)
         #: The last message of each entry: when it started, and the number.
         self._last: dict[str, tuple[float, int]] = {}
@@ -70,4 +72,4 @@
         self._last[told.entry] = stamp
         now = self._clock.now()
         for group, (events, seconds) in told.paces.items():
-            self._paces.note(group, events, seconds, now)
+            self._pass_times.note(group, events, seconds, now)
--- a/src/snipebend/balancing/switch_driver.py
+++ b/src/snipebend/balancing/switch_driver.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from snipebend.experts.direct_orders import Reply
-from snipebend.experts.direct_switch import DirectSwitch, unsure_ranks
+from snipebend.experts.direct_switch import DirectSwitch, ranks_to_poll
 from snipebend.experts.hold_aim import HoldAim
 
 if TYPE_CHECKING:
@@ -16,11 +16,11 @@
 
     from snipebend.experts.direct_orders import RankOrder
     from snipebend.experts.direct_switch import Phase
-    from snipebend.experts.group_watch import Pace
+    from snipebend.experts.group_monitor import PassTiming
     from snipebend.kernel.clock import Clock
     from snipebend.state.group_plans import GroupPlan
     from snipebend.balancing.meters import BalancerMeters
-    from snipebend.balancing.group_eyes import EngineLink, Seen
+    from snipebend.balancing.group_observer import EngineLink, GroupSnapshot
 
 #: Seconds between two steps of a switch.
 STEP_EVERY_S = 0.02
@@ -37,16 +37,16 @@
         link: EngineLink,
         clock: Clock,
         plan: GroupPlan,
-        seen: Seen,
+        snapshot: GroupSnapshot,
         meters: BalancerMeters,
         *,
         fetch_s: float = 0,
-        pace: Pace | None = None,
+        pass_timing: PassTiming | None = None,
     ) -> None:
         """Start from what was seen; without a pace the reports tell it."""
         self._link = link
         self._clock = clock
-        self._seen = seen
+        self._snapshot = snapshot
         self._meters = meters
         self._fetch_s = fetch_s
         self._switch = DirectSwitch(
@@ -54,12 +54,14 @@
             plan.epoch,
             plan.version,
             plan.layers,
-            seen.any_report.size,
+            snapshot.any_report.size,
             fetch_s,
         )
-        if pace is not None and pace.pass_s is not None:
-            self._switch.aim = HoldAim(pace.step, pace.at, pace.pass_s)
-        for report in seen.reports.values():
+        if pass_timing is not None and pass_timing.pass_s is not None:
+            self._switch.aim = HoldAim(
+                pass_timing.step, pass_timing.at, pass_timing.pass_s
+            )
+        for report in snapshot.reports.values():
             self._switch.note_report(report)
 
     @property
@@ -67,13 +69,13 @@
         """Return the pass that the group was held before."""
         return self._switch.hold_step
 
-    async def run(self, may_order: Callable[[], bool]) -> Phase:
+    async def run(self, can_order: Callable[[], bool]) -> Phase:
         """Drive to the end, or until this daemon may no longer order."""
-        self._may_order = may_order
+        self._can_order = can_order
         switch = self._switch
         began_at = self._clock.now()
         report_at = began_at + self._fetch_s
-        while not switch.over and may_order():
+        while not switch.is_finished and can_order():
             await self._send_orders()
             await asyncio.sleep(STEP_EVERY_S)
             if self._clock.now() >= report_at:
@@ -98,13 +100,13 @@
             if self._switch.needs_step(self._clock.now()):
                 await self._read_step()
             orders = self._switch.next_orders(self._clock.now())
-            if not orders or not self._may_order():
+            if not orders or not self._can_order():
                 return
             await asyncio.gather(*(self._send(order) for order in orders))
 
     async def _send(self, order: RankOrder) -> None:
-        upstream = self._seen.upstreams[order.rank]
-        if not self._may_order():
+        upstream = self._snapshot.upstreams[order.rank]
+        if not self._can_order():
             return
         reply = await self._link.order(upstream, order)
         kind = type(order).__name__.lower()
@@ -121,18 +123,18 @@
 
     async def _read_step(self) -> None:
         """Read the pass under way; reports are some hundred ms old."""
-        counts = await self._link.counts(self._seen.upstreams[0])
+        counts = await self._link.counts(self._snapshot.upstreams[0])
         if counts is None:
             logger.info('event=step_unread group={} rank=0', self._switch.group)
             return
         self._switch.note_step(counts.epoch, counts.step, self._clock.now())
 
     async def _read_reports(self) -> None:
-        upstreams = self._seen.upstreams
+        upstreams = self._snapshot.upstreams
         reports = await asyncio.gather(
             *(
                 self._link.report(upstreams[rank])
-                for rank in unsure_ranks(self._switch)
+                for rank in ranks_to_poll(self._switch)
             )
         )
         for report in reports:
--- a/src/snipebend/daemons/host_control.py
+++ b/src/snipebend/daemons/host_control.py
@@ -5,21 +5,21 @@
 from typing import TYPE_CHECKING
 
 from snipebend.daemons.running import build_admin, connect_admin
-from snipebend.experts.group_pace import GroupPaces
+from snipebend.experts.group_pass_times import GroupPassTimes
 from snipebend.kernel.process import Process
 from snipebend.settings.seeds import split_address
 from snipebend.transport.group_api import GroupApi
 from snipebend.balancing.group_balancer import GroupBalancer
 from snipebend.transport.host_keeper import HostKeeper
 from snipebend.transport.http_server import HttpServer
-from snipebend.balancing.pace_listener import PaceListener
+from snipebend.balancing.pass_time_listener import PassTimeListener
 from snipebend.transport.replicated_state import ReplicatedState
 from snipebend.transport.rpc_server import RpcServer
 
 if TYPE_CHECKING:
     from snipebend.edge.host_follower import ReadTable
     from snipebend.hosts.model import HostTable
-    from snipebend.balancing.group_eyes import EngineLink
+    from snipebend.balancing.group_observer import EngineLink
     from snipebend.settings.model import ControlSettings
 
 
@@ -31,7 +31,7 @@
     grpc = RpcServer('grpc', cfg.listen.host, cfg.listen.grpc_port)
     outer = HttpServer('outer', *split_address(cfg.outer))
     keeper = HostKeeper('hosts', grpc)
-    paces = GroupPaces()
+    paces = GroupPassTimes()
     table = TableReader(keeper, read_table).read
     services = [
         ReplicatedState('state', cfg),
@@ -39,7 +39,7 @@
         GroupApi('group-api', grpc),
         GroupBalancer('balancer', link, table, paces),
         grpc,
-        PaceListener('paces', grpc, paces),
+        PassTimeListener('paces', grpc, paces),
         outer,
         admin,
     ]
--- a/src/snipebend/experts/direct_orders.py
+++ b/src/snipebend/experts/direct_orders.py
@@ -34,7 +34,7 @@
     armed: Armed | None = None
     held: int | None = None
     #: How many times as long its work takes as usual.
-    pace: float = 1
+    slowness: float = 1
 
 
 class RankCounts(NamedTuple):
--- a/src/snipebend/experts/direct_switch.py
+++ b/src/snipebend/experts/direct_switch.py
@@ -45,7 +45,7 @@
     #: Every rank is armed for the pass that was let go: it will switch as soon
     #: as that pass begins. Waiting for reports that show it took 0.25 s more of
     #: 0.75 s a switch.
-    LET_GO = 'let-go'
+    GO_ACCEPTED = 'let-go'
     #: Reports show the map in force, but a later pass is held for it: an older
     #: hold had done its work already. It must be let go, or the group stands
     #: still until somebody sees it, 0.6 s and more.
@@ -58,11 +58,13 @@
     REFUSED = 'refused'
 
 
-_OVER = frozenset((Phase.LET_GO, Phase.DONE, Phase.DEAD, Phase.REFUSED))
+_FINISHED_PHASES = frozenset(
+    (Phase.GO_ACCEPTED, Phase.DONE, Phase.DEAD, Phase.REFUSED)
+)
 
 #: Seconds before a pass that was let go, but hasn't begun, is let go again: a
 #: group without work begins none.
-GO_AGAIN_S = 1.0
+GO_RETRY_S = 1.0
 
 
 @dataclass(slots=True)
@@ -80,7 +82,7 @@
     aim: HoldAim = field(default_factory=HoldAim)
     hold_step: int | None = None
     phase: Phase = Phase.PREPARING
-    _go_again_at: float = -1
+    _go_retry_at: float = -1
     ranks: RankStates = field(init=False)
 
     def __post_init__(self) -> None:
@@ -88,9 +90,9 @@
         self.ranks = RankStates(self.size)
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Tell whether nothing is left to do."""
-        return self.phase in _OVER
+        return self.phase in _FINISHED_PHASES
 
     def note_report(self, report: RankReport) -> None:
         """Take over what an engine says."""
@@ -106,7 +108,7 @@
         if report.map_version >= self.version:
             rank.prepared_at = 0
             rank.in_force = True
-        self._drop_passed_hold(report)
+        self._drop_expired_hold(report)
         self._note_held(report)
         self._note_armed(report, rank)
         self._advance()
@@ -130,7 +132,7 @@
             case Phase.PREPARING:
                 return [
                     Prepare(rank, self.epoch, self.version, self.layers)
-                    for rank in self.ranks.take_unprepared(now)
+                    for rank in self.ranks.next_to_prepare(now)
                 ]
             case Phase.HOLDING:
                 return self._hold(now)
@@ -146,7 +148,9 @@
         rank = self.ranks[order.rank]
         match order, reply:
             case Prepare(), Reply.ACCEPTED:
-                self.ranks.note_told(order.rank, now, now + self.fetch_s)
+                self.ranks.note_prepare_accepted(
+                    order.rank, now, now + self.fetch_s
+                )
             case Prepare(), Reply.REFUSED:
                 rank.refusals += 1
             case Hold(), Reply.ACCEPTED:
@@ -158,9 +162,9 @@
             ):
                 self.hold_step = None
             case Go(), Reply.ACCEPTED:
-                self._go_again_at = now + GO_AGAIN_S
+                self._go_retry_at = now + GO_RETRY_S
                 if order.step == self.hold_step and not self.ranks.unarmed:
-                    self.phase = Phase.LET_GO
+                    self.phase = Phase.GO_ACCEPTED
             case Arm(), Reply.REFUSED:
                 rank.arm_refusals += 1
             case Arm(), Reply.ACCEPTED if order.step == self.hold_step:
@@ -185,7 +189,7 @@
             self.hold_step = armed.step
         rank.armed = armed.step == self.hold_step
 
-    def _drop_passed_hold(self, report: RankReport) -> None:
+    def _drop_expired_hold(self, report: RankReport) -> None:
         """Begin anew when the pass has begun without the switch.
 
         Another coordinator let it go for an earlier version. Orders for that
@@ -198,7 +202,7 @@
             self.ranks.disarm()
 
     def _advance(self) -> None:
-        if self.over:
+        if self.is_finished:
             return
         ranks = self.ranks
         if self.hold_step is None and ranks.any_refuses:
@@ -208,7 +212,7 @@
         if ranks.all_in_force:
             waits = (self.hold_step or 0) > self.aim.step
             self.phase = Phase.RELEASING if waits else Phase.DONE
-        elif ranks.untold:
+        elif ranks.unprepared:
             self.phase = Phase.PREPARING
         elif self.hold_step is None:
             self.phase = Phase.HOLDING
@@ -224,7 +228,7 @@
             return []
         if not self.aim.is_due(now):
             return []
-        step = self.aim.take(now, self.ranks.losses_s)
+        step = self.aim.take(now, self.ranks.lost_reply_delay_s)
         return [Hold(0, self.epoch, step)]
 
     def _arm(self, now: float) -> list[RankOrder]:
@@ -232,17 +236,17 @@
             return []
         return [
             Arm(rank, self.epoch, self.version, self.hold_step)
-            for rank in self.ranks.take_unarmed(now)
+            for rank in self.ranks.next_to_arm(now)
         ]
 
     def _go(self, now: float) -> list[RankOrder]:
-        if now < self._go_again_at or self.hold_step is None:
+        if now < self._go_retry_at or self.hold_step is None:
             return []
-        self._go_again_at = now + RETRY_S
+        self._go_retry_at = now + RETRY_S
         return [Go(0, self.epoch, self.hold_step)]
 
 
-def unsure_ranks(switch: DirectSwitch) -> list[int]:
+def ranks_to_poll(switch: DirectSwitch) -> list[int]:
     """Return the ranks whose reports may tell something new.
 
     Rank 0 tells of the hold and the epoch. In a group of 192 ranks that all
@@ -250,7 +254,7 @@
     """
     match switch.phase:
         case Phase.PREPARING:
-            unsure = switch.ranks.untold
+            unsure = switch.ranks.unprepared
         case Phase.ARMING:
             unsure = switch.ranks.unarmed
         case _:
--- a/src/snipebend/experts/group_watch.py
+++ b/src/snipebend/experts/group_monitor.py
@@ -26,10 +26,10 @@
 #: Seconds that a rank may fetch in one change: passes are long meanwhile. On
 #: six days of turns every 3 s, at 0.11 s an expert, three experts a rank came
 #: to a worth of 0.722, four and more to 0.698, two to 0.677.
-MOST_FETCH_S = 0.35
+MAX_FETCH_S = 0.35
 
 
-class Pace(NamedTuple):
+class PassTiming(NamedTuple):
     """How fast a group goes from pass to pass; times in seconds."""
 
     step: int
@@ -38,7 +38,7 @@
     pass_s: float | None = None
 
 
-class Outlook(NamedTuple):
+class MapProposal(NamedTuple):
     """A better map, and how much shorter it makes a pass."""
 
     layers: tuple[LayerMap, ...]
@@ -48,10 +48,10 @@
     saving: float = 0
     #: Experts that ranks would fetch, over all layers, and the most of one.
     loads: int = 0
-    most_loads: int = 0
+    max_fetches: int = 0
 
 
-class Kept(NamedTuple):
+class MapKept(NamedTuple):
     """Why a look left the map as it is."""
 
     reason: str
@@ -60,7 +60,7 @@
     saving: float = 0
 
 
-class GroupWatch:
+class GroupMonitor:
     """One epoch of a group."""
 
     def __init__(self, sizes: ExpertSizes, report: RankReport) -> None:
@@ -70,8 +70,8 @@
         self.size = report.size
         self.step = report.step
         #: Seconds of a pass by what entries tell; none: they don't.
-        self.told_pass_s: float | None = None
-        self._pace: Pace | None = None
+        self.reported_pass_s: float | None = None
+        self._pass_timing: PassTiming | None = None
         #: How many times as long each rank takes for its work.
         self.slowness: tuple[float, ...] = ()
         self._sizes = sizes
@@ -103,67 +103,71 @@
         self._read_at = now
 
     @property
-    def pace(self) -> Pace | None:
+    def pass_timing(self) -> PassTiming | None:
         """Return the last pass known and its length; none: not measured."""
-        pace = self._pace
-        if pace is None or self.told_pass_s is None:
-            return pace
-        return pace._replace(pass_s=max(LEAST_PASS_S, self.told_pass_s))
+        pass_timing = self._pass_timing
+        if pass_timing is None or self.reported_pass_s is None:
+            return pass_timing
+        return pass_timing._replace(
+            pass_s=max(LEAST_PASS_S, self.reported_pass_s)
+        )
 
-    def renew_pace(self) -> None:
+    def reset_pass_timing(self) -> None:
         """Measure passes anew: the map in force has changed."""
-        self._pace = None
+        self._pass_timing = None
 
     def _note_steps(self, read: Mapping[int, RankCounts], now: float) -> None:
         for counts in read.values():
-            self._note_pace(counts.step, now)
+            self._update_pass_timing(counts.step, now)
 
-    def _note_pace(self, step: int, now: float) -> None:
-        last = self._pace
+    def _update_pass_timing(self, step: int, now: float) -> None:
+        last = self._pass_timing
         passes = step - last.step if last else 0
         if last and passes > 0:
-            self._pace = Pace(
+            self._pass_timing = PassTiming(
                 step, now, max(LEAST_PASS_S, (now - last.at) / passes)
             )
         elif last is None:
-            self._pace = Pace(step, now)
+            self._pass_timing = PassTiming(step, now)
         self.step = max(self.step, step)
 
-    def look(self, layers: tuple[LayerMap, ...]) -> Outlook | Kept:
+    def propose_map(
+        self, layers: tuple[LayerMap, ...]
+    ) -> MapProposal | MapKept:
         """Return a map that is worth its loads, or why there is none."""
         shares = self.demand.shares
         chosen = self.demand.chosen
         if shares is None or chosen is None:
-            return Kept('turning')
+            return MapKept('turning')
         loads: list[list[float]] = (shares * self.size).tolist()
         better = self._search(layers, loads)
-        fetched = _loads_by_rank(layers, better)
+        fetched = _fetches_by_rank(layers, better)
         before = expected_skew(layers, chosen, self.slowness)
         after = expected_skew(better, chosen, self.slowness)
         saving = self._saving(before, after)
         if saving < self._least_saving(max(fetched)):
-            return Kept('saving', before, after, saving)
-        if self._is_calm(saving):
-            return Kept('calm', before, after, saving)
-        return Outlook(
+            return MapKept('saving', before, after, saving)
+        if self._is_deferrable(saving):
+            return MapKept('calm', before, after, saving)
+        return MapProposal(
             better, before, after, saving, sum(fetched), max(fetched)
         )
 
-    def _least_saving(self, most_loads: int) -> float:
+    def _least_saving(self, max_fetches: int) -> float:
         known_s = self.age.known_s(self._read_at)
-        fetch_s = most_loads * self._sizes.fetch_s
+        fetch_s = max_fetches * self._sizes.fetch_s
         return least_saving(known_s, self.age.last_lasted_s, fetch_s)
 
-    def _is_calm(self, saving: float) -> bool:
+    def _is_deferrable(self, saving: float) -> bool:
         """Tell whether streams are on time without this change, too.
 
         Passes that weren't measured since the last change are waited for.
         """
         if saving >= URGENT_SAVING:
             return False
-        pass_s = self.told_pass_s
-        if pass_s is None and self._pace is not None:
-            pass_s = self._pace.pass_s
+        pass_s = self.reported_pass_s
+        if pass_s is None and self._pass_timing is not None:
+            pass_s = self._pass_timing.pass_s
         return pass_s is None or pass_s < CALM_SHARE * self._sizes.pause_s
 
     def _search(
@@ -172,14 +176,14 @@
         bounds = Bounds(
             self._sizes.places,
             self._sizes.spare,
-            most_fetched=self._most_fetched(),
+            most_fetched=self._max_fetched(),
         )
         return MapSearch(layers, loads, bounds, self.slowness).run()
 
-    def _most_fetched(self) -> float:
+    def _max_fetched(self) -> float:
         if not self._sizes.fetch_s:
             return math.inf
-        return max(1, MOST_FETCH_S // self._sizes.fetch_s)
+        return max(1, MAX_FETCH_S // self._sizes.fetch_s)
 
     def _saving(self, before: float, after: float) -> float:
         share = self._sizes.share
@@ -187,7 +191,7 @@
         return share * (before - after) / length
 
 
-def _loads_by_rank(
+def _fetches_by_rank(
     before: tuple[LayerMap, ...], after: tuple[LayerMap, ...]
 ) -> list[int]:
     """Return how many experts each rank fetches, over all layers."""
--- a/src/snipebend/experts/group_pace.py
+++ b/src/snipebend/experts/group_pass_times.py
@@ -10,35 +10,35 @@
 WINDOW_S = 0.3
 
 
-class _Told(NamedTuple):
+class _Sample(NamedTuple):
     at: float
     events: int
     seconds: float
 
 
-class GroupPaces:
+class GroupPassTimes:
     """The passes of the last moments, group by group."""
 
     def __init__(self) -> None:
         """Start without having heard of any."""
-        self._told: dict[str, deque[_Told]] = {}
+        self._samples: dict[str, deque[_Sample]] = {}
 
     def note(self, group: str, events: int, seconds: float, now: float) -> None:
         """Take over what one entry saw since its last message."""
         if events > 0 and seconds > 0:
-            told = self._told.setdefault(group, deque())
-            told.append(_Told(now, events, seconds))
-            self._forget(told, now)
+            samples = self._samples.setdefault(group, deque())
+            samples.append(_Sample(now, events, seconds))
+            self._drop_expired(samples, now)
 
-    def of_group(self, group: str, now: float) -> float | None:
+    def mean_pass_s(self, group: str, now: float) -> float | None:
         """Return the seconds of a pass; none: no entry told of one lately."""
-        told = self._told.get(group)
-        if told is None:
+        samples = self._samples.get(group)
+        if samples is None:
             return None
-        self._forget(told, now)
-        events = sum(one.events for one in told)
-        return sum(one.seconds for one in told) / events if events else None
+        self._drop_expired(samples, now)
+        events = sum(one.events for one in samples)
+        return sum(one.seconds for one in samples) / events if events else None
 
-    def _forget(self, told: deque[_Told], now: float) -> None:
-        while told and told[0].at < now - WINDOW_S:
-            told.popleft()
+    def _drop_expired(self, samples: deque[_Sample], now: float) -> None:
+        while samples and samples[0].at < now - WINDOW_S:
+            samples.popleft()
--- a/src/snipebend/experts/group_roll.py
+++ b/src/snipebend/experts/rank_group_index.py
@@ -10,7 +10,7 @@
     from snipebend.experts.direct_orders import RankReport
 
 
-class GroupRoll:
+class RankGroupIndex:
     """The last word of each rank of one service about its group."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         return identity in self._groups
 
 
-def whole_group(
+def find_complete_group(
     group: str, reports: Iterable[RankReport]
 ) -> dict[int, RankReport] | None:
     """Return a group's reports by rank; nothing unless it is whole and works.
--- a/src/snipebend/experts/rank_states.py
+++ b/src/snipebend/experts/rank_states.py
@@ -10,8 +10,8 @@
 #: Seconds before a rank that refused to be armed is asked again: the group may
 #: stand still meanwhile. Doubled with each refusal up to the second figure:
 #: each order is paid for, and a rank that fetches slowly refused a hundred.
-ARM_AGAIN_S = 0.015
-MOST_ARM_AGAIN_S = 0.12
+ARM_RETRY_S = 0.015
+MAX_ARM_RETRY_S = 0.12
 
 #: Refusals of one rank to prepare after which the plan is given up.
 MAX_REFUSALS = 3
@@ -38,10 +38,10 @@
         return self.prepared_at is None and self.refusals >= MAX_REFUSALS
 
     @property
-    def arm_again_at(self) -> float:
+    def arm_retry_at(self) -> float:
         """Return when it may be told again to be armed."""
-        doubled_s = math.ldexp(ARM_AGAIN_S, min(8, self.arm_refusals))
-        return self.sent_at + min(MOST_ARM_AGAIN_S, doubled_s)
+        doubled_s = math.ldexp(ARM_RETRY_S, min(8, self.arm_refusals))
+        return self.sent_at + min(MAX_ARM_RETRY_S, doubled_s)
 
 
 class RankStates:
@@ -53,7 +53,7 @@
         #: When the last rank was told to prepare, and when the last one that
         #: took its first order for it.
         self._told_at: float = 0
-        self._reached_at: float = 0
+        self._first_try_accepted_at: float = 0
 
     def __contains__(self, rank: int) -> bool:
         """Tell whether a number is one of the group's."""
@@ -64,9 +64,9 @@
         return self._ranks[rank]
 
     @property
-    def losses_s(self) -> float:
+    def lost_reply_delay_s(self) -> float:
         """Return the seconds that lost answers cost while ranks were told."""
-        return max(0, self._told_at - self._reached_at)
+        return max(0, self._told_at - self._first_try_accepted_at)
 
     @property
     def ready_at(self) -> float:
@@ -79,7 +79,7 @@
         return any(rank.refuses for rank in self._ranks.values())
 
     @property
-    def untold(self) -> list[int]:
+    def unprepared(self) -> list[int]:
         """Return the ranks that neither fetch nor have fetched experts."""
         return [
             number
@@ -99,20 +99,22 @@
         """Tell whether every rank has switched."""
         return all(rank.in_force for rank in self._ranks.values())
 
-    def note_told(self, rank: int, now: float, ready_at: float) -> None:
+    def note_prepare_accepted(
+        self, rank: int, now: float, ready_at: float
+    ) -> None:
         """Take note that a rank fetches its experts."""
         state = self._ranks[rank]
         state.prepared_at = ready_at
         self._told_at = now
         if state.tries == 1:
-            self._reached_at = now
+            self._first_try_accepted_at = now
 
     def disarm(self) -> None:
         """Forget who was armed, for a pass that has begun."""
         for rank in self._ranks.values():
             rank.armed = False
 
-    def take_unprepared(self, now: float) -> list[int]:
+    def next_to_prepare(self, now: float) -> list[int]:
         """Return the ranks that are to be told to prepare now."""
         due = [
             number
@@ -122,15 +124,15 @@
         for number in due:
             self._ranks[number].sent_at = now
             self._ranks[number].tries += 1
-        self._reached_at = self._reached_at or now
+        self._first_try_accepted_at = self._first_try_accepted_at or now
         return due
 
-    def take_unarmed(self, now: float) -> list[int]:
+    def next_to_arm(self, now: float) -> list[int]:
         """Return the ranks that are to be armed now."""
         due = [
             number
             for number, rank in self._ranks.items()
-            if not rank.armed and now >= rank.arm_again_at
+            if not rank.armed and now >= rank.arm_retry_at
         ]
         for number in due:
             self._ranks[number].sent_at = now
--- a/src/snipebend/experts/switch_barrier.py
+++ b/src/snipebend/experts/switch_barrier.py
@@ -26,9 +26,9 @@
         """Begin outside of any step."""
         self.entered: BarrierEntry | None = None
         self._rank = rank
-        self._former: BarrierEntry | None = None
+        self._previous: BarrierEntry | None = None
         self._peers: tuple[str, ...] = ()
-        self._seen: dict[str, dict[int, MapStamp]] = {}
+        self._received: dict[str, dict[int, MapStamp]] = {}
 
     @property
     def peers(self) -> tuple[str, ...]:
@@ -44,23 +44,23 @@
         """Enter a step among the members of its incarnation."""
         self.entered = BarrierEntry(self._rank, step, stamp)
         self._peers = tuple(peer for peer in members if peer != self._rank)
-        for steps in self._seen.values():
-            _forget_before(steps, step)
+        for steps in self._received.values():
+            _drop_before(steps, step)
         return self.entered
 
     def leave(self) -> None:
         """Leave the step, which has run; a slow peer may still ask for it."""
-        self._former = self.entered
+        self._previous = self.entered
         self.entered = None
 
     def abandon(self) -> None:
         """Give up the step and all of its incarnation."""
-        self._former = None
+        self._previous = None
         self.entered = None
 
     def note(self, entry: BarrierEntry) -> None:
         """Note a peer's entry; the newest stamp of a step stands."""
-        steps = self._seen.setdefault(entry.rank, {})
+        steps = self._received.setdefault(entry.rank, {})
         steps[entry.step] = max(steps.get(entry.step, MapStamp()), entry.stamp)
 
     def stamps(self) -> tuple[MapStamp | None, ...]:
@@ -68,7 +68,9 @@
         if self.entered is None:
             return ()
         step = self.entered.step
-        return tuple(self._seen.get(peer, {}).get(step) for peer in self._peers)
+        return tuple(
+            self._received.get(peer, {}).get(step) for peer in self._peers
+        )
 
     def verdict(self) -> Verdict:
         """Compare the peers' stamps with our own.
@@ -79,25 +81,25 @@
             return Verdict.WAITING
         own = self.entered.stamp
         stamps = self.stamps()
-        if any(_contradicts(stamp, own) for stamp in stamps):
+        if any(_is_mismatch(stamp, own) for stamp in stamps):
             return Verdict.MISMATCH
         if all(stamp == own for stamp in stamps):
             return Verdict.AGREED
         return Verdict.WAITING
 
-    def to_resend(self) -> tuple[BarrierEntry, ...]:
+    def entries_to_resend(self) -> tuple[BarrierEntry, ...]:
         """Return the entries that a peer may lack."""
-        entries = (self._former, self.entered)
+        entries = (self._previous, self.entered)
         return tuple(entry for entry in entries if entry is not None)
 
 
-def _contradicts(stamp: MapStamp | None, own: MapStamp) -> bool:
+def _is_mismatch(stamp: MapStamp | None, own: MapStamp) -> bool:
     if stamp is None or stamp == own:
         return False
     return stamp.incarnation >= own.incarnation
 
 
-def _forget_before(steps: dict[int, MapStamp], step: int) -> None:
+def _drop_before(steps: dict[int, MapStamp], step: int) -> None:
     past = tuple(known for known in steps if known < step)
     for known in past:
         steps.pop(known)
--- a/src/snipebend/experts/switch_coordinator.py
+++ b/src/snipebend/experts/switch_coordinator.py
@@ -25,16 +25,16 @@
 )
 from snipebend.experts.switch_group import (
     GroupNeed,
-    OrderWriter,
+    OrderFactory,
     PromiseCheck,
     base_stamp,
     check_promises,
-    find_need,
-    first_step,
-    fits,
-    has_ended,
-    without_fetched,
-    without_promise,
+    determine_need,
+    first_unentered_step,
+    is_applicable,
+    awaits_map,
+    exclude_fetched,
+    members_without_promise,
 )
 from snipebend.experts.switch_messages import (
     Abort,
@@ -100,11 +100,11 @@
         )
         self._cfg = cfg
         self._fence = fence
-        self._writer = OrderWriter(cfg.group, fence)
+        self._order_factory = OrderFactory(cfg.group, fence)
         self._schedule = schedule
         self._resend_at = float('-inf')
         self._hold_factor = 1
-        self._again: MapProposed | None = None
+        self._retry_proposal: MapProposed | None = None
         self._activated = MapStamp()
 
     def step(
@@ -117,9 +117,9 @@
         if isinstance(self.state, Stopped):
             return []
         actions = self._dispatch(event, now, rng)
-        if self._again is not None and isinstance(self.state, Idle):
-            proposal = self._again
-            self._again = None
+        if self._retry_proposal is not None and isinstance(self.state, Idle):
+            proposal = self._retry_proposal
+            self._retry_proposal = None
             actions += self._propose(proposal, now)
         return actions
 
@@ -162,7 +162,7 @@
         event: MapProposed,
         now: float,
     ) -> list[CoordinatorAction]:
-        fitting = fits(event, self.record, self.roster)
+        fitting = is_applicable(event, self.record, self.roster)
         if not isinstance(self.state, Idle) or not fitting:
             return []
         stamp = MapStamp(event.incarnation, self.record.settled + 1)
@@ -172,7 +172,7 @@
         hold_ahead = event.hold_ahead * self._hold_factor
         decision = SwitchDecision(
             stamp,
-            first_step(self.record, self.roster) + hold_ahead,
+            first_unentered_step(self.record, self.roster) + hold_ahead,
             event.digest,
             event.members,
             event.placement,
@@ -185,7 +185,7 @@
             starts,
             now + self._cfg.prepare_s,
         )
-        return _send_prepares(self._writer, self.state, self.roster)
+        return _send_prepares(self._order_factory, self.state, self.roster)
 
     def _tick(self, now: float, rng: Random) -> list[CoordinatorAction]:
         if now < self._resend_at:
@@ -198,13 +198,15 @@
                         Abort(decision.stamp.map_version),
                         decision.stamp,
                     )
-                return _send_prepares(self._writer, self.state, self.roster)
+                return _send_prepares(
+                    self._order_factory, self.state, self.roster
+                )
             case Persisting(change=change):
                 return [PersistDecision(change)]
             case Activating(decision):
-                order = self._writer.activate(self.record)
+                order = self._order_factory.activate(self.record)
                 return _send(self.roster.to_activate(decision), order)
-        query = _send(self.roster.announced or (), self._writer.query())
+        query = _send(self.roster.announced or (), self._order_factory.query())
         return query + self._reconcile()
 
     def _note_report(self, report: RankReport) -> list[CoordinatorAction]:
@@ -217,7 +219,7 @@
         """Compare the reports with the state, and act on the difference."""
         match self.state:
             case Idle():
-                need = find_need(self.record, self.roster, self._cfg.ranks)
+                need = determine_need(self.record, self.roster, self._cfg.ranks)
                 if need is GroupNeed.BUMP:
                     return self.bump()
                 if need is GroupNeed.MAP:
@@ -235,17 +237,17 @@
             case PromiseCheck.MEMBER_LOST:
                 return self.bump()
             case PromiseCheck.TOO_LATE:
-                self._put_off(state)
+                self._retry_later(state)
                 return self._persist(Abort(stamp.map_version), stamp)
             case PromiseCheck.COMPLETE:
                 return self.decide(state.decision)
         return []
 
-    def _put_off(self, state: Preparing) -> None:
+    def _retry_later(self, state: Preparing) -> None:
         """Try the same map again with a later hold step."""
         self._hold_factor *= HOLD_GROWTH
         if self._hold_factor <= MAX_HOLD_FACTOR:
-            self._again = without_fetched(state, self.roster)
+            self._retry_proposal = exclude_fetched(state, self.roster)
         else:
             self._hold_factor = 1
 
@@ -253,7 +255,7 @@
         self,
         decision: SwitchDecision,
     ) -> list[CoordinatorAction]:
-        if self.roster.lacks(decision):
+        if self.roster.has_unfit_member(decision):
             ended = SwitchEnded(decision.stamp, 'interrupted')
             return [ended, *self.bump()]
         if self.roster.to_activate(decision):
@@ -280,18 +282,20 @@
             # An older record: the change has not been committed yet.
             return []
         self.record = record
-        told = _send(self.roster.announced or (), self._writer.activate(record))
+        told = _send(
+            self.roster.announced or (), self._order_factory.activate(record)
+        )
         decision = record.decision
         if (
             decision is None
-            or has_ended(record)
+            or awaits_map(record)
             or decision.stamp == self._activated
         ):
             self.state = Idle()
         else:
             self.state = Activating(decision)
         if decision is None or decision.stamp != state.stamp:
-            told.append(_name_end(state))
+            told.append(_switch_ended(state))
         return told + self._reconcile()
 
 
@@ -300,17 +304,17 @@
 
 
 def _send_prepares(
-    writer: OrderWriter,
+    writer: OrderFactory,
     state: Preparing,
     roster: RankRoster,
 ) -> list[CoordinatorAction]:
     return [
         SendOrder(rank, writer.prepare(rank, state))
-        for rank in without_promise(state.decision, roster)
+        for rank in members_without_promise(state.decision, roster)
     ]
 
 
-def _name_end(state: Persisting) -> SwitchEnded:
+def _switch_ended(state: Persisting) -> SwitchEnded:
     aborted = isinstance(state.change, Abort)
     outcome: Outcome = 'aborted' if aborted else 'interrupted'
     return SwitchEnded(state.stamp, outcome)
--- a/src/snipebend/experts/switch_cost.py
+++ b/src/snipebend/experts/switch_cost.py
@@ -42,14 +42,14 @@
     known = before.members if before else ()
     sizes = {}
     for number, rank in enumerate(after.members):
-        wanted = _experts_of(after, number)
+        wanted = _experts_on_rank(after, number)
         if before is not None and rank in known and rank not in fresh:
-            wanted -= _experts_of(before, known.index(rank))
+            wanted -= _experts_on_rank(before, known.index(rank))
         sizes[rank] = len(wanted) * expert_bytes
     return sizes
 
 
-def _experts_of(placed: PlacedMap, number: int) -> set[tuple[int, int]]:
+def _experts_on_rank(placed: PlacedMap, number: int) -> set[tuple[int, int]]:
     """Return layer and expert of everything that a rank holds."""
     rows = placed.expert_map.placement.swapaxes(0, 1)[number].tolist()
     return {(layer, expert) for layer, row in enumerate(rows) for expert in row}
--- a/src/snipebend/experts/switch_group.py
+++ b/src/snipebend/experts/switch_group.py
@@ -44,18 +44,18 @@
     return record.decision.stamp if record.decision else MapStamp()
 
 
-def has_ended(record: GroupRecord) -> bool:
+def awaits_map(record: GroupRecord) -> bool:
     """Tell whether the record's incarnation has no map yet."""
     return base_stamp(record).incarnation < record.incarnation
 
 
-def first_step(record: GroupRecord, roster: RankRoster) -> int:
+def first_unentered_step(record: GroupRecord, roster: RankRoster) -> int:
     """Return a step that no rank has entered in any incarnation."""
     decided = record.decision.step if record.decision else 0
     return max(roster.next_step(), decided)
 
 
-def find_need(
+def determine_need(
     record: GroupRecord,
     roster: RankRoster,
     ranks: int,
@@ -67,18 +67,18 @@
     members = roster.announced
     if not members or not roster.is_complete():
         return GroupNeed.NOTHING
-    if has_ended(record):
+    if awaits_map(record):
         return GroupNeed.MAP
     decision = record.decision
     if decision is None:
         complete = len(members) >= ranks
         return GroupNeed.BUMP if complete else GroupNeed.NOTHING
-    if decision.members != members or roster.lacks(decision):
+    if decision.members != members or roster.has_unfit_member(decision):
         return GroupNeed.BUMP
     return GroupNeed.NOTHING
 
 
-def fits(
+def is_applicable(
     proposal: MapProposed,
     record: GroupRecord,
     roster: RankRoster,
@@ -91,7 +91,7 @@
     )
 
 
-def without_fetched(state: Preparing, roster: RankRoster) -> MapProposed:
+def exclude_fetched(state: Preparing, roster: RankRoster) -> MapProposed:
     """Return the proposal, but for the weights that members have by now."""
     left = dict(state.proposal.fetch_bytes)
     for rank in state.decision.members:
@@ -120,7 +120,7 @@
     return PromiseCheck.MISSING
 
 
-class OrderWriter(NamedTuple):
+class OrderFactory(NamedTuple):
     """Writes the orders of one coordinator."""
 
     group: str
@@ -147,7 +147,7 @@
         )
 
 
-def without_promise(
+def members_without_promise(
     decision: SwitchDecision,
     roster: RankRoster,
 ) -> Iterable[str]:
--- a/src/snipebend/experts/switch_promise.py
+++ b/src/snipebend/experts/switch_promise.py
@@ -49,9 +49,9 @@
         known = step if self.hold_step is None else self.hold_step
         self.hold_step = min(known, step)
 
-    def take_up(self, order: Prepare) -> bool:
+    def accept(self, order: Prepare) -> bool:
         """Begin to prepare; return whether weights must be fetched."""
-        if order.base == self.installed and not _begins(order):
+        if order.base == self.installed and not _starts_incarnation(order):
             # A new version on the same base: the former one was aborted.
             self._release()
         self.promised = None
@@ -77,12 +77,12 @@
         self.promised = decision
         self.stop_at(decision.step)
 
-    def learn(self, record: GroupRecord, next_step: int) -> None:
+    def apply_record(self, record: GroupRecord, next_step: int) -> None:
         """Act on the committed record: install, release or stop."""
         decision = record.decision
         if decision is not None and decision == self.promised:
             self._install(decision)
-        elif self._taken_version() <= record.settled:
+        elif self._accepted_version() <= record.settled:
             self._drop(record.incarnation)
         if decision is not None and _is_ahead(decision, self.installed):
             self.stop_at(next_step)
@@ -93,7 +93,7 @@
         self.fetched &= {decision.digest}
         self._release()
 
-    def _taken_version(self) -> float:
+    def _accepted_version(self) -> float:
         taken = self.fetching.decision if self.fetching else self.promised
         return taken.stamp.map_version if taken else float('inf')
 
@@ -108,7 +108,7 @@
         self.hold_step = None
 
 
-def _begins(order: Prepare) -> bool:
+def _starts_incarnation(order: Prepare) -> bool:
     """Tell whether the order begins a new incarnation."""
     return order.decision.stamp.incarnation > order.base.incarnation
 
--- a/src/snipebend/experts/switch_rank.py
+++ b/src/snipebend/experts/switch_rank.py
@@ -21,10 +21,10 @@
 from snipebend.experts.switch_promise import RankPromise
 from snipebend.experts.switch_rank_events import (
     AskDecision,
-    BarrierSeen,
+    BarrierEntryReceived,
     EntryRefused,
     FetchWeights,
-    OrderArrived,
+    OrderReceived,
     RankAction,
     RankEvent,
     SendReport,
@@ -37,7 +37,7 @@
     from random import Random
 
 #: Seconds between two questions for a decision, before jitter.
-ASK_EVERY_S = 0.2
+QUERY_INTERVAL_S = 0.2
 
 _HALF = 0.5
 
@@ -59,7 +59,7 @@
         self.promise = RankPromise()
         self.runner = runner(rank, self.promise)
         self._sequence = 0
-        self._ask_at = float('-inf')
+        self._query_at = float('-inf')
 
     def step(
         self,
@@ -89,7 +89,7 @@
         """Tell whether an order comes from a former holder of the fence."""
         return fence < self.fence
 
-    def may_promise(self) -> bool:
+    def can_promise(self) -> bool:
         """Tell whether the weights for the promise are there."""
         return self.promise.is_fetched()
 
@@ -102,12 +102,12 @@
         match event:
             case Tick():
                 return self._tick(now, rng)
-            case OrderArrived(order):
-                return self._take_order(order)
+            case OrderReceived(order):
+                return self._handle_order(order)
             case WeightsFetched(digest):
                 self.promise.fetched.add(digest)
                 return self._try_promise()
-            case BarrierSeen(entry):
+            case BarrierEntryReceived(entry):
                 return self.runner.note_entry(entry)
             case EntryRefused(incarnation):
                 return self._note_refusal(incarnation)
@@ -116,15 +116,15 @@
         return []
 
     def _tick(self, now: float, rng: Random) -> list[RankAction]:
-        if now < self._ask_at:
+        if now < self._query_at:
             return []
-        self._ask_at = now + ASK_EVERY_S * (_HALF + rng.random())
+        self._query_at = now + QUERY_INTERVAL_S * (_HALF + rng.random())
         actions = self.runner.resend()
         if self.runner.in_force is None or self.promise.hold_step is not None:
             actions.append(AskDecision())
         return actions
 
-    def _take_order(self, order: RankOrder) -> list[RankAction]:
+    def _handle_order(self, order: RankOrder) -> list[RankAction]:
         if self.is_stale(order.fence):
             return [SendReport(self.report(refused=True))]
         self.fence = max(self.fence, order.fence)
@@ -132,7 +132,7 @@
             case Prepare():
                 return self._prepare(order)
             case Activate(record=record):
-                self.promise.learn(record, self.runner.next_step)
+                self.promise.apply_record(record, self.runner.next_step)
             case StatusQuery():
                 # It asks for nothing but the report below.
                 pass  # noqa: WPS420  # a case needs a body
@@ -141,7 +141,7 @@
     def _prepare(self, order: Prepare) -> list[RankAction]:
         if not self._is_acceptable(order):
             return [SendReport(self.report())]
-        if self.promise.take_up(order):
+        if self.promise.accept(order):
             size, moment = order.fetch_bytes, order.fetch_at
             fetch = FetchWeights(order.decision.digest, size, moment)
             return [fetch, *self._try_promise()]
@@ -162,7 +162,7 @@
         )
 
     def _try_promise(self) -> list[RankAction]:
-        if not self.may_promise():
+        if not self.can_promise():
             return []
         self.promise.promise(self.runner.next_step)
         return [SendReport(self.report())]
--- a/src/snipebend/experts/switch_rank_events.py
+++ b/src/snipebend/experts/switch_rank_events.py
@@ -13,7 +13,7 @@
 )
 
 
-class OrderArrived(NamedTuple):
+class OrderReceived(NamedTuple):
     """An order of a coordinator has arrived."""
 
     order: RankOrder
@@ -25,7 +25,7 @@
     digest: str
 
 
-class BarrierSeen(NamedTuple):
+class BarrierEntryReceived(NamedTuple):
     """Another rank's entry has arrived."""
 
     entry: BarrierEntry
@@ -45,9 +45,9 @@
 
 RankEvent = (
     Tick
-    | OrderArrived
+    | OrderReceived
     | WeightsFetched
-    | BarrierSeen
+    | BarrierEntryReceived
     | EntryRefused
     | StepFinished
 )
--- a/src/snipebend/experts/switch_roster.py
+++ b/src/snipebend/experts/switch_roster.py
@@ -68,7 +68,7 @@
         steps = [report.next_step for report in self._reports.values()]
         return max(steps, default=0)
 
-    def lacks(self, decision: SwitchDecision) -> bool:
+    def has_unfit_member(self, decision: SwitchDecision) -> bool:
         """Tell whether a member can't go on under a committed decision.
 
         It is lost, or it has neither installed nor promised the map, as after
--- a/src/snipebend/experts/switch_runner.py
+++ b/src/snipebend/experts/switch_runner.py
@@ -36,11 +36,11 @@
         """Return the stamp of the map in force, or the empty one."""
         return self.in_force.stamp if self.in_force else MapStamp()
 
-    def may_enter(self, step: int) -> bool:
+    def can_enter(self, step: int) -> bool:
         """Tell whether a promise lets the rank enter a step."""
         return not self._promise.holds(step)
 
-    def judge_barrier(self) -> Verdict:
+    def barrier_verdict(self) -> Verdict:
         """Compare what the ranks entered the step with."""
         return self._barrier.verdict()
 
@@ -50,7 +50,7 @@
         if entry.stamp.incarnation < own:
             return [RefuseEntry(entry.rank, own)]
         self._barrier.note(entry)
-        if self.judge_barrier() is not Verdict.MISMATCH:
+        if self.barrier_verdict() is not Verdict.MISMATCH:
             return []
         stamps = tuple(stamp for stamp in self._barrier.stamps() if stamp)
         return [StepStopped(self.next_step - 1, stamps), AskDecision()]
@@ -65,7 +65,7 @@
         """Tell the peers again of the entries that they may lack."""
         return [
             EnterBarrier(peer, entry)
-            for entry in self._barrier.to_resend()
+            for entry in self._barrier.entries_to_resend()
             for peer in self._barrier.peers
         ]
 
@@ -76,7 +76,7 @@
         self._switch()
         actions = self._enter()
         entered = self._barrier.entered
-        if entered and self.judge_barrier() is Verdict.AGREED:
+        if entered and self.barrier_verdict() is Verdict.AGREED:
             self.running = RunStep(entered.step, entered.stamp)
             actions.append(self.running)
         return actions
@@ -100,7 +100,7 @@
     def _enter(self) -> list[RankAction]:
         if self.in_force is None or self._barrier.entered is not None:
             return []
-        if not self.may_enter(self.next_step):
+        if not self.can_enter(self.next_step):
             return []
         decision = self.in_force
         entry = self._barrier.enter(
--- a/src/snipebend/experts/switch_store.py
+++ b/src/snipebend/experts/switch_store.py
@@ -44,10 +44,12 @@
             starts[rank] = moment
             if size:
                 moment += size / (self._bytes_per_s * pace)
-        if moment > max(now, self.busy_until) and self._too_far(moment, now):
+        if moment > max(now, self.busy_until) and self._is_beyond_horizon(
+            moment, now
+        ):
             return None
         self.busy_until = max(moment, self.busy_until)
         return starts
 
-    def _too_far(self, moment: float, now: float) -> bool:
+    def _is_beyond_horizon(self, moment: float, now: float) -> bool:
         return moment > now + self.horizon_s
--- a/src/snipebend/orders/flow.py
+++ b/src/snipebend/orders/flow.py
@@ -18,14 +18,14 @@
 #: Seconds for an answer once nothing speaks for its order being on its way: a
 #: few round trips within a region. An engine that leaves an order unanswered is
 #: given it again, which does no harm, while the whole group may wait.
-ANSWER_S = 0.04
+REPLY_TIMEOUT_S = 0.04
 
 #: Seconds for an answer in any case: by then reports show what became of it.
-MOST_S = 0.4
+MAX_REPLY_TIMEOUT_S = 0.4
 
 #: Bytes a second that an engine's own link carries at the least: 3 Mbit/s, the
 #: narrowest link of a VM that is known.
-LEAST_RATE = 375_000
+MIN_LINK_RATE = 375_000
 
 #: Bytes under way at most: what is urgent waits behind them on the link, 12 ms
 #: at 170 Mbit/s. One round trip of that link, 3 ms, is 64 kB, so that the link
@@ -39,7 +39,7 @@
 
 class _Sent(NamedTuple):
     size: int
-    begun_at: float
+    sent_at: float
 
 
 class OrderFlow:
@@ -52,7 +52,7 @@
         #: When an order that began later was answered: the link has carried it.
         self._carried_at: dict[int, float] = {}
         #: When an order was answered last.
-        self._moved_at: float = 0
+        self._last_reply_at: float = 0
 
     def has_room(self, size: int) -> bool:
         """Tell whether an order of so many bytes may be begun."""
@@ -71,9 +71,9 @@
         self._sent[number] = _Sent(size, now)
         return number
 
-    def note_answer(self, number: int, now: float) -> None:
+    def record_reply(self, number: int, now: float) -> None:
         """Take note of an answer: what was sent before has left, too."""
-        self._moved_at = now
+        self._last_reply_at = now
         for earlier in self._sent:
             if earlier < number:
                 self._carried_at.setdefault(earlier, now)
@@ -84,12 +84,13 @@
         self._sent.pop(number, None)
         self._carried_at.pop(number, None)
 
-    def give_up_at(self, number: int) -> float:
+    def expires_at(self, number: int) -> float:
         """Return when the answer to an order is taken for lost."""
         sent = self._sent[number]
         carried_at = self._carried_at.get(number)
-        moved_at = self._moved_at if carried_at is None else carried_at
-        patience_s = ANSWER_S + sent.size / LEAST_RATE
+        moved_at = self._last_reply_at if carried_at is None else carried_at
+        timeout_s = REPLY_TIMEOUT_S + sent.size / MIN_LINK_RATE
         return min(
-            sent.begun_at + MOST_S, max(sent.begun_at, moved_at) + patience_s
+            sent.sent_at + MAX_REPLY_TIMEOUT_S,
+            max(sent.sent_at, moved_at) + timeout_s,
         )
--- a/src/snipebend/transport/rank_switch.py
+++ b/src/snipebend/transport/rank_switch.py
@@ -23,7 +23,7 @@
 from snipebend.experts.switch_rank_events import (
     AskDecision,
     FetchWeights,
-    OrderArrived,
+    OrderReceived,
     RankAction,
     RankEvent,
     WeightsFetched,
@@ -71,7 +71,7 @@
         if isinstance(order, Prepare):
             # The engine must hear of each hold step, weights or not.
             self.guard.promise.fetched.clear()
-        self.handle_event(OrderArrived(order))
+        self.handle_event(OrderReceived(order))
         await self._follow()
         return self.guard.report(refused=self.guard.is_stale(order.fence))
 
@@ -142,7 +142,7 @@
         record = await self._reader.record(self._group)
         if record.is_ok() and self.guard is guard:
             order = Activate(self._group, guard.fence, record.unwrap())
-            self.handle_event(OrderArrived(order))
+            self.handle_event(OrderReceived(order))
             await self._follow()
 
     async def _follow(self) -> None:
--- a/tests/balancing/fakes.py
+++ b/tests/balancing/fakes.py
@@ -25,7 +25,7 @@
         return self.kept.state.plans.decide(command.req)
 
 
-class HearingKeeper(HostKeeper):
+class RecordingKeeper(HostKeeper):
     """Takes what is told."""
 
     def __init__(self):
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -39,9 +39,9 @@
 )
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
-from snipebend.orders.flow import MOST_S
+from snipebend.orders.flow import MAX_REPLY_TIMEOUT_S
 from snipebend.state.roster import RecordRequest, UpstreamRecord
-from tests.balancing.fakes import HearingKeeper, LeadingStore
+from tests.balancing.fakes import RecordingKeeper, LeadingStore
 from tests.virtual_time import LoopClock
 
 EXPERT_SHARE = 0.85
@@ -208,7 +208,7 @@
     async def counts(self, upstream):
         self.readings += 1
         if _now() < self.unread_until:
-            await asyncio.sleep(MOST_S)
+            await asyncio.sleep(MAX_REPLY_TIMEOUT_S)
             return None
         await asyncio.sleep(ROUND_TRIP_S)
         rank = int(upstream.identity)
@@ -309,7 +309,7 @@
         self.store = LeadingStore(before and before.store.kept, term)
         self._registry = Registry(LoopClock(), TaskSupervisor())
         self._registry.register(self.store)
-        self._registry.register(HearingKeeper())
+        self._registry.register(RecordingKeeper())
         table = group.shape.table()
         self._balancer = GroupBalancer('b', group, lambda: table, paces)
         for rank in range(group.shape.ranks):
--- a/tests/balancing/test_count_reader.py
+++ b/tests/balancing/test_count_reader.py
@@ -11,7 +11,7 @@
     CountReader,
 )
 from snipebend.experts.direct_orders import RankCounts, RankReport
-from snipebend.experts.group_watch import GroupWatch
+from snipebend.experts.group_monitor import GroupMonitor
 from snipebend.experts.reading_plan import Reading
 from snipebend.experts.sizes import ExpertSizes
 from tests.virtual_time import LoopClock
@@ -40,16 +40,18 @@
     async def test_first_span_hears_of_many_requests(self):
         engines = Engines()
         reader = CountReader(engines, LoopClock())
-        watch = GroupWatch(SIZES, REPORT)
-        seen = SimpleNamespace(upstreams={rank: rank for rank in range(RANKS)})
+        monitor = GroupMonitor(SIZES, REPORT)
+        snapshot = SimpleNamespace(
+            upstreams={rank: rank for rank in range(RANKS)}
+        )
         asked = []
         for reading in (Reading.BEGIN, Reading.END, Reading.END):
             engines.asked.clear()
             engines.step += 3
-            self.assertTrue(await reader.read(watch, seen, reading))
+            self.assertTrue(await reader.read(monitor, snapshot, reading))
             asked.append(len(set(engines.asked)))
         self.assertEqual(asked, [FIRST_SAMPLE, FIRST_SAMPLE, SAMPLE])
-        self.assertFalse(watch.turning)
+        self.assertFalse(monitor.turning)
 
 
 if __name__ == '__main__':
--- a/tests/balancing/test_turns.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from snipebend.experts.group_pace import GroupPaces
+from snipebend.experts.group_pass_times import GroupPassTimes
 from tests.balancing.group_model import Leader, ModelGroup, Shape
 from tests.virtual_time import LoopClock, run_virtually
 
@@ -46,7 +46,7 @@
 
     def __init__(self, shape, seed=1):
         self.group = ModelGroup(shape, seed)
-        self.paces = GroupPaces()
+        self.paces = GroupPassTimes()
         self.leader = Leader(self.group, self.paces)
         self._passes = asyncio.ensure_future(self.group.run(self.paces))
 
--- a/tests/balancing/test_direct_http.py
+++ b/tests/balancing/test_engine_http.py
@@ -7,8 +7,8 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from snipebend.balancing import direct_http
-from snipebend.balancing.direct_http import DirectHttp
+from snipebend.balancing import engine_http
+from snipebend.balancing.engine_http import EngineHttpClient
 
 RANKS = 192
 PATIENCE_S = 60
@@ -44,8 +44,8 @@
         server = await asyncio.start_server(engines.serve, '127.0.0.1', 0)
         host, port = server.sockets[0].getsockname()[:2]
         upstream = SimpleNamespace(identity='r', address=f'{host}:{port}')
-        http = DirectHttp()
-        with mock.patch.object(direct_http, 'CALL_TIMEOUT_S', PATIENCE_S):
+        http = EngineHttpClient()
+        with mock.patch.object(engine_http, 'CALL_TIMEOUT_S', PATIENCE_S):
             answers = await asyncio.gather(
                 *(http.read(upstream, '/', {}) for _ in range(RANKS))
             )
@@ -75,7 +75,7 @@
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()[:2]
         self.address = f'{host}:{port}'
-        self.http = DirectHttp()
+        self.http = EngineHttpClient()
         self.addAsyncCleanup(self.http.close)
 
     def rank(self, identity):
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -15,7 +15,7 @@
     RankReport,
     Reply,
 )
-from snipebend.experts.group_pace import GroupPaces
+from snipebend.experts.group_pass_times import GroupPassTimes
 from snipebend.experts.sizes import ORDER_MARGIN_S
 from snipebend.experts.hold_aim import AHEAD
 from snipebend.hosts.model import (
@@ -31,7 +31,7 @@
 from snipebend.state.group_plans import GroupPlan
 from snipebend.state.roster import RecordRequest, UpstreamRecord
 from snipebend.balancing.group_balancer import GroupBalancer
-from tests.balancing.fakes import HearingKeeper, LeadingStore
+from tests.balancing.fakes import RecordingKeeper, LeadingStore
 
 RANKS = 2
 LAG_S = 0.2
@@ -89,7 +89,7 @@
         self.step = 10
         #: Passes that reports are behind.
         self.lag = 0
-        self.pace = 1.0
+        self.slowness = 1.0
         self.armed = {}
         self.prepared = set()
         self.chosen = [0, 0, 0, 0]
@@ -111,7 +111,7 @@
             map_version=self.version,
             armed=self.armed.get(rank),
             held=self.held if rank == 0 else None,
-            pace=self.pace,
+            slowness=self.slowness,
         )
 
     async def counts(self, upstream):
@@ -155,10 +155,10 @@
         self.engines = FakeEngines()
         registry = Registry(self.clock, TaskSupervisor())
         self.store = LeadingStore()
-        self.keeper = HearingKeeper()
+        self.keeper = RecordingKeeper()
         registry.register(self.store)
         registry.register(self.keeper)
-        self.paces = GroupPaces()
+        self.paces = GroupPassTimes()
         self.balancer = GroupBalancer(
             'balancer', self.engines, lambda: TABLE, self.paces
         )
@@ -170,11 +170,11 @@
         await self.balancer.start(registry)
         await registry.tasks.stop()
 
-    async def look(self):
+    async def check(self):
         """Look for groups, then at each of them."""
-        await self.balancer.look()
-        for care in tuple(self.balancer.cares.values()):
-            await care.look()
+        await self.balancer.check()
+        for controller in tuple(self.balancer.controllers.values()):
+            await controller.check()
 
 
 class TestGroupBalancer(BalancerCase):
@@ -183,7 +183,7 @@
     async def test_one_that_never_started_stops(self):
         """Else it hides why another service of the process didn't start."""
         unstarted = GroupBalancer(
-            'balancer', FakeEngines(), lambda: TABLE, GroupPaces()
+            'balancer', FakeEngines(), lambda: TABLE, GroupPassTimes()
         )
         await unstarted.stop()
 
@@ -193,25 +193,25 @@
         failing = mock.Mock(side_effect=(ImportError('half loaded'), load()))
         with mock.patch.object(self.balancer, '_load', failing):
             self.balancer._loading = self.balancer._begin_loading()
-            await self.look()
+            await self.check()
         self.assertEqual(failing.call_count, 2)
-        self.assertTrue(self.balancer.cares)
+        self.assertTrue(self.balancer.controllers)
 
     async def test_no_order_before_the_last_leaders_show(self):
-        await self.look()
+        await self.check()
         self.clock.at += SETTLE_S / 2
-        await self.look()
+        await self.check()
         self.assertEqual(self.engines.orders, [])
         # What was seen before the wait was over isn't gone by later.
         asked = len(self.engines.asked)
         self.clock.at += SETTLE_S
-        await self.look()
+        await self.check()
         self.assertGreater(len(self.engines.asked), asked)
 
     async def test_then_the_unfinished_switch_is_finished(self):
-        await self.look()
+        await self.check()
         self.clock.at += SETTLE_S
-        await self.look()
+        await self.check()
         self.assertEqual(self.engines.version, PLAN.version)
         self.assertEqual(
             self.engines.orders, [Prepare, Prepare, Hold, Arm, Arm, Go]
@@ -220,49 +220,49 @@
     async def test_the_hold_goes_by_the_pass_under_way(self):
         """Reports are late, and a pace may have changed since."""
         self.engines.lag = 4
-        await self.look()
+        await self.check()
         self.clock.at += SETTLE_S
-        await self.look()
+        await self.check()
         self.assertEqual(self.engines.held_before, [10 + AHEAD])
 
     async def test_a_hold_of_the_last_leader_is_taken_over(self):
         self.engines.held = 14
         self.engines.armed = {0: Armed(PLAN.version, 14)}
-        await self.look()
+        await self.check()
         self.clock.at += SETTLE_S
-        await self.look()
+        await self.check()
         self.assertEqual(self.engines.version, PLAN.version)
         self.assertEqual(self.engines.step, 14)
         self.assertNotIn(Hold, self.engines.orders)
 
     async def test_no_order_without_the_lease(self):
-        await self.look()
+        await self.check()
         self.clock.at += SETTLE_S
         self.store.group.replica.has_lease = False
         asked = len(self.engines.asked)
-        await self.look()
+        await self.check()
         self.assertEqual(len(self.engines.asked), asked)
         self.assertEqual(self.engines.orders, [])
 
     async def test_a_new_lead_is_noticed_soon(self):
         """A group may stand still since the last leader died."""
         self.store.group.replica.has_lease = False
-        await self.look()
+        await self.check()
         self.assertLessEqual(self.balancer.pause_s, 0.1)
 
     async def test_another_term_begins_anew(self):
-        await self.look()
+        await self.check()
         self.clock.at += SETTLE_S
         self.store.group.replica.status.term = 4
-        await self.look()
+        await self.check()
         self.assertEqual(self.engines.orders, [])
 
     async def test_slow_ranks_are_told(self):
         self.engines.version = PLAN.version
-        self.engines.pace = 4.0
-        await self.look()
+        self.engines.slowness = 4.0
+        await self.check()
         self.clock.at += SETTLE_S
-        await self.look()
+        await self.check()
         self.assertEqual(self.keeper.groups['g'].slow, ('0', '1'))
 
 
@@ -273,7 +273,7 @@
         await super().asyncSetUp()
         self.store.machine.state.plans.plans.clear()
         self.paces.note('g', 3, 0.1 * ALLOWED_S, self.clock.at)
-        await self.look()
+        await self.check()
         self.clock.at += SETTLE_S
         self.engines.asked.clear()
 
@@ -282,7 +282,7 @@
         self.clock.at += passes * pass_s
         self.engines.work(passes)
         self.paces.note('g', passes, passes * pass_s, self.clock.at)
-        await self.look()
+        await self.check()
 
     async def test_nothing_is_read_while_passes_are_short(self):
         for _ in range(30):
--- a/tests/balancing/test_group_eyes.py
+++ b/tests/balancing/test_group_observer.py
@@ -7,7 +7,11 @@
 
 from snipebend.experts.direct_orders import RankReport
 from snipebend.state.roster import UpstreamRecord
-from snipebend.balancing.group_eyes import ASK_AGAIN_S, GroupEyes, GroupKey
+from snipebend.balancing.group_observer import (
+    QUERY_RETRY_S,
+    GroupObserver,
+    GroupKey,
+)
 
 G = GroupKey('s', 'g')
 H = GroupKey('s', 'h')
@@ -56,35 +60,35 @@
     async def asyncSetUp(self):
         self.clock = Clock()
         self.link = Link()
-        self.eyes = GroupEyes(self.link, self.clock)
+        self.observer = GroupObserver(self.link, self.clock)
         self.members = members('a', 'b', 'c', 'd')
         self.link.say('a', 0)
         self.link.say('b', 1)
         self.link.say('c', 0, 'h')
         self.link.say('d', 1, 'h')
-        await self.eyes.survey('s', self.members)
+        await self.observer.survey('s', self.members)
 
-    async def see(self, key):
+    async def observe(self, key):
         async with asyncio.timeout(5):
-            return await self.eyes.see(key, self.members)
+            return await self.observer.observe(key, self.members)
 
     async def test_each_group_is_seen(self):
-        found = await self.eyes.survey('s', self.members)
+        found = await self.observer.survey('s', self.members)
         self.assertEqual(found, {'g', 'h'})
-        self.assertEqual((await self.see(G)).identities, ('a', 'b'))
-        self.assertEqual((await self.see(H)).identities, ('c', 'd'))
+        self.assertEqual((await self.observe(G)).identities, ('a', 'b'))
+        self.assertEqual((await self.observe(H)).identities, ('c', 'd'))
 
     async def test_a_silent_rank_delays_no_other_group(self):
         self.link.silent.add('c')
-        self.assertEqual((await self.see(G)).identities, ('a', 'b'))
+        self.assertEqual((await self.observe(G)).identities, ('a', 'b'))
         self.assertNotIn('c', self.link.asked[4:])
 
     async def test_a_broken_group_leaves_the_other_whole(self):
         self.link.say('d', 1, 'h', is_open=False)
-        self.assertIsNone(await self.see(H))
-        self.assertTrue(self.eyes.is_broken(H))
-        self.assertIsNotNone(await self.see(G))
-        self.assertFalse(self.eyes.is_broken(G))
+        self.assertIsNone(await self.observe(H))
+        self.assertTrue(self.observer.is_broken(H))
+        self.assertIsNotNone(await self.observe(G))
+        self.assertFalse(self.observer.is_broken(G))
 
     async def test_a_replaced_rank_is_asked_no_longer(self):
         """The old one is silent, and has its place no more."""
@@ -92,10 +96,10 @@
         self.link.say('e', 1, epoch=2)
         self.link.say('a', 0, epoch=2)
         self.members |= members('e')
-        await self.eyes.survey('s', self.members)
-        seen = await self.see(G)
-        self.assertEqual(seen.identities, ('a', 'e'))
-        self.assertEqual(self.eyes.members(G), {'a', 'e'})
+        await self.observer.survey('s', self.members)
+        snapshot = await self.observe(G)
+        self.assertEqual(snapshot.identities, ('a', 'e'))
+        self.assertEqual(self.observer.members(G), {'a', 'e'})
 
     async def test_groups_that_exchange_a_rank(self):
         self.link.say('b', 0, 'h', epoch=2)
@@ -103,28 +107,28 @@
         self.link.say('a', 0, 'g', epoch=2)
         self.link.say('d', 1, 'h', epoch=2)
         for _ in range(2):
-            await self.see(G)
-            await self.see(H)
-            self.clock.at += ASK_AGAIN_S
-            await self.eyes.survey('s', self.members)
-        self.assertEqual((await self.see(G)).identities, ('a', 'c'))
-        self.assertEqual((await self.see(H)).identities, ('b', 'd'))
+            await self.observe(G)
+            await self.observe(H)
+            self.clock.at += QUERY_RETRY_S
+            await self.observer.survey('s', self.members)
+        self.assertEqual((await self.observe(G)).identities, ('a', 'c'))
+        self.assertEqual((await self.observe(H)).identities, ('b', 'd'))
 
     async def test_a_replica_of_no_group_is_asked_now_and_then(self):
         self.members |= members('lone')
-        await self.eyes.survey('s', self.members)
+        await self.observer.survey('s', self.members)
         asked = self.link.asked.count('lone')
-        await self.eyes.survey('s', self.members)
+        await self.observer.survey('s', self.members)
         self.assertEqual(self.link.asked.count('lone'), asked)
-        self.clock.at += ASK_AGAIN_S
-        await self.eyes.survey('s', self.members)
+        self.clock.at += QUERY_RETRY_S
+        await self.observer.survey('s', self.members)
         self.assertEqual(self.link.asked.count('lone'), asked + 1)
-        self.assertEqual((await self.see(G)).identities, ('a', 'b'))
+        self.assertEqual((await self.observe(G)).identities, ('a', 'b'))
 
     async def test_what_was_seen_ends_with_a_rank(self):
-        await self.see(G)
+        await self.observe(G)
         asked = len(self.link.asked)
-        await self.see(G)
+        await self.observe(G)
         self.assertEqual(len(self.link.asked), asked)
         self.members.pop('b')
-        self.assertIsNone(await self.see(G))
+        self.assertIsNone(await self.observe(G))
--- a/tests/balancing/test_large_switch.py
+++ b/tests/balancing/test_large_switch.py
@@ -26,8 +26,8 @@
 from snipebend.orders.flow import WINDOW_BYTES
 from snipebend.state.group_plans import GroupPlan
 from snipebend.balancing.meters import BalancerMeters
-from snipebend.balancing.group_eyes import Seen
-from snipebend.balancing.order_desk import OrderDesk
+from snipebend.balancing.group_observer import GroupSnapshot
+from snipebend.balancing.order_dispatcher import OrderDispatcher
 from snipebend.balancing.switch_driver import SwitchDriver
 from tests.virtual_time import LoopClock, run_virtually
 
@@ -66,7 +66,7 @@
         self.given = Counter()
         self.reports = 0
         self._link = Link(bits_per_s)
-        self._desk = OrderDesk()
+        self._dispatcher = OrderDispatcher()
         self._slow = slow
         self._silent_until = silent_until
         self._lost = lost
@@ -76,7 +76,9 @@
     async def order(self, upstream, order):
         rank = int(upstream.identity)
         size = 130 * self.ranks if isinstance(order, Prepare) else SMALL
-        answer = await self._give(size, lambda: self._send(rank, size, order))
+        answer = await self._dispatch(
+            size, lambda: self._send(rank, size, order)
+        )
         return Reply.LOST if answer is None else answer
 
     async def report(self, upstream):
@@ -88,16 +90,16 @@
         await asyncio.sleep(ROUND_TRIP_S)
         return RankCounts(1, self._step(), ())
 
-    def seen(self):
+    def snapshot(self):
         ranks = range(self.ranks)
-        return Seen(
+        return GroupSnapshot(
             {rank: self._report(rank) for rank in ranks},
             {rank: SimpleNamespace(identity=str(rank)) for rank in ranks},
             0,
         )
 
-    async def _give(self, size, send):
-        return await self._desk.give(size, send)
+    async def _dispatch(self, size, send):
+        return await self._dispatcher.dispatch(size, send)
 
     async def _send(self, rank, size, order):
         self.given[type(order).__name__, rank] += 1
@@ -137,7 +139,7 @@
 class HastyEngines(Engines):
     """All orders at once, each with the same short time for all of it."""
 
-    async def _give(self, size, send):
+    async def _dispatch(self, size, send):
         try:
             async with asyncio.timeout(0.04):
                 return await send()
@@ -152,7 +154,7 @@
         engines,
         clock,
         GroupPlan('g', 1, 1, ()),
-        engines.seen(),
+        engines.snapshot(),
         BalancerMeters(),
         fetch_s=FETCH_S,
     )
@@ -168,7 +170,7 @@
             with self.subTest(ranks=ranks):
                 engines = Engines(ranks, WIDE)
                 phase, took_s = run_virtually(switch(engines))
-                self.assertIs(phase, Phase.LET_GO)
+                self.assertIs(phase, Phase.GO_ACCEPTED)
                 self.assertLess(took_s, FETCH_S + MOST_S)
                 self._check_once(engines)
 
@@ -178,7 +180,7 @@
             with self.subTest(ranks=ranks):
                 engines = Engines(ranks, NARROW)
                 phase, took_s = run_virtually(switch(engines))
-                self.assertIs(phase, Phase.LET_GO)
+                self.assertIs(phase, Phase.GO_ACCEPTED)
                 bytes_s = 130 * ranks**2 / (NARROW / 8)
                 self.assertLess(took_s, bytes_s + FETCH_S + MOST_S)
                 self._check_once(engines)
@@ -190,14 +192,14 @@
     def test_a_slow_rank(self):
         engines = Engines(192, WIDE, slow={7})
         phase, took_s = run_virtually(switch(engines))
-        self.assertIs(phase, Phase.LET_GO)
+        self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, FETCH_S + MOST_S)
         self._check_once(engines)
 
     def test_a_silent_rank_is_asked_again_until_it_answers(self):
         engines = Engines(192, WIDE, silent_until=0.4)
         phase, took_s = run_virtually(switch(engines))
-        self.assertIs(phase, Phase.LET_GO)
+        self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, 0.4 + FETCH_S + MOST_S)
         self.assertGreater(engines.given['Prepare', 5], 1)
         self._check_once(engines, but=5)
@@ -205,7 +207,7 @@
     def test_lost_answers(self):
         engines = Engines(192, WIDE, lost=0.1)
         phase, took_s = run_virtually(switch(engines))
-        self.assertIs(phase, Phase.LET_GO)
+        self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, FETCH_S + 2 * MOST_S)
 
     def test_a_leader_that_is_lost_half_way(self):
@@ -222,7 +224,7 @@
 
         told, phase, at = run_virtually(lose_leader())
         self.assertLess(told, 192)
-        self.assertIs(phase, Phase.LET_GO)
+        self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(at, LOST_AT_S + FETCH_S + MOST_S)
         prepares = sum(
             times
--- a/tests/balancing/test_last_switch.py
+++ b/tests/balancing/test_last_switch.py
@@ -8,13 +8,13 @@
 from snipebend.experts.direct_switch import Phase
 from snipebend.state.group_plans import GroupPlan
 from snipebend.state.roster import UpstreamRecord
-from snipebend.balancing.group_eyes import Seen
+from snipebend.balancing.group_observer import GroupSnapshot
 from snipebend.balancing.last_switch import LastSwitch
 
 PLAN = GroupPlan('g', 1, 7, (((0,), (1,)),))
 
 
-def seen(*ranks):
+def snapshot(*ranks):
     """Return a group of which each rank reports step, version and hold."""
     reports = {
         rank: RankReport(
@@ -23,7 +23,7 @@
         for rank, (step, version, held) in enumerate(ranks)
     }
     record = UpstreamRecord('0', 's', '10.0.0.1:80', 'dc', 4)
-    return Seen(reports, dict.fromkeys(reports, record), 99.0)
+    return GroupSnapshot(reports, dict.fromkeys(reports, record), 99.0)
 
 
 class TestLastSwitch(unittest.TestCase):
@@ -31,40 +31,42 @@
 
     def setUp(self):
         self.last = LastSwitch()
-        self.last.note_end(7, Phase.LET_GO, 303, 10.0)
+        self.last.record_outcome(7, Phase.GO_ACCEPTED, 303, 10.0)
 
     def test_reports_from_before_the_pass(self):
-        old = seen((302, 6, 303), (302, 6, None))
+        old = snapshot((302, 6, 303), (302, 6, None))
         self.assertTrue(self.last.is_unfinished(PLAN, old))
-        self.assertTrue(self.last.is_under_way(PLAN, old))
+        self.assertTrue(self.last.is_pending(PLAN, old))
 
     def test_a_slow_ranks_report_is_older(self):
-        mixed = seen((302, 6, 303), (310, 7, None))
-        self.assertTrue(self.last.is_under_way(PLAN, mixed))
+        mixed = snapshot((302, 6, 303), (310, 7, None))
+        self.assertTrue(self.last.is_pending(PLAN, mixed))
         self.assertFalse(mixed.is_held)
 
     def test_a_rank_that_did_not_switch_must_be_seen_to(self):
-        failed = seen((310, 6, None), (310, 7, None))
+        failed = snapshot((310, 6, None), (310, 7, None))
         self.assertTrue(self.last.is_unfinished(PLAN, failed))
-        self.assertFalse(self.last.is_under_way(PLAN, failed))
+        self.assertFalse(self.last.is_pending(PLAN, failed))
 
     def test_in_force_everywhere(self):
         self.assertFalse(
-            self.last.is_unfinished(PLAN, seen((310, 7, None), (310, 7, None)))
+            self.last.is_unfinished(
+                PLAN, snapshot((310, 7, None), (310, 7, None))
+            )
         )
 
     def test_another_plan_or_epoch(self):
-        old = seen((302, 6, None), (302, 6, None))
+        old = snapshot((302, 6, None), (302, 6, None))
         later = GroupPlan('g', 1, 8, PLAN.layers)
-        self.assertFalse(self.last.is_under_way(later, old))
+        self.assertFalse(self.last.is_pending(later, old))
         formed = GroupPlan('g', 2, 7, PLAN.layers)
         self.assertFalse(self.last.is_unfinished(formed, old))
 
     def test_a_hold_is_seen(self):
-        self.assertTrue(seen((302, 7, 303), (301, 7, None)).is_held)
+        self.assertTrue(snapshot((302, 7, 303), (301, 7, None)).is_held)
 
     def test_a_refused_plan_is_left(self):
-        self.last.note_end(7, Phase.REFUSED, None, 11.0)
-        old = seen((302, 6, None), (302, 6, None))
+        self.last.record_outcome(7, Phase.REFUSED, None, 11.0)
+        old = snapshot((302, 6, None), (302, 6, None))
         self.assertFalse(self.last.is_unfinished(PLAN, old))
         self.assertEqual(self.last.settled_at, 11.0)
--- a/tests/balancing/test_steady_demand.py
+++ b/tests/balancing/test_steady_demand.py
@@ -6,7 +6,7 @@
 from statistics import fmean
 
 from tests.balancing.group_model import EXPERT_SHARE
-from tests.balancing.test_turns import SHAPES, Day, play
+from tests.balancing.test_demand_shifts import SHAPES, Day, play
 
 #: Seconds of an even pass at 1.3 times the load of a calm day: with the map
 #: planned first, passes take 0.7 and more of what streams may pause.
--- a/tests/edge/test_paces.py
+++ b/tests/edge/test_paces.py
@@ -11,7 +11,7 @@
 from snipebend.edge.host_follower import HostFollower
 from snipebend.edge.pace_teller import PaceTeller
 from snipebend.edge.stream_relay import StreamRelay
-from snipebend.experts.group_pace import GroupPaces
+from snipebend.experts.group_pass_times import GroupPassTimes
 from snipebend.kernel.clock import SystemClock
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
@@ -21,7 +21,7 @@
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
 from snipebend.state.pace_news import PacesTold
-from snipebend.balancing.pace_listener import PaceListener
+from snipebend.balancing.pass_time_listener import PassTimeListener
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import RpcServer
 from tests.edge.books import Books
@@ -87,8 +87,8 @@
         server = RpcServer('grpc', '127.0.0.1', 0)
         await server.start(registry)
         self.addAsyncCleanup(server.stop)
-        self.paces = GroupPaces()
-        listener = PaceListener('paces', server, self.paces)
+        self.paces = GroupPassTimes()
+        listener = PassTimeListener('paces', server, self.paces)
         await listener.start(registry)
         self.addAsyncCleanup(listener.stop)
         return server, listener
@@ -114,9 +114,9 @@
         teller = PaceTeller('paces', 'e', lambda: {'g': (4, 0.2)})
         await teller.start(registry)
         async with asyncio.timeout(10):
-            while self.paces.of_group('g', SystemClock().now()) is None:
+            while self.paces.mean_pass_s('g', SystemClock().now()) is None:
                 await asyncio.sleep(0.01)
-        pace_s = self.paces.of_group('g', SystemClock().now())
+        pace_s = self.paces.mean_pass_s('g', SystemClock().now())
         self.assertAlmostEqual(pace_s, 0.05)
 
     async def test_late_copies_and_noise_change_nothing(self):
@@ -131,5 +131,5 @@
         tell(2, 0.5)
         tell(1, 0.5)
         listener.datagram_received(b'noise', ('127.0.0.1', 9))
-        pace_s = self.paces.of_group('g', SystemClock().now())
+        pace_s = self.paces.mean_pass_s('g', SystemClock().now())
         self.assertAlmostEqual(pace_s, 0.1)
--- a/tests/experts/direct_world.py
+++ b/tests/experts/direct_simulation.py
@@ -20,7 +20,7 @@
     RankReport,
     Reply,
 )
-from snipebend.experts.direct_switch import DirectSwitch, unsure_ranks
+from snipebend.experts.direct_switch import DirectSwitch, ranks_to_poll
 from snipebend.experts.hold_aim import HoldAim
 
 if TYPE_CHECKING:
@@ -154,8 +154,10 @@
 
     ignores_lease = False
 
-    def __init__(self, world: World, make: Callable[..., DirectSwitch]) -> None:
-        self.world = world
+    def __init__(
+        self, simulation: Simulation, make: Callable[..., DirectSwitch]
+    ) -> None:
+        self.simulation = simulation
         self.make = make
         self.switch = None
         self.report_at = 0.0
@@ -168,44 +170,44 @@
 
     def run(self) -> None:
         """Take one step and plan the next one."""
-        world = self.world
+        simulation = self.simulation
         if self.ended:
             return
-        if world.now >= self.frozen_until:
+        if simulation.now >= self.frozen_until:
             self._work()
-        world.at(STEP_S, self.run)
+        simulation.at(STEP_S, self.run)
 
     def _work(self) -> None:
-        world = self.world
+        simulation = self.simulation
         if self.replaced and not self.ignores_lease:
             self.ended = True
             return
-        if self.switch is None or self.switch.over:
+        if self.switch is None or self.switch.is_finished:
             self._begin()
             return
-        if self.switch.needs_step(world.now):
-            world.read_step(self)
-        for order in self.switch.next_orders(world.now):
-            world.send(self, order)
-        if world.now >= self.report_at:
-            self.report_at = world.now + REPORT_LAG_S
-            for number in unsure_ranks(self.switch):
-                world.ask(self, number)
+        if self.switch.needs_step(simulation.now):
+            simulation.read_step(self)
+        for order in self.switch.next_orders(simulation.now):
+            simulation.send(self, order)
+        if simulation.now >= self.report_at:
+            self.report_at = simulation.now + REPORT_LAG_S
+            for number in ranks_to_poll(self.switch):
+                simulation.ask(self, number)
 
     def _begin(self) -> None:
         """Look for a while after the last orders, then go by what was seen."""
-        world = self.world
+        simulation = self.simulation
         if self.look_at is None:
-            self.look_at = world.now + SETTLE_S
-        if world.now < self.look_at:
+            self.look_at = simulation.now + SETTLE_S
+        if simulation.now < self.look_at:
             return
         if self.reports is None:
             self.reports = [
-                world.engines.report(number, world.now)
+                simulation.engines.report(number, simulation.now)
                 for number in range(RANKS)
             ]
-            self.read_at = world.now + 0.3
-        if world.now < self.read_at:
+            self.read_at = simulation.now + 0.3
+        if simulation.now < self.read_at:
             return
         reports = self.reports
         self.reports = None
@@ -213,16 +215,16 @@
         self._decide(reports)
 
     def _decide(self, reports) -> None:
-        world = self.world
+        simulation = self.simulation
         epoch = reports[0].epoch
-        planned, version = world.plan
+        planned, version = simulation.plan
         finished = all(one.map_version == version for one in reports)
         held = any(one.held and one.held > one.step for one in reports)
         if planned != epoch or finished:
-            if self.replaced or (world.quiet and not held):
+            if self.replaced or (simulation.quiet and not held):
                 return
-            version = world.next_version()
-            world.plan = (epoch, version)
+            version = simulation.next_version()
+            simulation.plan = (epoch, version)
         self.switch = self.make(
             GROUP,
             epoch,
@@ -230,13 +232,13 @@
             (),
             RANKS,
             0.3,
-            HoldAim(reports[0].step, world.now),
+            HoldAim(reports[0].step, simulation.now),
         )
         for report in reports:
             self.switch.note_report(report)
 
 
-class World:
+class Simulation:
     """Schedules of passes, orders, coordinators and faults by one seed."""
 
     def __init__(
--- a/tests/experts/pair_world.py
+++ b/tests/experts/pair_simulation.py
@@ -13,14 +13,14 @@
 
 from snipebend.experts.direct_orders import Reply
 from snipebend.experts.direct_switch import DirectSwitch
-from tests.experts.direct_world import RANKS, Coordinator, World
+from tests.experts.direct_simulation import RANKS, Coordinator, Simulation
 
 #: Epochs of the second group begin here: those of two groups aren't taken to
 #: coincide, and an order that carries another epoch is refused.
 OTHER_EPOCH = 1000
 
 
-class Half(World):
+class Half(Simulation):
     """One of the groups."""
 
     def __init__(self, seed, pair, epoch, make):
--- a/tests/experts/switch_world.py
+++ b/tests/experts/switch_simulation.py
@@ -33,11 +33,11 @@
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
     AskDecision,
-    BarrierSeen,
+    BarrierEntryReceived,
     EnterBarrier,
     EntryRefused,
     FetchWeights,
-    OrderArrived,
+    OrderReceived,
     RefuseEntry,
     RunStep,
     SendReport,
@@ -52,7 +52,7 @@
 RANKS = ('r0', 'r1', 'r2')
 
 
-class BrokenPromiseError(Exception):
+class InvariantError(Exception):
     """The schedule has found a fault."""
 
 
@@ -108,7 +108,7 @@
             lineage = self.lineages[self.newest]
         for (ran_in, step), stamp in self.runs.items():
             if ran_in == lineage and step >= decision.step:
-                raise BrokenPromiseError('ran beyond the hold', stamp, decision)
+                raise InvariantError('ran beyond the hold', stamp, decision)
         self.decisions[decision.stamp] = decision
         self.lineages[decision.stamp] = lineage
 
@@ -116,20 +116,20 @@
         step, stamp = action
         decision = self.decisions.get(stamp)
         if decision is None or decision.step > step:
-            raise BrokenPromiseError('not decided', rank, action)
+            raise InvariantError('not decided', rank, action)
         lineage = self.lineages[stamp]
         if self.runs.setdefault((lineage, step), stamp) != stamp:
-            raise BrokenPromiseError('two maps', rank, action)
+            raise InvariantError('two maps', rank, action)
         if any(
             newer.stamp > stamp
             and newer.step <= step
             and self.lineages[newer.stamp] == lineage
             for newer in self.decisions.values()
         ):
-            raise BrokenPromiseError('old map', rank, action)
+            raise InvariantError('old map', rank, action)
         self.check_ready(rank, action, decision)
         if self.last_run.get((lineage, rank), -1) >= step:
-            raise BrokenPromiseError('ran again', rank, action)
+            raise InvariantError('ran again', rank, action)
         self.last_run[lineage, rank] = step
         self.newest = max(self.newest, stamp)
         self.steps += 1
@@ -143,16 +143,16 @@
         if any(
             (peer, *action) not in self.entered for peer in decision.members
         ):
-            raise BrokenPromiseError('barrier mixed', rank, action)
+            raise InvariantError('barrier mixed', rank, action)
         if decision.digest not in self.fetched[rank]:
-            raise BrokenPromiseError('no weights', rank, action)
+            raise InvariantError('no weights', rank, action)
 
     def enter(self, rank: str, step: int, stamp: MapStamp) -> None:
         self.entered.add((rank, step, stamp))
         self.memory[rank] = max(stamp, self.memory.get(rank, stamp))
 
 
-class World:
+class Simulation:
     """One seeded schedule, from quiet to wild."""
 
     def __init__(
@@ -217,7 +217,7 @@
             for _ in range(8):
                 self.deliver_all()
                 self.work_all()
-            if self.activated >= goal and self._moves_on(floor):
+            if self.activated >= goal and self._makes_progress(floor):
                 return True
         return False
 
@@ -300,7 +300,7 @@
             case Question(rank):
                 if self.quorum:
                     order = Activate(GROUP, self.fence, self.record)
-                    self.post(ToRank(rank, OrderArrived(order)))
+                    self.post(ToRank(rank, OrderReceived(order)))
 
     def post(self, message: object) -> None:
         self.sent += 1
@@ -361,9 +361,9 @@
         before = (guard.fence, guard.promise.newest)
         for action in guard.step(event, self.now, self.rng):
             self.act_rank(rank, action)
-        if isinstance(event, OrderArrived) and event.order.fence < before[0]:
+        if isinstance(event, OrderReceived) and event.order.fence < before[0]:
             if before != (guard.fence, guard.promise.newest):
-                raise BrokenPromiseError('old fence', rank, event)
+                raise InvariantError('old fence', rank, event)
 
     def act_rank(self, rank: str, action: object) -> None:
         match action:
@@ -376,7 +376,7 @@
                 self.work_left[rank].append(WeightsFetched(digest))
             case EnterBarrier(peer, entry):
                 self.checker.enter(rank, entry.step, entry.stamp)
-                self.post(ToRank(peer, BarrierSeen(entry)))
+                self.post(ToRank(peer, BarrierEntryReceived(entry)))
             case RefuseEntry(peer, incarnation):
                 self.post(ToRank(peer, EntryRefused(incarnation)))
             case RunStep(step, stamp):
@@ -396,7 +396,7 @@
     def act_coordinator(self, fence: int, action: object) -> None:
         match action:
             case SendOrder(rank, order):
-                self.post(ToRank(rank, OrderArrived(order)))
+                self.post(ToRank(rank, OrderReceived(order)))
             case PersistDecision(change):
                 self.post(ToStore(fence, change))
             case NeedMap(incarnation, members):
@@ -418,6 +418,6 @@
         )
         self.post(ToCoordinator(self.fence, proposal))
 
-    def _moves_on(self, floor: int) -> bool:
+    def _makes_progress(self, floor: int) -> bool:
         stamps = {guard.runner.stamp for guard in self.guards.values()}
         return len(stamps) == 1 and self.checker.steps > floor + 10
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -12,9 +12,9 @@
     RankReport,
     Reply,
 )
-from snipebend.experts.direct_switch import GO_AGAIN_S, DirectSwitch, Phase
+from snipebend.experts.direct_switch import GO_RETRY_S, DirectSwitch, Phase
 from snipebend.experts.hold_aim import AHEAD, LOSS_MARGIN, STEP_VALID_S, HoldAim
-from snipebend.experts.rank_states import ARM_AGAIN_S, MOST_ARM_AGAIN_S
+from snipebend.experts.rank_states import ARM_RETRY_S, MAX_ARM_RETRY_S
 
 LAYERS = (((0,), (1,)),)
 FETCH_S = 0.4
@@ -107,17 +107,17 @@
 
     def test_no_report_is_waited_for(self):
         switch, given = self.run_until_go()
-        self.assertIs(switch.phase, Phase.LET_GO)
+        self.assertIs(switch.phase, Phase.GO_ACCEPTED)
         self.assertEqual(given, [Prepare, Prepare, Hold, Arm, Arm, Go])
 
     def test_a_lost_go_is_given_again(self):
         switch, given = self.run_until_go(losing=[Go])
-        self.assertIs(switch.phase, Phase.LET_GO)
+        self.assertIs(switch.phase, Phase.GO_ACCEPTED)
         self.assertEqual(given[-2:], [Go, Go])
 
     def test_not_before_every_rank_has_said_that_it_is_armed(self):
         switch, given = self.run_until_go(losing=[Arm])
-        self.assertIs(switch.phase, Phase.LET_GO)
+        self.assertIs(switch.phase, Phase.GO_ACCEPTED)
         self.assertEqual(given[3:], [Arm, Arm, Arm, Go])
 
     def test_a_hold_that_was_not_needed_is_let_go(self):
@@ -135,11 +135,11 @@
                     str(rank), 'g', 1, rank, 2, True, step=102, map_version=1
                 )
             )
-        self.assertFalse(switch.over)
+        self.assertFalse(switch.is_finished)
         now = 10.2
         self.assertEqual(switch.next_orders(now), [Go(0, 1, held.step)])
         switch.note_reply(Go(0, 1, held.step), Reply.LOST, now)
-        now += GO_AGAIN_S
+        now += GO_RETRY_S
         self.assertEqual(switch.next_orders(now), [Go(0, 1, held.step)])
         switch.note_reply(Go(0, 1, held.step), Reply.ACCEPTED, now)
         self.assertIs(switch.phase, Phase.DONE)
@@ -158,5 +158,5 @@
                 if refuses:
                     asked.append(now)
                 switch.note_reply(order, reply, now)
-        self.assertLess(asked[1] - asked[0], 2.5 * ARM_AGAIN_S)
-        self.assertLess(len(asked), 2 / MOST_ARM_AGAIN_S + 4)
+        self.assertLess(asked[1] - asked[0], 2.5 * ARM_RETRY_S)
+        self.assertLess(len(asked), 2 / MAX_ARM_RETRY_S + 4)
--- a/tests/experts/test_direct_switch_search.py
+++ b/tests/experts/test_direct_switch_search.py
@@ -6,11 +6,11 @@
 
 from snipebend.experts.direct_orders import Arm, Go
 from snipebend.experts.direct_switch import DirectSwitch
-from tests.experts.direct_world import (
+from tests.experts.direct_simulation import (
     RANKS,
     Coordinator,
     MixedMapsError,
-    World,
+    Simulation,
 )
 
 SCHEDULES = 150
@@ -65,12 +65,12 @@
         switched = 0
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
-                world = World(seed)
-                world.run(SPAN_S)
-                world.settle()
-                epoch, version = world.plan
-                ranks = world.engines.ranks
-                if epoch == world.engines.epoch:
+                simulation = Simulation(seed)
+                simulation.run(SPAN_S)
+                simulation.settle()
+                epoch, version = simulation.plan
+                ranks = simulation.engines.ranks
+                if epoch == simulation.engines.epoch:
                     self.assertEqual(
                         {rank.map_version for rank in ranks}, {version}
                     )
@@ -81,12 +81,12 @@
     def test_passes_go_on_after_all_faults(self):
         for seed in range(SCHEDULES // 3):
             with self.subTest(seed=seed):
-                world = World(seed)
-                world.run(SPAN_S)
-                world.settle()
-                before = world.engines.step
-                world.run(5)
-                self.assertGreater(world.engines.step, before + 20)
+                simulation = Simulation(seed)
+                simulation.run(SPAN_S)
+                simulation.settle()
+                before = simulation.engines.step
+                simulation.run(5)
+                self.assertGreater(simulation.engines.step, before + 20)
 
 
 class TestPlantedFaults(unittest.TestCase):
@@ -107,7 +107,7 @@
     def _find(self, make, coordinator=Coordinator):
         for seed in range(FAULT_SCHEDULES):
             try:
-                World(seed, make, coordinator).run(SPAN_S)
+                Simulation(seed, make, coordinator).run(SPAN_S)
             except MixedMapsError:
                 return
         self.fail(f'{make.__name__} was not found')
--- a/tests/experts/test_map_search.py
+++ b/tests/experts/test_map_search.py
@@ -10,7 +10,7 @@
 from snipebend.experts.layer_state import layer_skew
 from snipebend.experts.layer_steps import LayerSteps
 from snipebend.experts.map_search import Bounds, MapSearch
-from tests.experts.turns import Answers, Size, answer_turns
+from tests.experts.demand_shifts import Answers, Size, answer_turns
 
 RANKS = 16
 EXPERTS = 64
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from snipebend.experts.group_pace import WINDOW_S, GroupPaces
+from snipebend.experts.group_pass_times import WINDOW_S, GroupPassTimes
 from snipebend.experts.reading_plan import (
     AGAIN_S,
     BLIND_EVERY_S,
@@ -126,22 +126,22 @@
     """What several entries tell, of the last moments."""
 
     def test_entries_count_by_their_events(self):
-        paces = GroupPaces()
+        paces = GroupPassTimes()
         paces.note('g', 3, 0.3, 1.0)
         paces.note('g', 1, 0.5, 1.1)
         paces.note('h', 1, 9.0, 1.1)
-        self.assertAlmostEqual(paces.of_group('g', 1.1), 0.2)
+        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1), 0.2)
 
     def test_what_is_old_counts_no_more(self):
-        paces = GroupPaces()
+        paces = GroupPassTimes()
         paces.note('g', 2, 0.1, 1.0)
         paces.note('g', 1, 0.2, 1.2)
-        self.assertAlmostEqual(paces.of_group('g', 1.1 + WINDOW_S), 0.2)
-        self.assertIsNone(paces.of_group('g', 1.3 + WINDOW_S))
-        self.assertIsNone(paces.of_group('unknown', 1.0))
+        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1 + WINDOW_S), 0.2)
+        self.assertIsNone(paces.mean_pass_s('g', 1.3 + WINDOW_S))
+        self.assertIsNone(paces.mean_pass_s('unknown', 1.0))
 
     def test_noise_is_passed_over(self):
-        paces = GroupPaces()
+        paces = GroupPassTimes()
         paces.note('g', 0, 1.0, 1.0)
         paces.note('g', 1, -1.0, 1.0)
-        self.assertIsNone(paces.of_group('g', 1.0))
+        self.assertIsNone(paces.mean_pass_s('g', 1.0))
--- a/tests/experts/test_switch_search.py
+++ b/tests/experts/test_switch_search.py
@@ -13,7 +13,7 @@
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_runner import StepRunner
 from snipebend.experts.switch_states import Activating, Idle
-from tests.experts.switch_world import GROUP, BrokenPromiseError, World
+from tests.experts.switch_simulation import GROUP, InvariantError, Simulation
 
 SCHEDULES = 250
 EVENTS = 4000
@@ -46,7 +46,7 @@
 class HoldlessRunner(StepRunner):
     """Enters steps beyond the hold."""
 
-    def may_enter(self, step):
+    def can_enter(self, step):
         return True
 
 
@@ -57,7 +57,7 @@
         self._barrier.note(entry)
         return []
 
-    def judge_barrier(self):
+    def barrier_verdict(self):
         seen = None not in self._barrier.stamps()
         return Verdict.AGREED if seen else Verdict.WAITING
 
@@ -79,7 +79,7 @@
 class HastyGuard(RankGuard):
     """Promises before the weights are there."""
 
-    def may_promise(self):
+    def can_promise(self):
         return self.promise.fetching is not None
 
 
@@ -106,11 +106,11 @@
 
 def run_schedule(seed: int, **machines: object) -> str:
     """Run one schedule; name what it broke, or return nothing."""
-    world = World(seed, **machines)
+    simulation = Simulation(seed, **machines)
     try:
-        world.run(EVENTS)
-        progress = world.settle(SETTLING_ROUNDS)
-    except BrokenPromiseError as exc:
+        simulation.run(EVENTS)
+        progress = simulation.settle(SETTLING_ROUNDS)
+    except InvariantError as exc:
         return str(exc.args)
     return '' if progress else 'no progress'
 
@@ -121,11 +121,13 @@
         switches = 0
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
-                world = World(seed)
-                world.run(EVENTS)
-                self.assertTrue(world.settle(SETTLING_ROUNDS), world.record)
-                steps += world.checker.steps
-                switches += world.activated
+                simulation = Simulation(seed)
+                simulation.run(EVENTS)
+                self.assertTrue(
+                    simulation.settle(SETTLING_ROUNDS), simulation.record
+                )
+                steps += simulation.checker.steps
+                switches += simulation.activated
         sys.stdout.write(
             f'switch search: {SCHEDULES} schedules of {EVENTS} events, '
             f'{steps} steps run, {switches} switches\n',
--- a/tests/experts/test_two_groups.py
+++ b/tests/experts/test_two_groups.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from tests.experts.direct_world import MixedMapsError
-from tests.experts.pair_world import ApartHalf, CrossedHalf, Pair, TornPair
+from tests.experts.direct_simulation import MixedMapsError
+from tests.experts.pair_simulation import ApartHalf, CrossedHalf, Pair, TornPair
 
 SCHEDULES = 60
 SPAN_S = 60
--- a/tests/orders/test_flow.py
+++ b/tests/orders/test_flow.py
@@ -5,9 +5,9 @@
 import unittest
 
 from snipebend.orders.flow import (
-    ANSWER_S,
-    LEAST_RATE,
-    MOST_S,
+    REPLY_TIMEOUT_S,
+    MIN_LINK_RATE,
+    MAX_REPLY_TIMEOUT_S,
     SMALL_BYTES,
     WINDOW_BYTES,
     OrderFlow,
@@ -37,7 +37,7 @@
 
     def test_one_that_is_silent_blocks_no_others(self):
         """The link has carried what was sent before an answered order."""
-        self.flow.note_answer(self.numbers[1], 10.1)
+        self.flow.record_reply(self.numbers[1], 10.1)
         self.assertTrue(self.flow.has_room(2 * LARGE))
         self.assertFalse(self.flow.has_room(3 * LARGE))
 
@@ -47,26 +47,28 @@
 
     def test_by_its_bytes(self):
         flow = OrderFlow()
-        number = flow.begin(LEAST_RATE // 10, 10.0)
-        self.assertAlmostEqual(flow.give_up_at(number), 10.1 + ANSWER_S)
+        number = flow.begin(MIN_LINK_RATE // 10, 10.0)
+        self.assertAlmostEqual(flow.expires_at(number), 10.1 + REPLY_TIMEOUT_S)
 
     def test_anew_with_each_answer_to_an_earlier_order(self):
         flow = OrderFlow()
         earlier, later = (flow.begin(0, 10.0) for _ in range(2))
-        flow.note_answer(earlier, 10.1)
-        self.assertAlmostEqual(flow.give_up_at(later), 10.1 + ANSWER_S)
+        flow.record_reply(earlier, 10.1)
+        self.assertAlmostEqual(flow.expires_at(later), 10.1 + REPLY_TIMEOUT_S)
 
     def test_not_anew_once_a_later_order_was_answered(self):
         flow = OrderFlow()
         silent, *others = (flow.begin(0, 10.0) for _ in range(3))
         for number, at in zip(others, (10.1, 10.2), strict=True):
-            flow.note_answer(number, at)
-        self.assertAlmostEqual(flow.give_up_at(silent), 10.1 + ANSWER_S)
+            flow.record_reply(number, at)
+        self.assertAlmostEqual(flow.expires_at(silent), 10.1 + REPLY_TIMEOUT_S)
 
     def test_never_longer_than_reports_take(self):
         flow = OrderFlow()
-        number = flow.begin(LEAST_RATE, 10.0)
-        self.assertAlmostEqual(flow.give_up_at(number), 10.0 + MOST_S)
+        number = flow.begin(MIN_LINK_RATE, 10.0)
+        self.assertAlmostEqual(
+            flow.expires_at(number), 10.0 + MAX_REPLY_TIMEOUT_S
+        )
 
 
 if __name__ == '__main__':
