--- a/bench/quick_switch.py
+++ b/bench/quick_switch.py
@@ -90,7 +90,7 @@
 
     def run(self) -> Tally:
         """Make the first map, then count the switches after it."""
-        self._tell(RanksAnnounced(self.names))
+        self._notify_coordinator(RanksAnnounced(self.names))
         self._until(1)
         self.orders = 0
         self.held = 0
@@ -102,10 +102,10 @@
 
     def _until(self, activated: int) -> None:
         """Run until all ranks have the map in force."""
-        while self.activated < activated or self._is_behind():
+        while self.activated < activated or self._has_pending_map():
             self._tick()
 
-    def _is_behind(self) -> bool:
+    def _has_pending_map(self) -> bool:
         return any(
             guard.promise.pending is not None for guard in self.guards.values()
         )
@@ -116,59 +116,59 @@
         self._due = [entry for entry in self._due if entry[0] > self.now]
         for _, receiver, event in due:
             self._deliver(receiver, event)
-        self._tell(Tick())
+        self._notify_coordinator(Tick())
         for name, guard in self.guards.items():
             waits = guard.promise.holds(guard.runner.next_step)
             self.held += waits and guard.runner.running is None
-            self._feed(name, Tick())
+            self._notify_rank(name, Tick())
 
     def _deliver(self, receiver: str, event: object) -> None:
         match event:
             case PersistDecision(change):
                 changed = change_record(self.record, change)
                 self.record = changed or self.record
-                self._tell(RecordCommitted(self.record))
+                self._notify_coordinator(RecordCommitted(self.record))
             case _ if receiver:
-                self._feed(receiver, event)
+                self._notify_rank(receiver, event)
             case _:
-                self._tell(event)
+                self._notify_coordinator(event)
 
-    def _tell(self, event: object) -> None:
+    def _notify_coordinator(self, event: object) -> None:
         for action in self.coordinator.step(event, self.now, self.rng):
             match action:
                 case SendOrder(rank, order):
                     self.orders += 1
                     self._send(rank, OrderReceived(order))
                 case PersistDecision():
-                    self._later(COMMIT_TICKS, '', action)
+                    self._schedule(COMMIT_TICKS, '', action)
                 case NeedMap(incarnation):
                     self._propose(incarnation)
                 case SwitchEnded(_, outcome):
                     self.activated += outcome == 'activated'
                     self.aborted += outcome == 'aborted'
 
-    def _feed(self, name: str, event: object) -> None:
+    def _notify_rank(self, name: str, event: object) -> None:
         for action in self.guards[name].step(event, self.now, self.rng):
             match action:
                 case SendReport(report):
                     self.orders += 1
                     self._send('', RankReported(report))
                 case EnterBarrier(peer, entry):
-                    self._later(0, peer, BarrierEntryReceived(entry))
+                    self._schedule(0, peer, BarrierEntryReceived(entry))
                 case FetchWeights(digest):
-                    self._later(4, name, WeightsFetched(digest))
+                    self._schedule(4, name, WeightsFetched(digest))
                 case RunStep(step):
-                    self._later(1, name, StepFinished(step))
+                    self._schedule(1, name, StepFinished(step))
                 case AskDecision():
                     self.orders += 2
                     order = Activate('g', 1, self.record)
-                    self._later(2, name, OrderReceived(order))
+                    self._schedule(2, name, OrderReceived(order))
 
     def _send(self, receiver: str, event: object) -> None:
         if self.rng.random() >= self.loss:
-            self._later(1, receiver, event)
+            self._schedule(1, receiver, event)
 
-    def _later(self, ticks: int, receiver: str, event: object) -> None:
+    def _schedule(self, ticks: int, receiver: str, event: object) -> None:
         # Half a tick early, against rounding.
         moment = self.now + (ticks - 0.5) * TICK_S
         self._due.append((moment, receiver, event))
@@ -178,7 +178,7 @@
             return
         self.maps += 1
         sizes = dict.fromkeys(self.names, 1000)
-        self._later(
+        self._schedule(
             1,
             '',
             MapProposed(
--- a/src/snipebend/balancing/demand_follower.py
+++ b/src/snipebend/balancing/demand_follower.py
@@ -116,7 +116,7 @@
             self.plan.note_failed(now)
             return False
         if reading is Reading.GLANCE:
-            if monitor.turning:
+            if monitor.is_demand_unknown:
                 await self._begin(monitor, snapshot)
             else:
                 self.plan.note_glanced(now)
@@ -127,7 +127,7 @@
         if not monitor.demand.told:
             self.plan.note_short(now)
             return False
-        if monitor.turning:
+        if monitor.is_demand_unknown:
             self.plan.note_begun(now)
             return False
         return True
@@ -139,7 +139,7 @@
             self._group,
             reading.value,
             self.plan.is_new,
-            not monitor.turning,
+            not monitor.is_demand_unknown,
             1000 * (monitor.reported_pass_s or 0),
         )
         self._meters.read(self._group, reading.value)
--- a/src/snipebend/balancing/group_balancer.py
+++ b/src/snipebend/balancing/group_balancer.py
@@ -86,7 +86,7 @@
                 'service': key.service,
                 'epoch': controller.monitor.epoch,
                 'step': controller.monitor.step,
-                'turning': controller.monitor.turning,
+                'turning': controller.monitor.is_demand_unknown,
             }
             for key, controller in self.controllers.items()
             if controller.monitor is not None
--- a/src/snipebend/balancing/group_controller.py
+++ b/src/snipebend/balancing/group_controller.py
@@ -186,14 +186,14 @@
             self._observer.forget(self.key)
             return
         # 0.1 s for 32 ranks of 12 layers; heartbeats go on meanwhile.
-        outlook = await asyncio.to_thread(monitor.propose_map, layers)
+        proposal = await asyncio.to_thread(monitor.propose_map, layers)
         if snapshot.is_held:
             # A hold whose order came late: only a switch ends it.
-            outlook = MapProposal(layers)
-        if isinstance(outlook, MapKept):
-            self._follower.note_kept(monitor, outlook)
+            proposal = MapProposal(layers)
+        if isinstance(proposal, MapKept):
+            self._follower.note_kept(monitor, proposal)
             return
-        if await self._switch_map(sizes, snapshot, plan, outlook):
+        if await self._switch_map(sizes, snapshot, plan, proposal):
             self._follower.plan.note_changed(self._clock.now())
         else:
             self._follower.plan.note_failed(self._clock.now())
@@ -226,12 +226,12 @@
         sizes: ExpertSizes,
         snapshot: GroupSnapshot,
         before: GroupPlan,
-        outlook: MapProposal,
+        proposal: MapProposal,
     ) -> bool:
         """Decide on a better map, and switch to it; tell whether it began."""
         monitor = self._current_monitor(sizes, snapshot)
         version = self._context.store.machine.state.plans.next_version
-        plan = GroupPlan(monitor.group, monitor.epoch, version, outlook.layers)
+        plan = GroupPlan(monitor.group, monitor.epoch, version, proposal.layers)
         logger.info(
             'event=map_planned group={} epoch={} version={} step={} '
             + 'skew={:.3f} skew_after={:.3f} saving={:.3f} loads={}',
@@ -239,13 +239,13 @@
             plan.epoch,
             plan.version,
             monitor.step,
-            outlook.skew_before,
-            outlook.skew_after,
-            outlook.saving,
-            outlook.loads,
+            proposal.skew_before,
+            proposal.skew_after,
+            proposal.saving,
+            proposal.fetches,
         )
         self._context.meters.planned(
-            plan.group, outlook.skew_before, outlook.skew_after
+            plan.group, proposal.skew_before, proposal.skew_after
         )
         if not await self._decide(plan, before.version):
             return False
@@ -255,7 +255,7 @@
             plan,
             snapshot,
             self._context.meters,
-            fetch_s=sizes.fetch_s * outlook.max_fetches,
+            fetch_s=sizes.fetch_s * proposal.max_fetches,
             pass_timing=monitor.pass_timing,
         )
         await self._drive(plan, snapshot, driver, sizes.settle_s)
--- a/src/snipebend/balancing/group_observer.py
+++ b/src/snipebend/balancing/group_observer.py
@@ -148,7 +148,7 @@
     ) -> frozenset[str]:
         """Ask ranks that belong nowhere yet; return the service's groups."""
         index = self._index(service)
-        index.keep(members)
+        index.retain(members)
         now = self._clock.now()
         ungrouped = [
             record
@@ -159,7 +159,7 @@
         for stranger in ungrouped:
             self._query_at[stranger.identity] = now + QUERY_RETRY_S
         for report in await self._read_reports(ungrouped):
-            index.note(report)
+            index.record(report)
         self._query_at = {
             identity: at for identity, at in self._query_at.items() if at > now
         }
@@ -224,7 +224,7 @@
                 report = await answer
                 if report is None:
                     continue
-                index.note(report)
+                index.record(report)
                 reports[report.identity] = report
                 whole = find_complete_group(key.group, reports.values())
                 if whole is not None:
--- a/src/snipebend/balancing/pass_time_listener.py
+++ b/src/snipebend/balancing/pass_time_listener.py
@@ -72,4 +72,4 @@
         self._last[told.entry] = stamp
         now = self._clock.now()
         for group, (events, seconds) in told.paces.items():
-            self._pass_times.note(group, events, seconds, now)
+            self._pass_times.record(group, events, seconds, now)
--- a/src/snipebend/experts/direct_orders.py
+++ b/src/snipebend/experts/direct_orders.py
@@ -1,4 +1,4 @@
-"""The orders that engines obey directly, and what they report of themselves."""
+"""Orders sent directly to engines, and the reports that engines return."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 
 class Armed(NamedTuple):
-    """A rank will switch to a version as a pass begins."""
+    """The map version that a rank will activate at the start of a pass."""
 
     version: int
     step: int
 
 
 class RankReport(NamedTuple):
-    """What one engine says of itself; some hundred milliseconds old."""
+    """The state reported by one engine; a few hundred milliseconds old."""
 
     identity: str
     group: str
     epoch: int
     rank: int
-    #: Ranks of the group.
+    #: Number of ranks in the group.
     size: int
-    #: Whether the group works.
+    #: Whether the group is operational.
     is_open: bool
-    #: The last pass that was begun.
+    #: The last pass that the rank started.
     step: int
     map_version: int
     prepared: int | None = None
     armed: Armed | None = None
     held: int | None = None
-    #: How many times as long its work takes as usual.
+    #: Duration of the rank's work relative to its usual duration.
     slowness: float = 1
 
 
 class RankCounts(NamedTuple):
-    """How often one rank's requests chose each expert since it started."""
+    """How often one rank's requests selected each expert since it started."""
 
     epoch: int
     step: int
@@ -46,7 +46,7 @@
 
 
 class Prepare(NamedTuple):
-    """Fetch the experts that a map newly brings to the rank."""
+    """Fetch the experts that a map newly assigns to the rank."""
 
     rank: int
     epoch: int
@@ -55,7 +55,7 @@
 
 
 class Arm(NamedTuple):
-    """Switch to a prepared map as a pass begins."""
+    """Activate a prepared map at the start of the given pass."""
 
     rank: int
     epoch: int
@@ -64,7 +64,7 @@
 
 
 class Hold(NamedTuple):
-    """Don't begin a pass before ``Go``."""
+    """Do not start the given pass before ``Go``."""
 
     rank: int
     epoch: int
@@ -72,7 +72,7 @@
 
 
 class Go(NamedTuple):
-    """Begin a pass that was held."""
+    """Start a pass that is on hold."""
 
     rank: int
     epoch: int
@@ -83,10 +83,10 @@
 
 
 class Reply(Enum):
-    """What an engine answered to an order."""
+    """The response of an engine to an order."""
 
     ACCEPTED = 'accepted'
-    #: It doesn't fit the engine's state, and won't be carried out.
+    #: The order conflicts with the engine's state and is never executed.
     REFUSED = 'refused'
-    #: Not answered: it may be carried out now, later or never.
+    #: No response: the engine may execute the order now, later or never.
     LOST = 'lost'
--- a/src/snipebend/experts/direct_switch.py
+++ b/src/snipebend/experts/direct_switch.py
@@ -1,22 +1,24 @@
-"""One group's switch to a decided map, by orders straight to its engines.
+"""State machine that switches one group to a decided map by direct orders.
 
-The engines obey any order that fits their state, whoever sent it, answer some
-orders not at all and carry those out seconds later. No pass may begin while
-two ranks have different maps. What keeps that, at every moment and with any
-number of coordinators:
+Engines execute any order that fits their state, whoever sent it. They leave
+some orders unanswered and execute those seconds later. The safety invariant is
+that no pass starts while two ranks have different maps. It holds at all times
+and with any number of coordinators because of these rules:
 
-- ``Hold`` stops the group before one pass, and only ``Go`` lets it on.
-- ``Arm`` is sent only while a rank is known to hold before just that pass; a
-  rank that hasn't fetched its experts yet refuses it, and is asked again.
+- ``Hold`` stops the group before one pass; only ``Go`` lets it continue.
+- ``Arm`` is sent only while a rank is known to hold before exactly that pass;
+  a rank that has not fetched its experts yet refuses it, and ``Arm`` is sent
+  again.
 - ``Go`` is sent only when every rank is known to be armed for that pass.
-  Nothing disarms a rank, so that this knowledge doesn't age.
-- One coordinator gives orders at a time, under a lease. The next one first
-  waits until reports show what the last one did, and goes on with its hold.
-- An order that is carried out late names a pass that has begun or a version
-  that has been overtaken, and engines refuse both.
-
-So a switch that has held is never given up, only finished, by this
-coordinator or the next one.
+  Nothing disarms a rank, so this knowledge cannot become outdated.
+- One coordinator sends orders at a time, under a lease. Its successor first
+  waits until reports show the effect of the earlier orders, and then continues
+  with the existing hold.
+- An order that is executed late names a pass that has already started or a
+  version that has been superseded, and engines refuse both.
+
+A switch that has put its group on hold is therefore never cancelled: this
+coordinator or a later one completes it.
 """
 
 from __future__ import annotations
@@ -36,25 +38,25 @@
 
 
 class Phase(Enum):
-    """What a switch waits for."""
+    """The condition that a switch waits for, or its final state."""
 
     PREPARING = 'preparing'
     HOLDING = 'holding'
     ARMING = 'arming'
     GOING = 'going'
-    #: Every rank is armed for the pass that was let go: it will switch as soon
-    #: as that pass begins. Waiting for reports that show it took 0.25 s more of
-    #: 0.75 s a switch.
+    #: Every rank is armed and ``Go`` was accepted: the group switches as soon
+    #: as the held pass starts. Waiting for reports that confirm it took a
+    #: further 0.25 s, for a total of 0.75 s per switch.
     GO_ACCEPTED = 'let-go'
-    #: Reports show the map in force, but a later pass is held for it: an older
-    #: hold had done its work already. It must be let go, or the group stands
-    #: still until somebody sees it, 0.6 s and more.
+    #: Reports show the map in force, but a later pass is still on hold: the
+    #: ranks had already switched at an older hold. Without ``Go`` the group is
+    #: stopped until a coordinator notices it, 0.6 s or longer.
     RELEASING = 'releasing'
     #: Reports show the map in force everywhere.
     DONE = 'done'
-    #: The group formed anew; its maps and holds are gone.
+    #: The group was re-formed; its maps and holds are lost.
     DEAD = 'dead'
-    #: A rank refused to prepare, and nothing was held or armed yet.
+    #: A rank refused to prepare before anything was held or armed.
     REFUSED = 'refused'
 
 
@@ -62,23 +64,23 @@
     (Phase.GO_ACCEPTED, Phase.DONE, Phase.DEAD, Phase.REFUSED)
 )
 
-#: Seconds before a pass that was let go, but hasn't begun, is let go again: a
-#: group without work begins none.
+#: Seconds until ``Go`` is sent again for a pass that has not started. A group
+#: without work starts no pass.
 GO_RETRY_S = 1.0
 
 
 @dataclass(slots=True)
 class DirectSwitch:
-    """One coordinator's knowledge of one switch."""
+    """One coordinator's state of one switch."""
 
     group: str
     epoch: int
     version: int
     layers: tuple[LayerMap, ...]
     size: int
-    #: Seconds that the slowest rank needs to fetch its experts.
+    #: Time in seconds that the slowest rank needs to fetch its experts.
     fetch_s: float = 0
-    #: Which pass to hold before.
+    #: Selects the pass to hold.
     aim: HoldAim = field(default_factory=HoldAim)
     hold_step: int | None = None
     phase: Phase = Phase.PREPARING
@@ -86,16 +88,16 @@
     ranks: RankStates = field(init=False)
 
     def __post_init__(self) -> None:
-        """Start without knowledge of any rank."""
+        """Create the state of each rank."""
         self.ranks = RankStates(self.size)
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether nothing is left to do."""
+        """Return whether no orders remain to be sent."""
         return self.phase in _FINISHED_PHASES
 
     def note_report(self, report: RankReport) -> None:
-        """Take over what an engine says."""
+        """Update the state from an engine's report."""
         if report.group != self.group or report.rank not in self.ranks:
             return
         if report.epoch != self.epoch or not report.is_open:
@@ -114,20 +116,20 @@
         self._advance()
 
     def needs_step(self, now: float) -> bool:
-        """Tell whether the pass under way must be read before a hold."""
+        """Return whether the current pass must be read before a hold."""
         if self.phase is not Phase.HOLDING or now < self.ranks.ready_at:
             return False
         return self.aim.is_stale(now)
 
     def note_step(self, epoch: int, step: int, now: float) -> None:
-        """Take over the pass that a rank has under way."""
+        """Record the pass that a rank is currently running."""
         if epoch != self.epoch:
             self.phase = Phase.DEAD
             return
         self.aim.note_step(step, now)
 
     def next_orders(self, now: float) -> list[RankOrder]:
-        """Return what is to be sent now."""
+        """Return the orders that are due now."""
         match self.phase:
             case Phase.PREPARING:
                 return [
@@ -144,7 +146,7 @@
                 return []
 
     def note_reply(self, order: RankOrder, reply: Reply, now: float) -> None:
-        """Take over what became of an order."""
+        """Update the state from the reply to an order."""
         rank = self.ranks[order.rank]
         match order, reply:
             case Prepare(), Reply.ACCEPTED:
@@ -174,14 +176,14 @@
         self._advance()
 
     def _note_held(self, report: RankReport) -> None:
-        """Adopt a hold: our own, whose answer was lost, or another's."""
+        """Adopt a hold of this coordinator, its reply lost, or of another."""
         if report.held is None or report.held <= self.aim.step:
             return
         if self.hold_step is None and report.rank == 0:
             self.hold_step = report.held
 
     def _note_armed(self, report: RankReport, rank: RankState) -> None:
-        """Take over what an earlier coordinator has armed for a later pass."""
+        """Record ranks that an earlier coordinator armed for a later pass."""
         armed = report.armed
         if armed is None or armed.version != self.version:
             return
@@ -190,10 +192,10 @@
         rank.armed = armed.step == self.hold_step
 
     def _drop_expired_hold(self, report: RankReport) -> None:
-        """Begin anew when the pass has begun without the switch.
+        """Reset the hold if its pass has started without the switch.
 
-        Another coordinator let it go for an earlier version. Orders for that
-        pass are refused from now on.
+        Another coordinator sent ``Go`` for an earlier version. Engines refuse
+        all further orders for that pass.
         """
         if self.hold_step is None or report.step < self.hold_step:
             return
@@ -206,12 +208,12 @@
             return
         ranks = self.ranks
         if self.hold_step is None and ranks.any_refuses:
-            # Nothing was held yet: the plan can be given up without harm.
+            # Nothing is on hold yet, so the plan can safely be abandoned.
             self.phase = Phase.REFUSED
             return
         if ranks.all_in_force:
-            waits = (self.hold_step or 0) > self.aim.step
-            self.phase = Phase.RELEASING if waits else Phase.DONE
+            is_held = (self.hold_step or 0) > self.aim.step
+            self.phase = Phase.RELEASING if is_held else Phase.DONE
         elif ranks.unprepared:
             self.phase = Phase.PREPARING
         elif self.hold_step is None:
@@ -223,8 +225,8 @@
 
     def _hold(self, now: float) -> list[RankOrder]:
         if now < self.ranks.ready_at:
-            # Held earlier, the group would often wait for a slow fetch: 0.7 s
-            # in 34 s of steady load in place of 0.0 s, and streams pause then.
+            # An earlier hold often makes the group wait for a slow fetch: 0.7 s
+            # instead of 0.0 s in 34 s of steady load, and streams stall.
             return []
         if not self.aim.is_due(now):
             return []
@@ -247,16 +249,16 @@
 
 
 def ranks_to_poll(switch: DirectSwitch) -> list[int]:
-    """Return the ranks whose reports may tell something new.
+    """Return the ranks whose reports can contain new information.
 
-    Rank 0 tells of the hold and the epoch. In a group of 192 ranks that all
-    answered, a switch reads 2 reports in place of 192 each 0.2 s.
+    Rank 0 reports the hold and the epoch. If all 192 ranks of a group have
+    responded, a switch reads 2 reports instead of 192 every 0.2 s.
     """
     match switch.phase:
         case Phase.PREPARING:
-            unsure = switch.ranks.unprepared
+            ranks = switch.ranks.unprepared
         case Phase.ARMING:
-            unsure = switch.ranks.unarmed
+            ranks = switch.ranks.unarmed
         case _:
-            unsure = []
-    return sorted({0, *unsure})
+            ranks = []
+    return sorted({0, *ranks})
--- a/src/snipebend/experts/group_monitor.py
+++ b/src/snipebend/experts/group_monitor.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows of one group: its ranks, map and load (pure)."""
+"""Demand and pass times of one group, and map proposals. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
     from snipebend.experts.direct_orders import RankCounts, RankReport
     from snipebend.experts.sizes import ExpertSizes
 
-#: A change that saves less is left while passes are short: for its second it
-#: would bar the answer to the next turn. Turns save 0.5 and more.
+#: A map change that saves less is deferred while passes are short: during the
+#: second that it takes, it would block the response to the next demand shift.
+#: Changes after a demand shift save 0.5 or more.
 URGENT_SAVING = 0.4
 
-#: Seconds that a rank may fetch in one change: passes are long meanwhile. On
-#: six days of turns every 3 s, at 0.11 s an expert, three experts a rank came
-#: to a worth of 0.722, four and more to 0.698, two to 0.677.
+#: Limit in seconds for a rank's fetches in one map change, because passes take
+#: longer meanwhile. Over six days with a demand shift every 3 s and 0.11 s per
+#: expert, three experts per rank gave a benefit of 0.722, four or more 0.698
+#: and two 0.677.
 MAX_FETCH_S = 0.35
 
 
 class PassTiming(NamedTuple):
-    """How fast a group goes from pass to pass; times in seconds."""
+    """The last observed pass and the duration of a pass, in seconds."""
 
     step: int
     at: float
@@ -39,20 +41,20 @@
 
 
 class MapProposal(NamedTuple):
-    """A better map, and how much shorter it makes a pass."""
+    """A better map, and how much it shortens a pass."""
 
     layers: tuple[LayerMap, ...]
     skew_before: float = 0
     skew_after: float = 0
-    #: Relative to the length of a pass now.
+    #: Saved time relative to the current pass duration.
     saving: float = 0
-    #: Experts that ranks would fetch, over all layers, and the most of one.
-    loads: int = 0
+    #: Experts to fetch over all ranks and layers, and the maximum of one rank.
+    fetches: int = 0
     max_fetches: int = 0
 
 
 class MapKept(NamedTuple):
-    """Why a look left the map as it is."""
+    """The reason for keeping the current map."""
 
     reason: str
     skew: float = 0
@@ -61,33 +63,33 @@
 
 
 class GroupMonitor:
-    """One epoch of a group."""
+    """Tracks the demand and the pass times of a group during one epoch."""
 
     def __init__(self, sizes: ExpertSizes, report: RankReport) -> None:
-        """Start with the first report of an epoch."""
+        """Start from the first report of an epoch."""
         self.group = report.group
         self.epoch = report.epoch
         self.size = report.size
         self.step = report.step
-        #: Seconds of a pass by what entries tell; none: they don't.
+        #: Pass duration in seconds reported by entries; None without reports.
         self.reported_pass_s: float | None = None
         self._pass_timing: PassTiming | None = None
-        #: How many times as long each rank takes for its work.
+        #: Duration of each rank's work relative to its usual duration.
         self.slowness: tuple[float, ...] = ()
         self._sizes = sizes
         self.demand = Demand(sizes.layers, sizes.experts)
-        #: When counts were read last.
+        #: Time at which the counts were last read.
         self._read_at: float = 0
-        #: Since when the demand is known, if it ever was.
+        #: How long the demand has been known, if at all.
         self.age = DemandAge()
 
     @property
-    def turning(self) -> bool:
-        """Tell whether the demand isn't known."""
+    def is_demand_unknown(self) -> bool:
+        """Return whether the current demand is unknown."""
         return self.demand.shares is None
 
     def begin_span(self, read: Mapping[int, RankCounts], now: float) -> None:
-        """Count choices from here on, on the ranks that were read."""
+        """Start a measurement interval on the ranks that were read."""
         self._note_steps(read, now)
         self._read_at = now
         self.demand.begin(read)
@@ -95,16 +97,20 @@
     def end_span(
         self, read: Mapping[int, RankCounts], now: float, *, is_new: bool
     ) -> None:
-        """Take over what was chosen since the span began; begin another."""
+        """Record the selections of this interval and start the next one."""
         self._note_steps(read, now)
         self.demand.end(read, is_new=is_new)
-        if self.demand.told and self.demand.is_fresh and not self.turning:
+        if (
+            self.demand.told
+            and self.demand.is_fresh
+            and not self.is_demand_unknown
+        ):
             self.age.note_turn(self._read_at)
         self._read_at = now
 
     @property
     def pass_timing(self) -> PassTiming | None:
-        """Return the last pass known and its length; none: not measured."""
+        """Return the last known pass and its duration, None if unmeasured."""
         pass_timing = self._pass_timing
         if pass_timing is None or self.reported_pass_s is None:
             return pass_timing
@@ -113,7 +119,7 @@
         )
 
     def reset_pass_timing(self) -> None:
-        """Measure passes anew: the map in force has changed."""
+        """Discard the measured pass duration after a map change."""
         self._pass_timing = None
 
     def _note_steps(self, read: Mapping[int, RankCounts], now: float) -> None:
@@ -134,7 +140,7 @@
     def propose_map(
         self, layers: tuple[LayerMap, ...]
     ) -> MapProposal | MapKept:
-        """Return a map that is worth its loads, or why there is none."""
+        """Return a map that justifies its fetches, or why there is none."""
         shares = self.demand.shares
         chosen = self.demand.chosen
         if shares is None or chosen is None:
@@ -159,9 +165,10 @@
         return least_saving(known_s, self.age.last_lasted_s, fetch_s)
 
     def _is_deferrable(self, saving: float) -> bool:
-        """Tell whether streams are on time without this change, too.
+        """Return whether streams are on time without this map change.
 
-        Passes that weren't measured since the last change are waited for.
+        A change is also deferred until passes have been measured since the
+        last change.
         """
         if saving >= URGENT_SAVING:
             return False
@@ -194,7 +201,7 @@
 def _fetches_by_rank(
     before: tuple[LayerMap, ...], after: tuple[LayerMap, ...]
 ) -> list[int]:
-    """Return how many experts each rank fetches, over all layers."""
+    """Return the number of experts that each rank fetches in all layers."""
     return [
         sum(
             len(set(new[rank]) - set(old[rank]))
--- a/src/snipebend/experts/group_pass_times.py
+++ b/src/snipebend/experts/group_pass_times.py
@@ -1,12 +1,12 @@
-"""How long passes of groups take, by what entries tell (pure)."""
+"""Mean pass durations of groups, reported by entries. Performs no I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-#: Seconds for which what was told counts: some passes of 50 ms, and three
-#: messages of each entry.
+#: Seconds for which a reported duration is valid: several passes of 50 ms, and
+#: three messages of each entry.
 WINDOW_S = 0.3
 
 
@@ -17,21 +17,23 @@
 
 
 class GroupPassTimes:
-    """The passes of the last moments, group by group."""
+    """The recently reported pass durations, by group."""
 
     def __init__(self) -> None:
-        """Start without having heard of any."""
+        """Start without samples."""
         self._samples: dict[str, deque[_Sample]] = {}
 
-    def note(self, group: str, events: int, seconds: float, now: float) -> None:
-        """Take over what one entry saw since its last message."""
+    def record(
+        self, group: str, events: int, seconds: float, now: float
+    ) -> None:
+        """Record the passes that one entry observed since its last message."""
         if events > 0 and seconds > 0:
             samples = self._samples.setdefault(group, deque())
             samples.append(_Sample(now, events, seconds))
             self._drop_expired(samples, now)
 
     def mean_pass_s(self, group: str, now: float) -> float | None:
-        """Return the seconds of a pass; none: no entry told of one lately."""
+        """Return the mean pass duration, or None without recent reports."""
         samples = self._samples.get(group)
         if samples is None:
             return None
--- a/src/snipebend/experts/rank_group_index.py
+++ b/src/snipebend/experts/rank_group_index.py
@@ -1,4 +1,4 @@
-"""Which ranks say that they belong to which group (pure)."""
+"""The group that each rank reports. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,53 +11,53 @@
 
 
 class RankGroupIndex:
-    """The last word of each rank of one service about its group."""
+    """The group last reported by each rank of one service."""
 
     def __init__(self) -> None:
-        """Start without having heard any."""
+        """Start without reports."""
         self._groups: dict[str, str] = {}
 
     @property
     def groups(self) -> frozenset[str]:
-        """Return the groups that some rank belongs to."""
+        """Return the groups with at least one rank."""
         return frozenset(self._groups.values())
 
-    def note(self, report: RankReport) -> None:
-        """Take over what a rank says; it may have changed its group."""
+    def record(self, report: RankReport) -> None:
+        """Record a rank's group, which can change between reports."""
         self._groups[report.identity] = report.group
 
     def drop(self, identity: str) -> None:
-        """Forget where a rank belonged; it must be asked again."""
+        """Remove a rank; its group must be queried again."""
         self._groups.pop(identity, None)
 
-    def keep(self, identities: Collection[str]) -> None:
-        """Forget all ranks but these."""
+    def retain(self, identities: Collection[str]) -> None:
+        """Remove all ranks except the given ones."""
         for identity in self._groups.keys() - set(identities):
             self._groups.pop(identity)
 
     def members(self, group: str) -> frozenset[str]:
-        """Return the ranks whose last word was this group."""
+        """Return the ranks that last reported this group."""
         return frozenset(
             identity for identity, name in self._groups.items() if name == group
         )
 
     def is_known(self, identity: str) -> bool:
-        """Tell whether a rank has said where it belongs."""
+        """Return whether a rank has reported its group."""
         return identity in self._groups
 
 
 def find_complete_group(
     group: str, reports: Iterable[RankReport]
 ) -> dict[int, RankReport] | None:
-    """Return a group's reports by rank; nothing unless it is whole and works.
+    """Return reports by rank of a complete and operational group, or None.
 
-    Reports of an earlier epoch are late, or of ranks that were left out. Two
-    ranks under one number, or sizes that differ, say nothing that an order
-    could go by.
+    Reports of an earlier epoch are late or come from ranks that no longer
+    belong to the group. With duplicate rank numbers or differing group sizes
+    the target of an order would be ambiguous.
     """
-    said = [one for one in reports if one.group == group and one.is_open]
-    newest = max((one.epoch for one in said), default=None)
-    current = [one for one in said if one.epoch == newest]
+    reported = [one for one in reports if one.group == group and one.is_open]
+    newest = max((one.epoch for one in reported), default=None)
+    current = [one for one in reported if one.epoch == newest]
     by_rank = {one.rank: one for one in current}
     if not current or len(by_rank) < len(current):
         return None
--- a/src/snipebend/experts/switch_barrier.py
+++ b/src/snipebend/experts/switch_barrier.py
@@ -1,7 +1,7 @@
-"""The barrier before each step of one rank: who has entered, and with what.
+"""The barrier before each step of one rank, with the map stamps of all peers.
 
-A peer can be at most one step ahead within an incarnation, so the present and
-the former entry are all that a peer may still lack.
+A peer can be at most one step ahead within an incarnation, so a peer can miss
+only the current and the previous entry.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Verdict(Enum):
-    """What the entries seen so far say about the entered step."""
+    """Result of comparing the entries received for the current step."""
 
     WAITING = 'waiting'
     AGREED = 'agreed'
@@ -20,10 +20,10 @@
 
 
 class StepBarrier:
-    """One rank's view of the barrier."""
+    """One rank's state of the barrier."""
 
     def __init__(self, rank: str) -> None:
-        """Begin outside of any step."""
+        """Start outside of any step."""
         self.entered: BarrierEntry | None = None
         self._rank = rank
         self._previous: BarrierEntry | None = None
@@ -32,7 +32,7 @@
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """Return the other members of the entered incarnation."""
+        """Return the other members of the current incarnation."""
         return self._peers
 
     def enter(
@@ -41,7 +41,7 @@
         stamp: MapStamp,
         members: tuple[str, ...],
     ) -> BarrierEntry:
-        """Enter a step among the members of its incarnation."""
+        """Enter a step with the members of its incarnation."""
         self.entered = BarrierEntry(self._rank, step, stamp)
         self._peers = tuple(peer for peer in members if peer != self._rank)
         for steps in self._received.values():
@@ -49,22 +49,22 @@
         return self.entered
 
     def leave(self) -> None:
-        """Leave the step, which has run; a slow peer may still ask for it."""
+        """Leave the finished step; its entry is kept for slow peers."""
         self._previous = self.entered
         self.entered = None
 
     def abandon(self) -> None:
-        """Give up the step and all of its incarnation."""
+        """Discard the entries of the current incarnation."""
         self._previous = None
         self.entered = None
 
-    def note(self, entry: BarrierEntry) -> None:
-        """Note a peer's entry; the newest stamp of a step stands."""
+    def record(self, entry: BarrierEntry) -> None:
+        """Record a peer's entry; the newest stamp of a step is kept."""
         steps = self._received.setdefault(entry.rank, {})
         steps[entry.step] = max(steps.get(entry.step, MapStamp()), entry.stamp)
 
     def stamps(self) -> tuple[MapStamp | None, ...]:
-        """Return the peers' stamps of the entered step; None: not seen."""
+        """Return the peers' stamps of this step, None if not received."""
         if self.entered is None:
             return ()
         step = self.entered.step
@@ -73,9 +73,9 @@
         )
 
     def verdict(self) -> Verdict:
-        """Compare the peers' stamps with our own.
+        """Compare the peers' stamps with the stamp of this rank.
 
-        An entry of an older incarnation counts as not seen.
+        An entry of an older incarnation counts as not received.
         """
         if self.entered is None:
             return Verdict.WAITING
@@ -88,7 +88,7 @@
         return Verdict.WAITING
 
     def entries_to_resend(self) -> tuple[BarrierEntry, ...]:
-        """Return the entries that a peer may lack."""
+        """Return the entries that a peer may be missing."""
         entries = (self._previous, self.entered)
         return tuple(entry for entry in entries if entry is not None)
 
--- a/src/snipebend/experts/switch_coordinator.py
+++ b/src/snipebend/experts/switch_coordinator.py
@@ -1,8 +1,8 @@
-"""The coordinator of one group's expert map switches, in the control leader.
+"""Coordinator of one group's expert map switches, run by the control leader.
 
-A pure machine: prepare, durable decision, activation. It recovers from the
-committed record and the ranks' reports alone, so that a new leader can take
-over at any point.
+A state machine without I/O: prepare, commit the decision, activate. It recovers
+from the committed record and the ranks' reports alone, so that a new leader can
+take over at any point.
 """
 
 from __future__ import annotations
@@ -65,20 +65,21 @@
 
     from snipebend.experts.switch_store import StoreSchedule
 
-#: A hold step that came too early is put off by this factor at each retry,
-#: for which the weights fetched so far need no fetching.
+#: Factor by which the distance to the hold step grows after a rank passed it
+#: before it could promise. A retry does not fetch the weights again that ranks
+#: already have.
 HOLD_GROWTH = 2
 
-#: The retries end here; the policy may propose anew.
+#: Retries stop above this factor; the policy can then propose a new map.
 MAX_HOLD_FACTOR = 1024
 
-_HALF = 0.5
+_MIN_JITTER = 0.5
 
 Outcome = Literal['activated', 'aborted', 'interrupted']
 
 
 class SwitchCoordinator:
-    """One holder of a group's fence, from its election to its end."""
+    """Coordinates the switches of a group while it holds the group's fence."""
 
     def __init__(
         self,
@@ -89,8 +90,9 @@
     ) -> None:
         """Recover from the committed record.
 
-        A former coordinator may have prepared the version after the last
-        settled one; it is aborted first, so that no version has two contents.
+        A previous coordinator may have prepared the version after the last
+        settled one. That version is aborted first, so that no version number
+        is used for two different maps.
         """
         self.record = record
         self.roster = RankRoster(fence)
@@ -113,7 +115,7 @@
         now: float,
         rng: Random,
     ) -> list[CoordinatorAction]:
-        """Handle one event and return what to do, in order."""
+        """Handle one event and return the resulting actions in order."""
         if isinstance(self.state, Stopped):
             return []
         actions = self._dispatch(event, now, rng)
@@ -124,11 +126,11 @@
         return actions
 
     def decide(self, decision: SwitchDecision) -> list[CoordinatorAction]:
-        """Decide durably; nothing is activated before."""
+        """Commit the decision; activation starts only after the commit."""
         return self._persist(Decide(decision), decision.stamp)
 
     def bump(self) -> list[CoordinatorAction]:
-        """End the incarnation and settle whatever was being prepared."""
+        """Start a new incarnation and settle the version being prepared."""
         settled = self.record.settled
         if isinstance(self.state, Preparing):
             settled = self.state.decision.stamp.map_version
@@ -166,7 +168,9 @@
         if not isinstance(self.state, Idle) or not fitting:
             return []
         stamp = MapStamp(event.incarnation, self.record.settled + 1)
-        starts = self._schedule.reserve(event.fetch_bytes, now, event.pace)
+        starts = self._schedule.reserve(
+            event.fetch_bytes, now, event.rate_share
+        )
         if starts is None:
             return [SwitchEnded(stamp, 'deferred')]
         hold_ahead = event.hold_ahead * self._hold_factor
@@ -190,7 +194,9 @@
     def _tick(self, now: float, rng: Random) -> list[CoordinatorAction]:
         if now < self._resend_at:
             return []
-        self._resend_at = now + self._cfg.resend_s * (_HALF + rng.random())
+        self._resend_at = now + self._cfg.resend_s * (
+            _MIN_JITTER + rng.random()
+        )
         match self.state:
             case Preparing(decision=decision, deadline_at=deadline_at):
                 if deadline_at <= now:
@@ -213,10 +219,10 @@
         if report.fence > self._fence:
             self.state = Stopped()
             return []
-        return self._reconcile() if self.roster.note(report) else []
+        return self._reconcile() if self.roster.record(report) else []
 
     def _reconcile(self) -> list[CoordinatorAction]:
-        """Compare the reports with the state, and act on the difference."""
+        """Compare the reports with the state and return corrective actions."""
         match self.state:
             case Idle():
                 need = determine_need(self.record, self.roster, self._cfg.ranks)
@@ -244,7 +250,7 @@
         return []
 
     def _retry_later(self, state: Preparing) -> None:
-        """Try the same map again with a later hold step."""
+        """Schedule a retry of the same map with a later hold step."""
         self._hold_factor *= HOLD_GROWTH
         if self._hold_factor <= MAX_HOLD_FACTOR:
             self._retry_proposal = exclude_fetched(state, self.roster)
@@ -279,10 +285,10 @@
         if not isinstance(state, Persisting):
             return []
         if change_record(record, state.change) is not None:
-            # An older record: the change has not been committed yet.
+            # This record is older than the requested change.
             return []
         self.record = record
-        told = _send(
+        actions = _send(
             self.roster.announced or (), self._order_factory.activate(record)
         )
         decision = record.decision
@@ -295,8 +301,8 @@
         else:
             self.state = Activating(decision)
         if decision is None or decision.stamp != state.stamp:
-            told.append(_switch_ended(state))
-        return told + self._reconcile()
+            actions.append(_switch_ended(state))
+        return actions + self._reconcile()
 
 
 def _send(ranks: Iterable[str], order: RankOrder) -> list[CoordinatorAction]:
--- a/src/snipebend/experts/switch_cost.py
+++ b/src/snipebend/experts/switch_cost.py
@@ -1,4 +1,4 @@
-"""What a map costs each member in weights to fetch."""
+"""The amount of weights that each member must fetch for a map."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class PlacedMap(NamedTuple):
-    """A map whose rank axis follows the order of ``members``."""
+    """A map whose rank axis has the order of ``members``."""
 
     members: tuple[str, ...]
     expert_map: ExpertMap
 
 
 def read_decision(decision: SwitchDecision | None) -> PlacedMap | None:
-    """Return the map of a decision, or None without a readable one."""
+    """Return the map of a decision, or None if it cannot be decoded."""
     if decision is None:
         return None
     decoded = decode_map(decision.placement)
@@ -35,7 +35,7 @@
     expert_bytes: int,
     fresh: Collection[str],
 ) -> dict[str, int]:
-    """Return the bytes that each member must fetch.
+    """Return the number of bytes that each member must fetch.
 
     Members in ``fresh`` have restarted and hold no weights.
     """
@@ -50,6 +50,6 @@
 
 
 def _experts_on_rank(placed: PlacedMap, number: int) -> set[tuple[int, int]]:
-    """Return layer and expert of everything that a rank holds."""
+    """Return the (layer, expert) pairs assigned to a rank."""
     rows = placed.expert_map.placement.swapaxes(0, 1)[number].tolist()
     return {(layer, expert) for layer, row in enumerate(rows) for expert in row}
--- a/src/snipebend/experts/switch_engine.py
+++ b/src/snipebend/experts/switch_engine.py
@@ -1,8 +1,8 @@
-"""Steps that the engine takes by itself, as a rank's guard sees them.
+"""Step tracking for engines that advance their steps themselves.
 
-Engines with a step barrier of their own carry the stamp there, because their
-orders name incarnation and map version, and hold where a prepared map says.
-The guard then follows the engine's step instead of giving out steps.
+Engines with a built-in step barrier exchange the map stamp there, because their
+orders name incarnation and map version, and they hold at the step of a prepared
+map. The rank guard then tracks the engine's step instead of issuing steps.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 
 class EngineSteps(StepRunner):
-    """Follows the step that the engine reports."""
+    """Tracks the step that the engine reports."""
 
     def observe(self, step: int, stamp: MapStamp) -> bool:
-        """Note the step in progress and the engine's map.
+        """Record the step in progress and the engine's map.
 
-        Returns False if the engine has restarted: its steps have begun anew,
-        or the map that was in force is gone.
+        Return False if the engine has restarted: its step count started over,
+        or it no longer has the map that was in force.
         """
-        forgot = self.in_force is not None and stamp == MapStamp()
-        if forgot or step + 1 < self.next_step:
+        lost_map = self.in_force is not None and stamp == MapStamp()
+        if lost_map or step + 1 < self.next_step:
             return False
         self.next_step = step + 1
         return True
 
     def advance(self) -> list[RankAction]:
-        """Put the installed map in force once its step has come."""
+        """Put the installed map in force once its step is reached."""
         pending = self._promise.pending
         if pending is not None and self.next_step > pending.step:
             self.in_force = pending
--- a/src/snipebend/experts/switch_events.py
+++ b/src/snipebend/experts/switch_events.py
@@ -14,15 +14,15 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Periodic event that triggers timeouts and repeated messages."""
 
 
 class MapProposed(NamedTuple):
-    """The policy asks for a map, with each member's bytes to fetch.
+    """The policy proposes a map, with the bytes that each member must fetch.
 
-    ``hold_ahead`` is the number of steps that the fetches may take and
-    ``pace`` the share of the weight store's rate that they may use; the map
-    was made for ``members`` in ``incarnation``.
+    ``hold_ahead`` is the number of steps allowed for the fetches and
+    ``rate_share`` the share of the weight store's rate that they may use. The
+    map was computed for ``members`` in ``incarnation``.
     """
 
     incarnation: int
@@ -31,23 +31,23 @@
     fetch_bytes: dict[str, int]
     hold_ahead: int
     placement: bytes = b''
-    pace: float = 1
+    rate_share: float = 1
 
 
 class RankReported(NamedTuple):
-    """A rank has answered or spoken up."""
+    """A report of a rank was received, solicited or not."""
 
     report: RankReport
 
 
 class RanksAnnounced(NamedTuple):
-    """The ranks that are held for alive; the others are lost."""
+    """The ranks that are considered alive; all others are lost."""
 
     ranks: tuple[str, ...]
 
 
 class RecordCommitted(NamedTuple):
-    """The asked change, or a newer one, is committed."""
+    """The requested change, or a newer one, is committed."""
 
     record: GroupRecord
 
@@ -67,30 +67,30 @@
 
 
 class SendOrder(NamedTuple):
-    """Send an order to a rank; it may be lost or come late."""
+    """Send an order to a rank; the order may be lost or delayed."""
 
     rank: str
     order: RankOrder
 
 
 class PersistDecision(NamedTuple):
-    """Commit a change; answer with ``RecordCommitted`` once it is durable."""
+    """Commit a change; ``RecordCommitted`` follows once it is durable."""
 
     change: RecordChange
 
 
 class NeedMap(NamedTuple):
-    """The members have changed: ask the policy for a map of these."""
+    """Request a map for the changed set of members from the policy."""
 
     incarnation: int
     members: tuple[str, ...]
 
 
 class SwitchEnded(NamedTuple):
-    """A switch has ended.
+    """The outcome of a switch.
 
-    ``activated``, ``aborted``, ``interrupted`` by a change of members, or
-    ``deferred`` because the weight store is booked out.
+    One of ``activated``, ``aborted``, ``interrupted`` by a change of members,
+    or ``deferred`` because the weight store has no capacity left.
     """
 
     stamp: MapStamp
--- a/src/snipebend/experts/switch_group.py
+++ b/src/snipebend/experts/switch_group.py
@@ -1,4 +1,4 @@
-"""What a group needs, by its committed record and its ranks' reports."""
+"""Rules that derive a group's next action from its record and rank reports."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class GroupNeed(Enum):
-    """What is to be done for a group while no switch runs."""
+    """The action that a group requires while no switch is running."""
 
     NOTHING = 'nothing'
     BUMP = 'bump'
@@ -31,7 +31,7 @@
 
 
 class PromiseCheck(Enum):
-    """How far the members' promises are."""
+    """The combined status of the members' promises."""
 
     MISSING = 'missing'
     COMPLETE = 'complete'
@@ -45,7 +45,7 @@
 
 
 def awaits_map(record: GroupRecord) -> bool:
-    """Tell whether the record's incarnation has no map yet."""
+    """Return whether the record's incarnation has no map yet."""
     return base_stamp(record).incarnation < record.incarnation
 
 
@@ -60,9 +60,9 @@
     roster: RankRoster,
     ranks: int,
 ) -> GroupNeed:
-    """Compare the live ranks with the members in force.
+    """Compare the live ranks with the members of the committed decision.
 
-    The first incarnation waits for all ``ranks`` of the group.
+    The first incarnation starts once all ``ranks`` of the group are alive.
     """
     members = roster.announced
     if not members or not roster.is_complete():
@@ -83,7 +83,7 @@
     record: GroupRecord,
     roster: RankRoster,
 ) -> bool:
-    """Tell whether a map was made for the live ranks and this incarnation."""
+    """Return whether a map was computed for the live ranks and incarnation."""
     return (
         roster.is_complete()
         and proposal.incarnation == record.incarnation
@@ -92,20 +92,20 @@
 
 
 def exclude_fetched(state: Preparing, roster: RankRoster) -> MapProposed:
-    """Return the proposal, but for the weights that members have by now."""
-    left = dict(state.proposal.fetch_bytes)
+    """Return the proposal without the weights that members already have."""
+    remaining = dict(state.proposal.fetch_bytes)
     for rank in state.decision.members:
         report = roster.find(rank)
         if report is not None and state.decision.stamp in {
             report.prepared,
             report.too_late,
         }:
-            left[rank] = 0
-    return state.proposal._replace(fetch_bytes=left)
+            remaining[rank] = 0
+    return state.proposal._replace(fetch_bytes=remaining)
 
 
 def check_promises(state: Preparing, roster: RankRoster) -> PromiseCheck:
-    """Compare the members' reports with what is being prepared."""
+    """Compare the members' reports with the decision being prepared."""
     stamp = state.decision.stamp
     reports = [roster.find(rank) for rank in state.decision.members]
     known = [report for report in reports if report is not None]
@@ -121,21 +121,21 @@
 
 
 class OrderFactory(NamedTuple):
-    """Writes the orders of one coordinator."""
+    """Creates the orders of one coordinator."""
 
     group: str
     fence: int
 
     def query(self) -> RankOrder:
-        """Ask for a report."""
+        """Return an order that requests a report."""
         return StatusQuery(self.group, self.fence)
 
     def activate(self, record: GroupRecord) -> RankOrder:
-        """Tell the committed record."""
+        """Return an order that carries the committed record."""
         return Activate(self.group, self.fence, record)
 
     def prepare(self, rank: str, state: Preparing) -> RankOrder:
-        """Ask for a promise."""
+        """Return an order that requests a rank's promise."""
         return Prepare(
             self.group,
             self.fence,
@@ -151,7 +151,7 @@
     decision: SwitchDecision,
     roster: RankRoster,
 ) -> Iterable[str]:
-    """Return the members that have not promised yet."""
+    """Yield the members that have not promised yet."""
     for rank in decision.members:
         report = roster.find(rank)
         if report is None or report.prepared != decision.stamp:
--- a/src/snipebend/experts/switch_messages.py
+++ b/src/snipebend/experts/switch_messages.py
@@ -1,7 +1,7 @@
 """Messages and records of the expert map switch.
 
-Steps are counted from 0 in each group; map versions grow by one with every
-proposal of a group, whether it is decided or aborted in the end.
+Steps are counted from 0 in each group. Map versions increase by one with every
+proposal of a group, whether it is decided or aborted.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class MapStamp(Struct, frozen=True, order=True):
-    """What each step barrier carries: the incarnation and its map version."""
+    """Incarnation and map version, exchanged at each step barrier."""
 
     incarnation: int = 0
     map_version: int = 0
 
 
 class SwitchDecision(Struct, frozen=True):
-    """The decided map: in force from ``step`` on among ``members``.
+    """A decided map, in force for ``members`` from ``step`` on.
 
     ``placement`` is the encoded map, which ``digest`` identifies.
     """
@@ -32,8 +32,9 @@
 class GroupRecord(Struct, frozen=True):
     """The committed state of one group.
 
-    ``incarnation`` may be ahead of the decision's while a map for the new
-    members is prepared. All versions up to ``settled`` are decided or aborted.
+    ``incarnation`` can be higher than the decision's while a map for the new
+    members is being prepared. All versions up to ``settled`` are decided or
+    aborted.
     """
 
     incarnation: int = 0
@@ -42,19 +43,19 @@
 
 
 class Decide(Struct, frozen=True, tag=True):
-    """Put a prepared map in force; committed before any activation."""
+    """Decide on a prepared map; committed before any activation."""
 
     decision: SwitchDecision
 
 
 class Abort(Struct, frozen=True, tag=True):
-    """Give up a version for good."""
+    """Abort a version permanently."""
 
     map_version: int
 
 
 class Bump(Struct, frozen=True, tag=True):
-    """Begin a new incarnation, which settles every version so far."""
+    """Start a new incarnation; settles every version up to ``settled``."""
 
     incarnation: int
     settled: int
@@ -64,12 +65,13 @@
 
 
 class Prepare(Struct, frozen=True, tag=True):
-    """Fetch a map's weights, then promise to hold at ``hold_step``.
+    """Fetch a map's weights, then promise to hold at the decision's step.
 
-    ``base`` is the stamp that the map replaces, ``fetch_bytes`` the rank's
-    share of the weights, to be fetched no earlier than ``fetch_at`` (seconds).
-    Only the ``life`` of the rank that the coordinator has heard may accept: a
-    rank that restarted has lost what it had entered and promised.
+    ``base`` is the stamp of the map to be replaced and ``fetch_bytes`` the
+    rank's share of the weights, to be fetched no earlier than ``fetch_at``
+    (seconds). Only the ``life`` of the rank (one run of its guard) that has
+    reported to the coordinator may accept: a restarted rank has lost its
+    barrier entries and promises.
     """
 
     group: str
@@ -82,7 +84,7 @@
 
 
 class Activate(Struct, frozen=True, tag=True):
-    """The committed record of the group, pushed or as an answer to a rank."""
+    """The committed record of the group, pushed or sent on a rank's request."""
 
     group: str
     fence: int
@@ -90,7 +92,7 @@
 
 
 class StatusQuery(Struct, frozen=True, tag=True):
-    """Ask a rank for its report."""
+    """Request a report from a rank."""
 
     group: str
     fence: int
@@ -100,13 +102,13 @@
 
 
 class RankReport(Struct, frozen=True):
-    """What a rank answers to every order.
+    """A rank's response to every order.
 
-    ``life`` grows with each start of the rank's guard and ``sequence`` with
+    ``life`` increases with each start of the rank's guard and ``sequence`` with
     each report. ``installed`` is the newest stamp whose decision the rank
     knows, ``prepared`` the stamp that it has promised to hold for, and
-    ``too_late`` one whose hold step had passed. ``next_step`` is the first
-    step that the rank has not entered.
+    ``too_late`` a stamp whose hold step the rank had already entered.
+    ``next_step`` is the first step that the rank has not entered.
     """
 
     rank: str
@@ -133,8 +135,8 @@
 ) -> GroupRecord | None:
     """Return the record after a change, or None if it no longer applies.
 
-    Every version is settled once, and only in the current incarnation; the
-    caller checks the fence of whoever asks for the change.
+    Every version is settled once, and only in the current incarnation. The
+    caller of this function checks the fence of the requester.
     """
     match change:
         case Decide(decision):
--- a/src/snipebend/experts/switch_promise.py
+++ b/src/snipebend/experts/switch_promise.py
@@ -1,4 +1,4 @@
-"""What a rank has promised, installed and fetched: its side of a switch."""
+"""A rank's side of a map switch: its promise, installed map and weights."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class RankPromise:
-    """The promise to hold, until its decision is known.
+    """A rank's promise to hold before a step until the decision is known.
 
-    ``hold_step`` is the first step that must not be entered. It outlives the
-    promise when the incarnation has ended: then only the decision of a newer
-    one lets the rank go on. ``fetched`` names the maps whose weights are in
-    the rank's memory.
+    ``hold_step`` is the first step that must not be entered. It remains set
+    when the incarnation of the promise has ended; then only the decision of a
+    newer incarnation lets the rank continue. ``fetched`` contains the digests
+    of the maps whose weights are in the rank's memory.
     """
 
     def __init__(self) -> None:
-        """Begin without map, promise or weights, as a restarted rank does."""
+        """Start without map, promise or weights, like a restarted rank."""
         self.installed = MapStamp()
         self.pending: SwitchDecision | None = None
         self.promised: SwitchDecision | None = None
@@ -31,42 +31,43 @@
 
     @property
     def prepared(self) -> MapStamp:
-        """Return the stamp held for, or the empty one."""
+        """Return the promised stamp, or the empty one."""
         return self.promised.stamp if self.promised else MapStamp()
 
     @property
     def newest(self) -> MapStamp:
-        """Return the newest stamp that this rank has taken up."""
+        """Return the newest stamp that this rank has accepted."""
         fetching = self.fetching.decision.stamp if self.fetching else MapStamp()
         return max(self.installed, self.prepared, fetching)
 
     def holds(self, step: int) -> bool:
-        """Tell whether a step must not be entered yet."""
+        """Return whether a step must not be entered yet."""
         return self.hold_step is not None and step >= self.hold_step
 
     def stop_at(self, step: int) -> None:
-        """Enter no step from this one on in the present incarnation."""
+        """Hold before this step, or an earlier one, in this incarnation."""
         known = step if self.hold_step is None else self.hold_step
         self.hold_step = min(known, step)
 
     def accept(self, order: Prepare) -> bool:
-        """Begin to prepare; return whether weights must be fetched."""
+        """Start to prepare a map; return whether weights must be fetched."""
         if order.base == self.installed and not _starts_incarnation(order):
-            # A new version on the same base: the former one was aborted.
+            # A new version on the same base implies that the previous one was
+            # aborted.
             self._release()
         self.promised = None
         self.fetching = order
         return order.decision.digest not in self.fetched
 
     def is_fetched(self) -> bool:
-        """Tell whether the weights of the map being prepared are there."""
+        """Return whether the weights of the map being prepared are fetched."""
         return (
             self.fetching is not None
             and self.fetching.decision.digest in self.fetched
         )
 
     def promise(self, next_step: int) -> None:
-        """Promise to hold, unless the hold step was already entered."""
+        """Promise to hold, unless the hold step has already been entered."""
         if self.fetching is None:
             return
         decision = self.fetching.decision
@@ -78,7 +79,7 @@
         self.stop_at(decision.step)
 
     def apply_record(self, record: GroupRecord, next_step: int) -> None:
-        """Act on the committed record: install, release or stop."""
+        """Install the map, release the hold or stop, as the record requires."""
         decision = record.decision
         if decision is not None and decision == self.promised:
             self._install(decision)
@@ -94,8 +95,8 @@
         self._release()
 
     def _accepted_version(self) -> float:
-        taken = self.fetching.decision if self.fetching else self.promised
-        return taken.stamp.map_version if taken else float('inf')
+        accepted = self.fetching.decision if self.fetching else self.promised
+        return accepted.stamp.map_version if accepted else float('inf')
 
     def _drop(self, incarnation: int) -> None:
         if self.installed.incarnation == incarnation:
@@ -109,7 +110,7 @@
 
 
 def _starts_incarnation(order: Prepare) -> bool:
-    """Tell whether the order begins a new incarnation."""
+    """Return whether the order starts a new incarnation."""
     return order.decision.stamp.incarnation > order.base.incarnation
 
 
--- a/src/snipebend/experts/switch_rank.py
+++ b/src/snipebend/experts/switch_rank.py
@@ -1,9 +1,9 @@
-"""The guard of one rank: which step may run, and under which expert map.
+"""The guard of one rank: decides which step runs under which expert map.
 
-A pure machine. A rank that acknowledged ``Prepare`` enters no step at or
-beyond the hold step before it knows the decision, which is the participant's
-side of two-phase commit (Gray, Notes on Data Base Operating Systems, 1978)
-with the blocking limited to the hold.
+A state machine without I/O. A rank that acknowledged ``Prepare`` enters no step
+at or beyond the hold step before it knows the decision. This is the participant
+role of two-phase commit (Gray, Notes on Data Base Operating Systems, 1978) with
+blocking limited to the hold.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 if TYPE_CHECKING:
     from random import Random
 
-#: Seconds between two questions for a decision, before jitter.
+#: Seconds between two queries for a decision, before jitter.
 QUERY_INTERVAL_S = 0.2
 
-_HALF = 0.5
+_MIN_JITTER = 0.5
 
 
 class RankGuard:
-    """One life of one rank; a restart makes a new guard with a higher life."""
+    """Guards one run of a rank; a restarted rank's guard has a higher life."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         fence: int,
         runner: type[StepRunner] = StepRunner,
     ) -> None:
-        """Begin without a map; ``fence`` was read from a quorum."""
+        """Start without a map; ``fence`` was read from a quorum."""
         self.rank = rank
         self.life = life
         self.fence = fence
@@ -67,7 +67,7 @@
         now: float,
         rng: Random,
     ) -> list[RankAction]:
-        """Handle one event and return what to do, in order."""
+        """Handle one event and return the resulting actions in order."""
         return self._dispatch(event, now, rng) + self.runner.advance()
 
     def report(self, *, refused: bool = False) -> RankReport:
@@ -86,11 +86,11 @@
         )
 
     def is_stale(self, fence: int) -> bool:
-        """Tell whether an order comes from a former holder of the fence."""
+        """Return whether an order comes from a previous holder of the fence."""
         return fence < self.fence
 
     def can_promise(self) -> bool:
-        """Tell whether the weights for the promise are there."""
+        """Return whether the weights that a promise requires are fetched."""
         return self.promise.is_fetched()
 
     def _dispatch(
@@ -118,7 +118,7 @@
     def _tick(self, now: float, rng: Random) -> list[RankAction]:
         if now < self._query_at:
             return []
-        self._query_at = now + QUERY_INTERVAL_S * (_HALF + rng.random())
+        self._query_at = now + QUERY_INTERVAL_S * (_MIN_JITTER + rng.random())
         actions = self.runner.resend()
         if self.runner.in_force is None or self.promise.hold_step is not None:
             actions.append(AskDecision())
@@ -134,7 +134,7 @@
             case Activate(record=record):
                 self.promise.apply_record(record, self.runner.next_step)
             case StatusQuery():
-                # It asks for nothing but the report below.
+                # Requires no action except the report below.
                 pass  # noqa: WPS420  # a case needs a body
         return [SendReport(self.report())]
 
@@ -142,8 +142,8 @@
         if not self._is_acceptable(order):
             return [SendReport(self.report())]
         if self.promise.accept(order):
-            size, moment = order.fetch_bytes, order.fetch_at
-            fetch = FetchWeights(order.decision.digest, size, moment)
+            size, not_before = order.fetch_bytes, order.fetch_at
+            fetch = FetchWeights(order.decision.digest, size, not_before)
             return [fetch, *self._try_promise()]
         return self._try_promise()
 
@@ -155,7 +155,7 @@
             return False
         if stamp.incarnation > self.promise.installed.incarnation:
             return True
-        # Within an incarnation one map follows another: none may be skipped.
+        # Within an incarnation, maps are applied in sequence without gaps.
         return (
             order.base == self.promise.installed
             and self.promise.pending is None
--- a/src/snipebend/experts/switch_rank_events.py
+++ b/src/snipebend/experts/switch_rank_events.py
@@ -1,4 +1,4 @@
-"""Events and actions of the rank's guard; times are in seconds."""
+"""Events and actions of the rank guard; times are in seconds."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 
 class OrderReceived(NamedTuple):
-    """An order of a coordinator has arrived."""
+    """An order of a coordinator was received."""
 
     order: RankOrder
 
 
 class WeightsFetched(NamedTuple):
-    """The weights of a map are in the rank's memory."""
+    """The weights of a map were fetched into the rank's memory."""
 
     digest: str
 
 
 class BarrierEntryReceived(NamedTuple):
-    """Another rank's entry has arrived."""
+    """The barrier entry of another rank was received."""
 
     entry: BarrierEntry
 
 
 class EntryRefused(NamedTuple):
-    """Another rank is in a newer incarnation than our entry."""
+    """A peer in a newer incarnation refused this rank's barrier entry."""
 
     incarnation: int
 
 
 class StepFinished(NamedTuple):
-    """The engine has finished the step that it was told to run."""
+    """The engine has finished the requested step."""
 
     step: int
 
@@ -60,7 +60,7 @@
 
 
 class AskDecision(NamedTuple):
-    """Ask control for the group's committed record, over and over."""
+    """Query control for the group's committed record; sent repeatedly."""
 
 
 class FetchWeights(NamedTuple):
@@ -72,28 +72,28 @@
 
 
 class EnterBarrier(NamedTuple):
-    """Tell another rank of an entry."""
+    """Send a barrier entry to another rank."""
 
     peer: str
     entry: BarrierEntry
 
 
 class RefuseEntry(NamedTuple):
-    """Tell another rank that its entry is of an old incarnation."""
+    """Notify another rank that its entry has an old incarnation."""
 
     peer: str
     incarnation: int
 
 
 class RunStep(NamedTuple):
-    """Let the engine run a step under the map of the stamp."""
+    """Request the engine to run a step under the map of the stamp."""
 
     step: int
     stamp: MapStamp
 
 
 class StepStopped(NamedTuple):
-    """Entries of one step carry different stamps: the step must not run."""
+    """The step must not run, because its entries carry different stamps."""
 
     step: int
     stamps: tuple[MapStamp, ...]
--- a/src/snipebend/experts/switch_roster.py
+++ b/src/snipebend/experts/switch_roster.py
@@ -1,4 +1,4 @@
-"""The ranks of a group as a coordinator knows them."""
+"""The live ranks of a group and their reports, as known by a coordinator."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class RankRoster:
-    """Who is held for alive, and each rank's newest report."""
+    """The ranks considered alive, with the newest report of each."""
 
     def __init__(self, fence: int) -> None:
-        """Begin with nobody; only reports under ``fence`` count.
+        """Start without ranks; only reports with ``fence`` are accepted.
 
-        A report under a lower fence was sent before the rank heard of this
-        coordinator, so it may be arbitrarily late.
+        A rank sends a report with a lower fence before it receives an order of
+        this coordinator, so such a report can be arbitrarily late.
         """
         self.announced: tuple[str, ...] | None = None
         self._fence = fence
         self._reports: dict[str, RankReport] = {}
 
     def announce(self, ranks: Iterable[str]) -> None:
-        """Set the ranks that are held for alive and forget the others."""
+        """Set the ranks considered alive and remove all others."""
         self.announced = tuple(sorted(ranks))
         for lost in self._reports.keys() - set(self.announced):
             self._reports.pop(lost)
 
-    def note(self, report: RankReport) -> bool:
-        """Keep a report; return False for a late or repeated one."""
+    def record(self, report: RankReport) -> bool:
+        """Store a report; return False if it is outdated or repeated."""
         if report.fence != self._fence or not self._is_alive(report.rank):
             return False
         known = self._reports.get(report.rank)
@@ -46,17 +46,17 @@
         return self._reports.get(rank)
 
     def is_complete(self) -> bool:
-        """Tell whether every live rank has reported."""
+        """Return whether every live rank has reported."""
         return self.announced is not None and all(
             rank in self._reports for rank in self.announced
         )
 
     def lives(self, members: Iterable[str]) -> dict[str, int]:
-        """Return the lives of members, all of which must have reported."""
+        """Return the life of each member; all members must have reported."""
         return {rank: self._reports[rank].life for rank in members}
 
     def fresh(self) -> frozenset[str]:
-        """Return the ranks that have installed no map in their life."""
+        """Return the ranks that have installed no map since they started."""
         return frozenset(
             rank
             for rank, report in self._reports.items()
@@ -69,19 +69,20 @@
         return max(steps, default=0)
 
     def has_unfit_member(self, decision: SwitchDecision) -> bool:
-        """Tell whether a member can't go on under a committed decision.
+        """Return whether a member cannot continue under a committed decision.
 
-        It is lost, or it has neither installed nor promised the map, as after
-        a restart. A member that has not reported yet is given time.
+        Such a member is lost, or has neither installed nor promised the map,
+        for example after a restart. A member that has not reported yet does not
+        count as unfit.
         """
         return any(self._is_unfit(rank, decision) for rank in decision.members)
 
     def all_installed(self, decision: SwitchDecision) -> bool:
-        """Tell whether every member knows of a decision."""
+        """Return whether every member knows a decision."""
         return not self.to_activate(decision)
 
     def to_activate(self, decision: SwitchDecision) -> list[str]:
-        """Return the members that do not know of a decision."""
+        """Return the members that do not know a decision."""
         return [
             rank
             for rank in decision.members
--- a/src/snipebend/experts/switch_runner.py
+++ b/src/snipebend/experts/switch_runner.py
@@ -1,4 +1,4 @@
-"""The steps of one rank: enter the barrier, run, switch maps in between."""
+"""Step execution of one rank: barrier entry, run, and map activation."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class StepRunner:
-    """Lets a rank's steps run, one after another, each under one map."""
+    """Runs a rank's steps in sequence, each under one map."""
 
     def __init__(self, rank: str, promise: RankPromise) -> None:
-        """Begin without a map in force."""
+        """Start without a map in force."""
         self.next_step = 0
         self.in_force: SwitchDecision | None = None
         self.running: RunStep | None = None
@@ -37,32 +37,32 @@
         return self.in_force.stamp if self.in_force else MapStamp()
 
     def can_enter(self, step: int) -> bool:
-        """Tell whether a promise lets the rank enter a step."""
+        """Return whether the rank's promise permits entering a step."""
         return not self._promise.holds(step)
 
     def barrier_verdict(self) -> Verdict:
-        """Compare what the ranks entered the step with."""
+        """Compare the map stamps with which the ranks entered the step."""
         return self._barrier.verdict()
 
     def note_entry(self, entry: BarrierEntry) -> list[RankAction]:
-        """Note a peer's entry; refuse an old one, stop at a mismatch."""
+        """Record a peer's entry; refuse an old one, stop at a mismatch."""
         own = self.stamp.incarnation
         if entry.stamp.incarnation < own:
             return [RefuseEntry(entry.rank, own)]
-        self._barrier.note(entry)
+        self._barrier.record(entry)
         if self.barrier_verdict() is not Verdict.MISMATCH:
             return []
         stamps = tuple(stamp for stamp in self._barrier.stamps() if stamp)
         return [StepStopped(self.next_step - 1, stamps), AskDecision()]
 
     def finish(self, step: int) -> None:
-        """Leave a step that the engine has run; repetition does no harm."""
+        """Leave a step that the engine has run; repeated calls are harmless."""
         if self.running is not None and self.running.step == step:
             self.running = None
             self._barrier.leave()
 
     def resend(self) -> list[RankAction]:
-        """Tell the peers again of the entries that they may lack."""
+        """Resend the entries that the peers may be missing."""
         return [
             EnterBarrier(peer, entry)
             for entry in self._barrier.entries_to_resend()
@@ -84,8 +84,8 @@
     def _switch(self) -> None:
         """Put the installed map in force once its step is next.
 
-        A new incarnation begins at its step at once: the former one can no
-        longer complete a step.
+        A new incarnation starts at its step immediately, because the previous
+        one can no longer complete a step.
         """
         pending = self._promise.pending
         if pending is None:
--- a/src/snipebend/experts/switch_states.py
+++ b/src/snipebend/experts/switch_states.py
@@ -13,10 +13,10 @@
 
 
 class CoordinatorConfig(NamedTuple):
-    """Spans of a coordinator.
+    """Group size and time limits of a coordinator.
 
-    ``group`` has ``ranks`` ranks; its first incarnation waits for all of
-    them. Orders are sent again every ``resend_s``; a switch that is not
+    ``group`` has ``ranks`` ranks; its first incarnation starts once all of them
+    are alive. Orders are resent every ``resend_s``; a switch that is not
     prepared within ``prepare_s`` is aborted.
     """
 
@@ -27,11 +27,11 @@
 
 
 class Idle(NamedTuple):
-    """No switch; ranks are asked for their reports."""
+    """No switch is running; ranks are queried for their reports."""
 
 
 class Preparing(NamedTuple):
-    """Waiting for every member's promise to what was proposed."""
+    """Waiting for the promise of every member to the proposed map."""
 
     proposal: MapProposed
     decision: SwitchDecision
@@ -42,14 +42,14 @@
 
 
 class Persisting(NamedTuple):
-    """Waiting until a change is durable."""
+    """Waiting for the commit of a change."""
 
     change: RecordChange
     stamp: MapStamp
 
 
 class Activating(NamedTuple):
-    """Telling every member of the committed decision."""
+    """Sending the committed decision to every member."""
 
     decision: SwitchDecision
 
--- a/src/snipebend/experts/switch_store.py
+++ b/src/snipebend/experts/switch_store.py
@@ -1,14 +1,14 @@
-"""The weight store's rate as one schedule for all groups of a control leader.
+"""Schedule that shares the weight store's rate among a control leader's groups.
 
-A reservation starts when the one before it ends, so that all fetches together
-stay within the rate whatever the groups do.
+A reservation starts when the previous one ends, so that all fetches together
+stay within the rate, whatever the groups request.
 """
 
 from __future__ import annotations
 
 
 class StoreSchedule:
-    """Hands out start times for fetches from one rate-limited store."""
+    """Assigns start times to fetches from one rate-limited store."""
 
     def __init__(
         self,
@@ -19,9 +19,10 @@
     ) -> None:
         """Allow reservations up to ``horizon_s`` seconds ahead.
 
-        A new leader does not know its predecessor's reservations; all of them
-        have ended by ``started_at + horizon_s``, where its own begin. Pass a
-        ``started_at`` that far in the past if there was no predecessor.
+        A new leader does not know the reservations of its predecessor. All of
+        those end by ``started_at + horizon_s``, so new reservations start
+        there. Without a predecessor, pass a ``started_at`` that lies at least
+        ``horizon_s`` in the past.
         """
         self._bytes_per_s = bytes_per_s
         self.horizon_s = horizon_s
@@ -31,19 +32,20 @@
         self,
         sizes: dict[str, int],
         now: float,
-        pace: float = 1,
+        rate_share: float = 1,
     ) -> dict[str, float] | None:
-        """Reserve all fetches, by rank in bytes, or none beyond the horizon.
+        """Reserve time for all fetches, given in bytes by rank.
 
-        ``pace`` is the share of the rate to be used. Returns the time in
-        seconds before which each rank must not start.
+        ``rate_share`` is the share of the rate to use. Return the earliest
+        start time of each rank in seconds, or None if a fetch would end beyond
+        the horizon.
         """
         moment = max(now, self.busy_until)
         starts = {}
         for rank, size in sizes.items():
             starts[rank] = moment
             if size:
-                moment += size / (self._bytes_per_s * pace)
+                moment += size / (self._bytes_per_s * rate_share)
         if moment > max(now, self.busy_until) and self._is_beyond_horizon(
             moment, now
         ):
--- a/src/snipebend/orders/issuer.py
+++ b/src/snipebend/orders/issuer.py
@@ -64,7 +64,7 @@
             renews=self.fence,
         )
 
-    def note(self, reply: FenceReply) -> bool:
+    def apply_reply(self, reply: FenceReply) -> bool:
         """Take the answer; return whether a fence is held that is new."""
         before = self.fence
         self._held = reply if reply.granted else None
--- a/src/snipebend/transport/group_switch.py
+++ b/src/snipebend/transport/group_switch.py
@@ -182,7 +182,7 @@
                 exc.message,
             )
             return
-        if self.issuer.note(reply):
+        if self.issuer.apply_reply(reply):
             self.coordinator = None
             logger.info(
                 'event=fence_taken group={} fence={}',
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -138,7 +138,7 @@
                 liked[pair] = liked[pair[::-1]]
         self._weigh()
 
-    def turn(self):
+    def shift_demand(self):
         """Exchange the liking of many experts."""
         self._settle_counts()
         for liked in self._liked:
@@ -176,7 +176,7 @@
             now = _now()
             if now >= told_at + TELL_EVERY_S:
                 told_at = now
-                paces.note('g', 10, 10 * length_s, now)
+                paces.record('g', 10, 10 * length_s, now)
             while self._held == self.step + 1:
                 self._let_go.clear()
                 await self._let_go.wait()
--- a/tests/balancing/test_count_reader.py
+++ b/tests/balancing/test_count_reader.py
@@ -51,7 +51,7 @@
             self.assertTrue(await reader.read(monitor, snapshot, reading))
             asked.append(len(set(engines.asked)))
         self.assertEqual(asked, [FIRST_SAMPLE, FIRST_SAMPLE, SAMPLE])
-        self.assertFalse(monitor.turning)
+        self.assertFalse(monitor.is_demand_unknown)
 
 
 if __name__ == '__main__':
--- a/tests/balancing/test_demand_shifts.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -60,7 +60,7 @@
         """
         await self.leader.start()
         await self.until(TURN_AT)
-        self.group.turn()
+        self.group.shift_demand()
         if turned_s:
             self.group.stretch_to(turned_s)
         return self.group.skew
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -272,7 +272,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.store.machine.state.plans.plans.clear()
-        self.paces.note('g', 3, 0.1 * ALLOWED_S, self.clock.at)
+        self.paces.record('g', 3, 0.1 * ALLOWED_S, self.clock.at)
         await self.check()
         self.clock.at += SETTLE_S
         self.engines.asked.clear()
@@ -281,7 +281,7 @@
         """Let streams show some passes, and control look at the group."""
         self.clock.at += passes * pass_s
         self.engines.work(passes)
-        self.paces.note('g', passes, passes * pass_s, self.clock.at)
+        self.paces.record('g', passes, passes * pass_s, self.clock.at)
         await self.check()
 
     async def test_nothing_is_read_while_passes_are_short(self):
--- a/tests/experts/demand_shifts.py
+++ b/tests/experts/demand_shifts.py
@@ -1,4 +1,4 @@
-"""Demand for experts that turns, and what a search makes of it."""
+"""Shifting demand for experts, to measure the maps that a search finds."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from snipebend.experts.layer_state import layer_skew
 
-#: Changes of map that answer one turn.
-CHANGES = 2
+#: Map changes that respond to one demand shift.
+CHANGES_PER_SHIFT = 2
 
 
 class Size(NamedTuple):
-    """A group, and how unevenly its experts are liked."""
+    """The dimensions of a group and the exponent of its expert demand."""
 
     ranks: int
     layers: int
@@ -24,15 +24,15 @@
     most_fetched: int = 3
 
 
-class Answers(NamedTuple):
-    """Means over turns: skew before, after each change; loads of a turn."""
+class ShiftResult(NamedTuple):
+    """Means over shifts: skews before and after each change, and fetches."""
 
     skews: tuple[float, ...]
     loads: float
 
 
-def answer_turns(size, search, turns):
-    """Play turns; ``search`` takes layers and loads, and returns layers."""
+def simulate_shifts(size, search, shifts):
+    """Simulate shifts; ``search`` maps layers and loads to new layers."""
     rng = random.Random(3)
     loads = [_zipf(rng, size) for _ in range(size.layers)]
     layer = tuple(
@@ -42,18 +42,18 @@
     layers = (layer,) * size.layers
     skews = []
     fetched = []
-    for _ in range(turns):
-        seen = [_skew(layers, loads)]
+    for _ in range(shifts):
+        layer_skews = [_skew(layers, loads)]
         fetched.append(0)
-        for _ in range(CHANGES):
+        for _ in range(CHANGES_PER_SHIFT):
             before = layers
             layers = search(before, loads)
-            seen.append(_skew(layers, loads))
-            fetched[-1] += _loads(before, layers)
-        skews.append(seen)
-        loads = [_turn(rng, layer_loads) for layer_loads in loads]
+            layer_skews.append(_skew(layers, loads))
+            fetched[-1] += _count_fetches(before, layers)
+        skews.append(layer_skews)
+        loads = [_shift_demand(rng, layer_loads) for layer_loads in loads]
     means = (fmean(column) for column in zip(*skews, strict=True))
-    return Answers(tuple(means), fmean(fetched))
+    return ShiftResult(tuple(means), fmean(fetched))
 
 
 def _zipf(rng, size):
@@ -62,22 +62,22 @@
     return [size.ranks * weight / sum(weights) for weight in weights]
 
 
-def _turn(rng, loads):
-    """Exchange the loads of one half of the experts."""
+def _shift_demand(rng, loads):
+    """Exchange the loads of half of the experts."""
     places = rng.sample(range(len(loads)), len(loads) // 2)
     moved = [loads[place] for place in places]
     rng.shuffle(moved)
-    turned = list(loads)
+    shifted = list(loads)
     for place, load in zip(places, moved, strict=True):
-        turned[place] = load
-    return turned
+        shifted[place] = load
+    return shifted
 
 
 def _skew(layers, loads):
     return fmean(map(layer_skew, layers, loads))
 
 
-def _loads(before, after):
+def _count_fetches(before, after):
     return sum(
         len(set(new) - set(old))
         for old_layer, new_layer in zip(before, after, strict=True)
--- a/tests/experts/direct_simulation.py
+++ b/tests/experts/direct_simulation.py
@@ -1,7 +1,8 @@
-"""A group of engines that obey direct orders, with faults, on virtual time.
+"""Simulation of engines that execute direct orders, with faults.
 
-The engines follow the published rules: an order that doesn't fit is refused,
-an order may be lost, or be carried out seconds after its sender gave up.
+Runs on virtual time. The engines follow the published rules: an order that does
+not fit is refused, and an order can be lost or executed seconds after its
+sender timed out.
 """
 
 from __future__ import annotations
@@ -33,20 +34,21 @@
 PASS_S = 0.05
 REPORT_LAG_S = 0.2
 STEP_S = 0.02
-#: A draw of 100 at which an order arrives.
-QUIET_DRAW = 99
+#: A roll of 0 to 99 at which an order is delivered without a fault.
+FAULT_FREE_ROLL = 99
 
-#: From the end of one leader's lease to the next leader's first look.
+#: Seconds until a new leader starts: the lease of the previous one must expire.
 LEASE_S = 1.0
+#: Seconds that a new leader waits for earlier orders to take effect.
 SETTLE_S = 0.3
 
 
 class MixedMapsError(AssertionError):
-    """A pass began while two ranks had different maps."""
+    """A pass started while two ranks had different maps."""
 
 
 class Rank:
-    """One engine."""
+    """The state of one engine."""
 
     def __init__(self) -> None:
         self.map_version = 0
@@ -58,7 +60,7 @@
 
 
 class Engines:
-    """The group: its passes, its orders and what it reports."""
+    """The simulated group: runs passes, executes orders and sends reports."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -67,7 +69,7 @@
         self.ranks = [Rank() for _ in range(RANKS)]
 
     def begin_pass(self) -> None:
-        """Begin the next pass unless a rank holds before it."""
+        """Start the next pass unless a rank holds before it."""
         following = self.step + 1
         if any(one.held == following for one in self.ranks):
             return
@@ -82,7 +84,7 @@
             raise MixedMapsError(f'pass {following}: versions {versions}')
 
     def crash(self) -> None:
-        """Lose a rank: the group forms anew."""
+        """Simulate the loss of a rank, after which the group is re-formed."""
         self.epoch += 1
         for rank in self.ranks:
             rank.map_version = 0
@@ -90,8 +92,8 @@
             rank.armed = None
             rank.held = None
 
-    def obey(self, order: RankOrder, now: float) -> bool:
-        """Carry an order out; return whether it fitted."""
+    def execute(self, order: RankOrder, now: float) -> bool:
+        """Execute an order; return whether it was accepted."""
         if order.epoch != self.epoch:
             return False
         rank = self.ranks[order.rank]
@@ -112,7 +114,7 @@
                 return True
 
     def report(self, number: int, now: float) -> RankReport:
-        """Return what a rank says of itself."""
+        """Return a rank's report."""
         rank = self.ranks[number]
         ready = rank.prepared if now >= rank.ready_at else None
         return RankReport(
@@ -150,7 +152,7 @@
 
 
 class Coordinator:
-    """One daemon that believes it leads, until it is told otherwise."""
+    """A daemon that acts as leader until it learns that it was replaced."""
 
     ignores_lease = False
 
@@ -164,26 +166,26 @@
         self.frozen_until = 0.0
         self.replaced = False
         self.ended = False
-        self.look_at = None
+        self.settled_at = None
         self.reports = None
         self.read_at = 0.0
 
     def run(self) -> None:
-        """Take one step and plan the next one."""
+        """Run one step and schedule the next one."""
         simulation = self.simulation
         if self.ended:
             return
         if simulation.now >= self.frozen_until:
-            self._work()
-        simulation.at(STEP_S, self.run)
+            self._step()
+        simulation.schedule(STEP_S, self.run)
 
-    def _work(self) -> None:
+    def _step(self) -> None:
         simulation = self.simulation
         if self.replaced and not self.ignores_lease:
             self.ended = True
             return
         if self.switch is None or self.switch.is_finished:
-            self._begin()
+            self._start_switch()
             return
         if self.switch.needs_step(simulation.now):
             simulation.read_step(self)
@@ -192,14 +194,14 @@
         if simulation.now >= self.report_at:
             self.report_at = simulation.now + REPORT_LAG_S
             for number in ranks_to_poll(self.switch):
-                simulation.ask(self, number)
+                simulation.request_report(self, number)
 
-    def _begin(self) -> None:
-        """Look for a while after the last orders, then go by what was seen."""
+    def _start_switch(self) -> None:
+        """Wait until earlier orders have taken effect, then start a switch."""
         simulation = self.simulation
-        if self.look_at is None:
-            self.look_at = simulation.now + SETTLE_S
-        if simulation.now < self.look_at:
+        if self.settled_at is None:
+            self.settled_at = simulation.now + SETTLE_S
+        if simulation.now < self.settled_at:
             return
         if self.reports is None:
             self.reports = [
@@ -211,7 +213,7 @@
             return
         reports = self.reports
         self.reports = None
-        self.look_at = None
+        self.settled_at = None
         self._decide(reports)
 
     def _decide(self, reports) -> None:
@@ -221,7 +223,7 @@
         finished = all(one.map_version == version for one in reports)
         held = any(one.held and one.held > one.step for one in reports)
         if planned != epoch or finished:
-            if self.replaced or (simulation.quiet and not held):
+            if self.replaced or (simulation.is_fault_free and not held):
                 return
             version = simulation.next_version()
             simulation.plan = (epoch, version)
@@ -239,7 +241,7 @@
 
 
 class Simulation:
-    """Schedules of passes, orders, coordinators and faults by one seed."""
+    """Schedules passes, orders, coordinators and faults from one seed."""
 
     def __init__(
         self,
@@ -248,28 +250,29 @@
         coordinator: type[Coordinator] = Coordinator,
     ) -> None:
         self.rng = random.Random(seed)
-        # Apart, so that reading steps leaves the other faults as they were.
+        # A separate generator, so that reading steps does not change the
+        # sequence of the other faults.
         self.step_rng = random.Random(seed)
         self.now = 0.0
         self.engines = Engines(self.rng)
         self.plan = (0, 0)
-        self.quiet = False
+        self.is_fault_free = False
         self._make = make
         self._events = []
         self._numbers = count()
         self._coordinator = coordinator
         self.leader = coordinator(self, make)
-        self.at(0, self.leader.run)
-        self.at(PASS_S, self._pass)
-        self.at(0.5, self._fault)
+        self.schedule(0, self.leader.run)
+        self.schedule(PASS_S, self._pass)
+        self.schedule(0.5, self._inject_fault)
 
-    def at(self, after_s: float, act: Callable[[], None]) -> None:
-        """Plan an act."""
-        entry = (self.now + after_s, next(self._numbers), act)
+    def schedule(self, after_s: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback."""
+        entry = (self.now + after_s, next(self._numbers), callback)
         heapq.heappush(self._events, entry)
 
     def run(self, span_s: float) -> None:
-        """Let time pass."""
+        """Run all events of the next ``span_s`` seconds."""
         end = self.now + span_s
         while self._events[0][0] <= end:
             entry = heapq.heappop(self._events)
@@ -278,91 +281,101 @@
         self.now = end
 
     def next_version(self) -> int:
-        """Return the version of the next plan."""
+        """Return the version number of the next plan."""
         return self.plan[1] + 1
 
     def settle(self) -> None:
-        """Stop the faults and let the last switch end."""
-        self.quiet = True
+        """Stop the faults and run until the last switch has ended."""
+        self.is_fault_free = True
         self.run(40)
 
     def send(self, sender: Coordinator, order: RankOrder) -> None:
-        """Bring an order to its engine: now, late or never."""
-        draw = QUIET_DRAW if self.quiet else self.rng.randrange(100)
-        if draw < 10:
+        """Deliver an order to its engine: now, late or never."""
+        roll = (
+            FAULT_FREE_ROLL if self.is_fault_free else self.rng.randrange(100)
+        )
+        if roll < 10:
             self._reply(sender, order, Reply.LOST, 0.4)
             return
-        if draw < 35:
-            self.at(self.rng.uniform(0.5, 12), lambda: self._obey(order))
+        if roll < 35:
+            self.schedule(
+                self.rng.uniform(0.5, 12), lambda: self._execute(order)
+            )
             self._reply(sender, order, Reply.LOST, 0.4)
             return
         switch = sender.switch
-        self.at(
+        self.schedule(
             self.rng.uniform(0.001, 0.01),
-            lambda: self._obey_and_tell(sender, switch, order),
+            lambda: self._execute_and_reply(sender, switch, order),
         )
 
-    def ask(self, sender: Coordinator, number: int) -> None:
-        """Bring a report to a coordinator, some time after it was made."""
-        if not self.quiet and self.rng.randrange(10) == 0:
+    def request_report(self, sender: Coordinator, number: int) -> None:
+        """Deliver a report to a coordinator with a delay, or lose it."""
+        if not self.is_fault_free and self.rng.randrange(10) == 0:
             return
         report = self.engines.report(number, self.now)
         switch = sender.switch
-        self.at(
+        self.schedule(
             self.rng.uniform(0.01, 0.3),
-            lambda: self._tell(sender, switch, report),
+            lambda: self._deliver_report(sender, switch, report),
         )
 
     def read_step(self, sender: Coordinator) -> None:
-        """Bring the pass under way to a coordinator, soon or never."""
-        if not self.quiet and self.step_rng.randrange(5) == 0:
+        """Deliver the current pass to a coordinator, or lose the reading."""
+        if not self.is_fault_free and self.step_rng.randrange(5) == 0:
             return
         switch = sender.switch
         epoch, step = self.engines.epoch, self.engines.step
-        self.at(
+        self.schedule(
             self.step_rng.uniform(0.001, 0.06),
-            lambda: self._tell_step(sender, switch, epoch, step),
+            lambda: self._deliver_step(sender, switch, epoch, step),
         )
 
-    def _tell_step(self, sender, switch, epoch, step) -> None:
+    def _deliver_step(self, sender, switch, epoch, step) -> None:
         arguments = (sender, switch, epoch, step)
-        if not self._defer(sender, self._tell_step, *arguments):
+        if not self._defer(sender, self._deliver_step, *arguments):
             switch.note_step(epoch, step, self.now)
 
-    def _tell(self, sender, switch, report) -> None:
-        if not self._defer(sender, self._tell, sender, switch, report):
+    def _deliver_report(self, sender, switch, report) -> None:
+        if not self._defer(
+            sender, self._deliver_report, sender, switch, report
+        ):
             switch.note_report(report)
 
-    def _defer(self, sender, act, *arguments) -> bool:
-        """A frozen coordinator reads its mail when it wakes."""
+    def _defer(self, sender, callback, *arguments) -> bool:
+        """Postpone delivery to a frozen coordinator until it resumes."""
         if self.now >= sender.frozen_until:
             return False
         wait_s = sender.frozen_until - self.now
-        self.at(wait_s, lambda: act(*arguments))
+        self.schedule(wait_s, lambda: callback(*arguments))
         return True
 
-    def _obey(self, order: RankOrder) -> bool:
-        return self.engines.obey(order, self.now)
+    def _execute(self, order: RankOrder) -> bool:
+        return self.engines.execute(order, self.now)
 
-    def _obey_and_tell(self, sender, switch, order) -> None:
-        reply = Reply.ACCEPTED if self._obey(order) else Reply.REFUSED
-        self._note(sender, switch, order, reply)
+    def _execute_and_reply(self, sender, switch, order) -> None:
+        reply = Reply.ACCEPTED if self._execute(order) else Reply.REFUSED
+        self._deliver_reply(sender, switch, order, reply)
 
     def _reply(self, sender, order, reply, after_s) -> None:
         switch = sender.switch
-        self.at(after_s, lambda: self._note(sender, switch, order, reply))
+        self.schedule(
+            after_s, lambda: self._deliver_reply(sender, switch, order, reply)
+        )
 
-    def _note(self, sender, switch, order, reply) -> None:
-        if not self._defer(sender, self._note, sender, switch, order, reply):
+    def _deliver_reply(self, sender, switch, order, reply) -> None:
+        if not self._defer(
+            sender, self._deliver_reply, sender, switch, order, reply
+        ):
             switch.note_reply(order, reply, self.now)
 
     def _pass(self) -> None:
         if self.rng.randrange(10):
             self.engines.begin_pass()
-        self.at(PASS_S * self.rng.uniform(0.5, 2), self._pass)
+        self.schedule(PASS_S * self.rng.uniform(0.5, 2), self._pass)
 
-    def _fault(self) -> None:
-        if self.quiet:
+    def _inject_fault(self) -> None:
+        if self.is_fault_free:
             return
         match self.rng.randrange(8):
             case 0:
@@ -373,14 +386,14 @@
                 self._replace_leader(dies=False)
             case _:
                 self.leader.frozen_until = self.now + self.rng.uniform(0, 3)
-        self.at(self.rng.uniform(0.3, 4), self._fault)
+        self.schedule(self.rng.uniform(0.3, 4), self._inject_fault)
 
     def _replace_leader(self, *, dies: bool) -> None:
-        """Elect another one; the old one dies, or wakes up and goes on."""
+        """Elect a new leader; the old one ends, or resumes after a freeze."""
         old = self.leader
         old.replaced = True
         old.ended = dies
         if not dies:
             old.frozen_until = self.now + self.rng.uniform(0, 6)
         self.leader = self._coordinator(self, self._make)
-        self.at(LEASE_S, self.leader.run)
+        self.schedule(LEASE_S, self.leader.run)
--- a/tests/experts/pair_simulation.py
+++ b/tests/experts/pair_simulation.py
@@ -1,8 +1,8 @@
-"""Two groups under one leader, on one virtual time.
+"""Simulation of two groups under one leader on a shared virtual clock.
 
-Each group has its own switch; the leader's deaths and freezes concern both.
-Orders go to a rank, not to a place in a group: one that is carried out late may
-find its rank in the other group.
+Each group runs a separate switch; a crash or freeze of the leader affects both.
+Orders are addressed to a rank process, not to a rank number in a group: when an
+order is executed late, its rank can belong to the other group.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from snipebend.experts.direct_switch import DirectSwitch
 from tests.experts.direct_simulation import RANKS, Coordinator, Simulation
 
-#: Epochs of the second group begin here: those of two groups aren't taken to
-#: coincide, and an order that carries another epoch is refused.
+#: First epoch of the second group. Epochs of different groups are assumed to be
+#: distinct, and an order with another epoch is refused.
 OTHER_EPOCH = 1000
 
 
-class Half(Simulation):
-    """One of the groups."""
+class SimulatedGroup(Simulation):
+    """One of the two groups, which uses the clock of the pair."""
 
     def __init__(self, seed, pair, epoch, make):
         self.pair = pair
@@ -34,81 +34,81 @@
 
     @now.setter
     def now(self, _):
-        """Time passes for both."""
+        """Ignore assignments: the pair advances the clock of both groups."""
 
-    def at(self, after_s, act):
-        self.pair.at(after_s, act)
+    def schedule(self, after_s, callback):
+        self.pair.schedule(after_s, callback)
 
     def next_version(self):
-        return 1 + max(half.plan[1] for half in self.pair.halves)
+        return 1 + max(group.plan[1] for group in self.pair.groups)
 
     def target(self, order):
-        """Return the rank that an order is sent to."""
+        """Return the rank that receives an order."""
         return self.engines.ranks[order.rank]
 
     def send(self, sender, order):
-        """Bring an order to its rank: now, late or never."""
+        """Deliver an order to its rank: now, late or never."""
         rank = self.target(order)
-        draw = 99 if self.quiet else self.rng.randrange(100)
-        if draw < 35:
-            if draw >= 10:
+        roll = 99 if self.is_fault_free else self.rng.randrange(100)
+        if roll < 35:
+            if roll >= 10:
                 late_s = self.rng.uniform(0.5, 12)
-                self.at(late_s, lambda: self.pair.obey(rank, order))
+                self.schedule(late_s, lambda: self.pair.execute(rank, order))
             self._reply(sender, order, Reply.LOST, 0.4)
             return
         switch = sender.switch
-        self.at(
+        self.schedule(
             self.rng.uniform(0.001, 0.01),
             lambda: self._carry_out(sender, switch, rank, order),
         )
 
     def _carry_out(self, sender, switch, rank, order):
-        fits = self.pair.obey(rank, order)
+        fits = self.pair.execute(rank, order)
         reply = Reply.ACCEPTED if fits else Reply.REFUSED
-        self._note(sender, switch, order, reply)
+        self._deliver_reply(sender, switch, order, reply)
 
-    def _fault(self):
-        """Faults come to the pair."""
+    def _inject_fault(self):
+        """Do nothing: the pair injects the faults."""
 
 
-class CrossedHalf(Half):
-    """Sends one order of ten to the other group's rank of that number."""
+class MisroutingGroup(SimulatedGroup):
+    """Sends one of ten orders to the same rank number of the other group."""
 
     def target(self, order):
-        others = [half for half in self.pair.halves if half is not self]
+        others = [group for group in self.pair.groups if group is not self]
         if others and self.rng.randrange(10) == 0:
             return others[0].engines.ranks[order.rank]
         return super().target(order)
 
 
-class ApartHalf(Half):
-    """Numbers its plans by itself."""
+class OwnVersionsGroup(SimulatedGroup):
+    """Numbers the plan versions of each group independently."""
 
     def next_version(self):
         return self.plan[1] + 1
 
 
-class Pair:
-    """Both groups, and what befalls them."""
+class PairSimulation:
+    """Schedules the events and faults of both groups."""
 
-    #: Whether groups that exchange a rank form anew, as they should.
-    forms_anew = True
+    #: Whether groups that exchange a rank start a new epoch, as required.
+    changes_epoch = True
 
-    def __init__(self, seed, half=Half, other_epoch=OTHER_EPOCH):
+    def __init__(self, seed, group=SimulatedGroup, other_epoch=OTHER_EPOCH):
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.quiet = False
+        self.is_fault_free = False
         self._events = []
         self._numbers = count()
-        self.halves = []
+        self.groups = []
         for number, epoch in enumerate((1, other_epoch)):
-            self.halves.append(
-                half(2 * seed + number, self, epoch, DirectSwitch)
+            self.groups.append(
+                group(2 * seed + number, self, epoch, DirectSwitch)
             )
-        self.at(0.5, self._fault)
+        self.schedule(0.5, self._inject_fault)
 
-    def at(self, after_s, act):
-        entry = (self.now + after_s, next(self._numbers), act)
+    def schedule(self, after_s, callback):
+        entry = (self.now + after_s, next(self._numbers), callback)
         heapq.heappush(self._events, entry)
 
     def run(self, span_s):
@@ -120,60 +120,62 @@
         self.now = end
 
     def settle(self):
-        self.quiet = True
-        for half in self.halves:
-            half.quiet = True
+        self.is_fault_free = True
+        for group in self.groups:
+            group.is_fault_free = True
         self.run(40)
 
-    def obey(self, rank, order):
-        """Carry an order out at its rank, wherever that belongs now."""
-        for half in self.halves:
-            if rank in half.engines.ranks:
-                place = half.engines.ranks.index(rank)
-                return half.engines.obey(order._replace(rank=place), self.now)
+    def execute(self, rank, order):
+        """Execute an order at its rank, in the rank's current group."""
+        for group in self.groups:
+            if rank in group.engines.ranks:
+                number = group.engines.ranks.index(rank)
+                return group.engines.execute(
+                    order._replace(rank=number), self.now
+                )
         return False
 
     def exchange(self):
-        """Let the groups exchange a rank; both form anew."""
-        first, second = (half.engines for half in self.halves)
+        """Exchange a rank between the groups, which both start a new epoch."""
+        first, second = (group.engines for group in self.groups)
         one, other = (self.rng.randrange(RANKS) for _ in range(2))
         moved = first.ranks[one]
         first.ranks[one] = second.ranks[other]
         second.ranks[other] = moved
-        if self.forms_anew:
+        if self.changes_epoch:
             first.crash()
             second.crash()
 
-    def _fault(self):
-        if self.quiet:
+    def _inject_fault(self):
+        if self.is_fault_free:
             return
         match self.rng.randrange(8):
             case 0:
-                self.rng.choice(self.halves).engines.crash()
+                self.rng.choice(self.groups).engines.crash()
             case 1 | 2:
                 self.exchange()
             case 3 | 4 | 5:
                 self._replace_leader(dies=self.rng.randrange(2) == 0)
             case _:
                 until = self.now + self.rng.uniform(0, 3)
-                for half in self.halves:
-                    half.leader.frozen_until = until
-        self.at(self.rng.uniform(0.3, 4), self._fault)
+                for group in self.groups:
+                    group.leader.frozen_until = until
+        self.schedule(self.rng.uniform(0.3, 4), self._inject_fault)
 
     def _replace_leader(self, *, dies):
-        """Elect another one for both groups."""
+        """Elect a new leader for both groups."""
         wakes_at = self.now + self.rng.uniform(0, 6)
-        for half in self.halves:
-            old = half.leader
+        for group in self.groups:
+            old = group.leader
             old.replaced = True
             old.ended = dies
             if not dies:
                 old.frozen_until = wakes_at
-            half.leader = Coordinator(half, DirectSwitch)
-            half.at(1.0, half.leader.run)
+            group.leader = Coordinator(group, DirectSwitch)
+            group.schedule(1.0, group.leader.run)
 
 
-class TornPair(Pair):
-    """Ranks change groups without a new epoch, their orders with them."""
+class UnchangedEpochPair(PairSimulation):
+    """Fault: ranks change groups, with their orders, without a new epoch."""
 
-    forms_anew = False
+    changes_epoch = False
--- a/tests/experts/switch_simulation.py
+++ b/tests/experts/switch_simulation.py
@@ -1,7 +1,7 @@
-"""A group, its control and a bad network, driven by one seed.
+"""Simulation of a group, its control and an unreliable network from one seed.
 
-Everything that the machines promise is checked while the schedule runs; a
-broken promise raises ``BrokenPromiseError``.
+The invariants of the state machines are checked while the schedule runs; a
+violation raises ``InvariantError``.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class InvariantError(Exception):
-    """The schedule has found a fault."""
+    """An invariant of the switch was violated."""
 
 
 class ToRank(NamedTuple):
@@ -71,17 +71,17 @@
     change: object
 
 
-class Question(NamedTuple):
+class RecordQuery(NamedTuple):
     rank: str
 
 
 class Checker:
-    """Knows what was committed, entered, fetched and run.
+    """Checks invariants on everything committed, entered, fetched and run.
 
     A step is identified by its number within a lineage. A decision continues
-    the lineage if one of its members has, in its present life, entered a step
-    of the newest incarnation that ran any; otherwise nobody is left who could
-    know how far the count had come.
+    the lineage if one of its members has, in its current life, entered a step
+    of the newest incarnation that ran any. Otherwise no remaining member knows
+    how far the steps had been counted.
     """
 
     def __init__(self) -> None:
@@ -153,7 +153,7 @@
 
 
 class Simulation:
-    """One seeded schedule, from quiet to wild."""
+    """One seeded schedule; the seed also selects the rate of faults."""
 
     def __init__(
         self,
@@ -169,7 +169,7 @@
         self.checker = Checker()
         self.activated = 0
         self.maps = 0
-        self.pool: list[object] = []
+        self.in_flight: list[object] = []
         self.sent = 0
         self.coordinators: dict[int, SwitchCoordinator] = {}
         self.guards: dict[str, RankGuard] = {}
@@ -188,13 +188,13 @@
         return self.coordinators.get(self.fence)
 
     def run(self, events: int) -> None:
-        """Let faults, messages and time come in random order."""
+        """Run faults, messages and clock ticks in random order."""
         actions = (
             (self.deliver_random, 60),
             (self.tick, 15),
             (self.work, 40),
             (self.propose, 3),
-            (self.fault, self.rng.choice((0.02, 0.1, 0.3, 1, 3))),
+            (self.inject_fault, self.rng.choice((0.02, 0.1, 0.3, 1, 3))),
         )
         choices, weights = zip(*actions, strict=True)
         picks = self.rng.choices(choices, weights, k=events)
@@ -202,7 +202,7 @@
             act()
 
     def settle(self, rounds: int) -> bool:
-        """Heal everything; tell whether the group moves on under new maps."""
+        """Remove all faults; return whether new maps and steps follow."""
         self.quorum = True
         self.frozen.clear()
         if self.leader is None:
@@ -221,7 +221,7 @@
                 return True
         return False
 
-    def fault(self) -> None:
+    def inject_fault(self) -> None:
         rank = self.rng.choice(RANKS)
         match self.rng.randrange(7):
             case 0:
@@ -240,7 +240,7 @@
                 self.quorum = not self.quorum
 
     def elect(self) -> None:
-        """Elect a leader; the former one may go on talking."""
+        """Elect a leader; the previous one may continue to send messages."""
         if not self.quorum:
             return
         self.fence += 1
@@ -258,7 +258,7 @@
     def announce(self, ranks: tuple[str, ...]) -> None:
         self.announced = ranks
         for fence in tuple(self.coordinators):
-            self.tell(fence, RanksAnnounced(ranks))
+            self.notify_coordinator(fence, RanksAnnounced(ranks))
 
     def restart_rank(self, rank: str) -> None:
         self.lives[rank] += 1
@@ -267,22 +267,22 @@
         self.work_left[rank] = []
 
     def deliver_random(self) -> None:
-        if not self.pool:
+        if not self.in_flight:
             return
-        place = self.rng.randrange(len(self.pool))
+        place = self.rng.randrange(len(self.in_flight))
         if self.chance(10):
-            self.deliver(self.pool[place])
+            self.deliver(self.in_flight[place])
             return
-        message = self.pool.pop(place)
+        message = self.in_flight.pop(place)
         if self.chance(95):
             self.deliver(message)
-        # Old messages must not bury the new ones for good.
-        while len(self.pool) > 60:
-            self.pool.pop(self.rng.randrange(len(self.pool)))
+        # Bound the queue so that old messages cannot starve new ones.
+        while len(self.in_flight) > 60:
+            self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
 
     def deliver_all(self) -> None:
-        messages = tuple(self.pool)
-        self.pool.clear()
+        messages = tuple(self.in_flight)
+        self.in_flight.clear()
         for message in messages:
             self.deliver(message)
 
@@ -290,21 +290,21 @@
         match message:
             case ToRank(rank, event):
                 if rank in self.frozen:
-                    self.pool.append(message)
+                    self.in_flight.append(message)
                 else:
-                    self.feed(rank, event)
+                    self.notify_rank(rank, event)
             case ToCoordinator(fence, event):
-                self.tell(fence, event)
+                self.notify_coordinator(fence, event)
             case ToStore(fence, change):
                 self.commit(fence, change)
-            case Question(rank):
+            case RecordQuery(rank):
                 if self.quorum:
                     order = Activate(GROUP, self.fence, self.record)
                     self.post(ToRank(rank, OrderReceived(order)))
 
     def post(self, message: object) -> None:
         self.sent += 1
-        self.pool.append(message)
+        self.in_flight.append(message)
 
     def commit(self, fence: int, change: object) -> None:
         if not self.quorum or fence != self.fence:
@@ -319,18 +319,20 @@
     def tick(self) -> None:
         self.now += self.rng.random() * 0.2
         if self.chance(50):
-            self.tell(self.rng.choice((self.fence, self.fence - 1)), Tick())
+            self.notify_coordinator(
+                self.rng.choice((self.fence, self.fence - 1)), Tick()
+            )
         else:
-            self.feed(self.rng.choice(RANKS), Tick())
+            self.notify_rank(self.rng.choice(RANKS), Tick())
 
     def chance(self, percent: int) -> bool:
         return self.rng.randrange(100) < percent
 
     def tick_all(self) -> None:
         for fence in tuple(self.coordinators):
-            self.tell(fence, Tick())
+            self.notify_coordinator(fence, Tick())
         for rank in RANKS:
-            self.feed(rank, Tick())
+            self.notify_rank(rank, Tick())
 
     def work(self) -> None:
         """Finish a step or a fetch of some rank."""
@@ -340,21 +342,21 @@
             event = self.work_left[rank].pop(place)
             if isinstance(event, WeightsFetched):
                 self.checker.fetched[rank].add(event.digest)
-            self.feed(rank, event)
+            self.notify_rank(rank, event)
 
     def work_all(self) -> None:
         for _ in RANKS * 3:
             self.work()
 
     def propose(self) -> None:
-        """Let the policy want another map."""
+        """Propose another map on behalf of the policy."""
         if self.leader is not None and self.leader.roster.announced:
             self._propose(
                 self.leader.record.incarnation,
                 self.leader.roster.announced,
             )
 
-    def feed(self, rank: str, event: object) -> None:
+    def notify_rank(self, rank: str, event: object) -> None:
         if rank in self.frozen:
             return
         guard = self.guards[rank]
@@ -371,7 +373,7 @@
                 for fence in tuple(self.coordinators):
                     self.post(ToCoordinator(fence, RankReported(report)))
             case AskDecision():
-                self.post(Question(rank))
+                self.post(RecordQuery(rank))
             case FetchWeights(digest):
                 self.work_left[rank].append(WeightsFetched(digest))
             case EnterBarrier(peer, entry):
@@ -386,7 +388,7 @@
             case StepStopped():
                 self.checker.stopped += 1
 
-    def tell(self, fence: int, event: object) -> None:
+    def notify_coordinator(self, fence: int, event: object) -> None:
         coordinator = self.coordinators.get(fence)
         if coordinator is None:
             return
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -1,4 +1,4 @@
-"""What one coordinator orders next, step by step."""
+"""Orders that one coordinator sends at each stage of a switch."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 
 
 class TestHold(unittest.TestCase):
-    """Which pass a group is held before."""
+    """Selection of the pass to hold."""
 
     def setUp(self):
-        """Have two ranks fetch, at a pace of 20 passes a second before."""
+        """Let two ranks fetch, after passes at a rate of 20 per second."""
         self.switch = DirectSwitch('g', 1, 1, LAYERS, 2, FETCH_S)
         self.switch.aim = HoldAim(100, 10.0, 0.05)
         for order in self.switch.next_orders(10.0):
             self.switch.note_reply(order, Reply.ACCEPTED, 10.0)
 
-    def test_the_step_is_read_once_all_have_fetched(self):
+    def test_step_is_read_after_all_fetches(self):
         self.assertFalse(self.switch.needs_step(10.0 + FETCH_S / 2))
         self.assertTrue(self.switch.needs_step(10.0 + FETCH_S))
 
-    def test_a_group_that_grew_slow_is_held_soon(self):
+    def test_hold_is_close_for_a_slower_group(self):
         now = 10.0 + FETCH_S
         self.switch.note_step(1, 103, now)
         self.assertEqual(
             self.switch.next_orders(now), [Hold(0, 1, 103 + AHEAD)]
         )
 
-    def test_lost_answers_are_allowed_for_by_their_time(self):
-        """Arming will lose as much as telling all to prepare did."""
+    def test_hold_accounts_for_lost_replies(self):
+        """Arming is expected to lose as much time as ``Prepare`` did."""
         steps = [self._hold_step_after(*lost) for lost in ((), (Reply.LOST,))]
         self.assertEqual(steps, [103 + AHEAD, 103 + AHEAD + LOSS_MARGIN + 3])
 
     def _hold_step_after(self, *lost):
-        """Tell one rank at once, the other 0.2 s later, after its losses."""
+        """Prepare one rank at once and the other 0.2 s later, after losses."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldAim(100, 10.0, 0.1)
         first, last = switch.next_orders(10.0)
@@ -59,12 +59,12 @@
         switch.note_step(1, 103, 10.3)
         return switch.next_orders(10.3)[0].step
 
-    def test_the_pace_is_measured_anew(self):
+    def test_pass_duration_is_measured_again(self):
         self.switch.note_step(1, 103, 10.0 + 3 * 0.14)
         self.assertAlmostEqual(self.switch.aim.pass_s, 0.14)
 
-    def test_readings_that_come_at_one_moment(self):
-        """A process that was frozen gets them so."""
+    def test_simultaneous_readings(self):
+        """A process that was frozen receives several readings at once."""
         now = 10.0 + FETCH_S
         self.switch.note_step(1, 103, now)
         self.switch.note_step(1, 104, now)
@@ -72,22 +72,22 @@
             self.switch.next_orders(now), [Hold(0, 1, 104 + AHEAD)]
         )
 
-    def test_a_step_ages(self):
+    def test_step_reading_expires(self):
         now = 10.0 + FETCH_S
         self.switch.note_step(1, 103, now)
         self.assertFalse(self.switch.needs_step(now))
         self.assertTrue(self.switch.needs_step(now + STEP_VALID_S))
 
-    def test_another_epoch_ends_it(self):
+    def test_new_epoch_ends_the_switch(self):
         self.switch.note_step(2, 3, 10.1)
         self.assertIs(self.switch.phase, Phase.DEAD)
 
 
-class TestLetGo(unittest.TestCase):
-    """A switch is over once the pass is let go that all are armed for."""
+class TestGo(unittest.TestCase):
+    """A switch is finished once ``Go`` is accepted for the armed pass."""
 
     def run_until_go(self, losing=()):
-        """Give orders; lose the first reply to each kind in ``losing``."""
+        """Send orders; lose the first reply to each kind in ``losing``."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldAim(100, 10.0, 0.05)
         lost = set(losing)
@@ -105,23 +105,23 @@
                 switch.note_reply(order, reply, now)
         return switch, given
 
-    def test_no_report_is_waited_for(self):
+    def test_does_not_wait_for_reports(self):
         switch, given = self.run_until_go()
         self.assertIs(switch.phase, Phase.GO_ACCEPTED)
         self.assertEqual(given, [Prepare, Prepare, Hold, Arm, Arm, Go])
 
-    def test_a_lost_go_is_given_again(self):
+    def test_lost_go_is_sent_again(self):
         switch, given = self.run_until_go(losing=[Go])
         self.assertIs(switch.phase, Phase.GO_ACCEPTED)
         self.assertEqual(given[-2:], [Go, Go])
 
-    def test_not_before_every_rank_has_said_that_it_is_armed(self):
+    def test_go_requires_every_rank_to_confirm_arming(self):
         switch, given = self.run_until_go(losing=[Arm])
         self.assertIs(switch.phase, Phase.GO_ACCEPTED)
         self.assertEqual(given[3:], [Arm, Arm, Arm, Go])
 
-    def test_a_hold_that_was_not_needed_is_let_go(self):
-        """The ranks had switched by an older hold; reports tell it late."""
+    def test_unneeded_hold_is_released(self):
+        """The ranks switched at an older hold; reports show it late."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldAim(100, 10.0, 0.05)
         for order in switch.next_orders(10.0):
@@ -144,7 +144,7 @@
         switch.note_reply(Go(0, 1, held.step), Reply.ACCEPTED, now)
         self.assertIs(switch.phase, Phase.DONE)
 
-    def test_a_rank_that_refuses_is_asked_ever_less_often(self):
+    def test_arm_retries_back_off(self):
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldAim(100, 10.0, 0.05)
         asked = []
--- a/tests/experts/test_direct_switch_search.py
+++ b/tests/experts/test_direct_switch_search.py
@@ -1,4 +1,4 @@
-"""A seeded search over schedules of the switch by direct orders."""
+"""Randomized search over seeded schedules of direct switches."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 SCHEDULES = 150
 SPAN_S = 60
 
-#: A planted fault must be found within this many schedules.
+#: Number of schedules within which an injected fault must be detected.
 FAULT_SCHEDULES = 200
 
 
-class HastyGo(DirectSwitch):
-    """Lets the pass go when most ranks are armed."""
+class EarlyGo(DirectSwitch):
+    """Fault: sends ``Go`` when most ranks are armed."""
 
     def next_orders(self, now):
         orders = super().next_orders(now)
@@ -32,7 +32,7 @@
 
 
 class ArmsWithoutHold(DirectSwitch):
-    """Arms for a pass some way ahead, and doesn't hold before it."""
+    """Fault: arms for a later pass without a hold before it."""
 
     def next_orders(self, now):
         if self.hold_step is None:
@@ -40,8 +40,8 @@
         return super().next_orders(now)
 
 
-class GivesUp(DirectSwitch):
-    """Lets a held pass go when arming takes long."""
+class ReleasesHeldPass(DirectSwitch):
+    """Fault: sends ``Go`` for a held pass when arming takes long."""
 
     def next_orders(self, now):
         orders = super().next_orders(now)
@@ -53,15 +53,15 @@
 
 
 class UnleasedCoordinator(Coordinator):
-    """Goes on with its switch after another one was elected."""
+    """Fault: continues its switch after another leader was elected."""
 
     ignores_lease = True
 
 
 class TestSchedules(unittest.TestCase):
-    """One map a pass, whatever becomes of orders and coordinators."""
+    """All ranks have one map per pass, despite faults of any kind."""
 
-    def test_no_pass_mixes_maps_and_switches_end(self):
+    def test_no_mixed_maps_and_switches_finish(self):
         switched = 0
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
@@ -78,7 +78,7 @@
                 switched += version
         self.assertGreater(switched, SCHEDULES * 3)
 
-    def test_passes_go_on_after_all_faults(self):
+    def test_passes_continue_after_all_faults(self):
         for seed in range(SCHEDULES // 3):
             with self.subTest(seed=seed):
                 simulation = Simulation(seed)
@@ -89,17 +89,17 @@
                 self.assertGreater(simulation.engines.step, before + 20)
 
 
-class TestPlantedFaults(unittest.TestCase):
-    """The search finds each of these."""
+class TestInjectedFaults(unittest.TestCase):
+    """The search detects each injected fault."""
 
     def test_go_before_all_are_armed(self):
-        self._find(HastyGo)
+        self._find(EarlyGo)
 
     def test_arming_without_a_hold(self):
         self._find(ArmsWithoutHold)
 
-    def test_a_held_switch_is_given_up(self):
-        self._find(GivesUp)
+    def test_held_switch_is_abandoned(self):
+        self._find(ReleasesHeldPass)
 
     def test_orders_without_a_lease(self):
         self._find(DirectSwitch, UnleasedCoordinator)
--- a/tests/experts/test_group_monitor.py
+++ b/tests/experts/test_group_monitor.py
@@ -1,4 +1,4 @@
-"""Demand told from one rank's counts."""
+"""Demand estimated from rank counts, and the maps proposed for it."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class Counter:
-    """One rank's growing counts."""
+    """The cumulative counts of one rank."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.step = 10
         self.counts = [0 for _ in range(128)]
-        self.turn()
+        self.shift_demand()
 
-    def turn(self):
+    def shift_demand(self):
         self.weights = [1 / (place + 1) ** 1.1 for place in range(64)]
         self.rng.shuffle(self.weights)
 
-    def span(self, choices=3000):
+    def next_counts(self, choices=3000):
         for layer in range(2):
             for expert in self.rng.choices(range(64), self.weights, k=choices):
                 self.counts[64 * layer + expert] += 1
@@ -38,8 +38,8 @@
         return RankCounts(3, self.step, tuple(self.counts))
 
 
-class TestGroupWatch(unittest.TestCase):
-    """When a better map is proposed."""
+class TestGroupMonitor(unittest.TestCase):
+    """Conditions under which a better map is proposed."""
 
     def setUp(self):
         self.counter = Counter(1)
@@ -50,82 +50,82 @@
     def feed(self, spans=1, choices=3000, *, is_new=False):
         for _ in range(spans):
             self.now += 0.3
-            read = {0: self.counter.span(choices)}
+            read = {0: self.counter.next_counts(choices)}
             self.monitor.end_span(read, self.now, is_new=is_new)
 
-    def test_nothing_before_two_readings(self):
+    def test_no_proposal_before_two_readings(self):
         self.feed()
         self.assertEqual(
             self.monitor.propose_map(self.layers).reason, 'turning'
         )
         self.feed()
-        outlook = self.monitor.propose_map(self.layers)
-        self.assertGreater(outlook.skew_before, 3)
-        self.assertLess(outlook.skew_after, 1.4)
-        self.assertGreater(outlook.loads, 0)
-        self.assertLessEqual(outlook.max_fetches, 3)
+        proposal = self.monitor.propose_map(self.layers)
+        self.assertGreater(proposal.skew_before, 3)
+        self.assertLess(proposal.skew_after, 1.4)
+        self.assertGreater(proposal.fetches, 0)
+        self.assertLessEqual(proposal.max_fetches, 3)
 
-    def test_a_good_map_stays(self):
+    def test_good_map_is_kept(self):
         self.feed(3)
         better = self.monitor.propose_map(self.layers).layers
         self.feed(5)
         self.assertEqual(self.monitor.propose_map(better).reason, 'saving')
 
-    def test_a_small_gain_waits_while_passes_are_short(self):
-        # With a small share of the work, experts gain less for a pass.
+    def test_small_saving_is_deferred_while_passes_are_short(self):
+        # If experts are a small share of the work, a better map saves less.
         small = SIZES._replace(share=0.2)
-        hasty = self._seen(small._replace(pause_s=0.05))
-        calm = self._seen(small._replace(pause_s=0.2))
-        urgent = self._seen(SIZES._replace(pause_s=0.2))
+        hasty = self._monitor_with_passes(small._replace(pause_s=0.05))
+        calm = self._monitor_with_passes(small._replace(pause_s=0.2))
+        urgent = self._monitor_with_passes(SIZES._replace(pause_s=0.2))
         self.assertLess(hasty.propose_map(self.layers).saving, URGENT_SAVING)
         self.assertEqual(calm.propose_map(self.layers).reason, 'calm')
         self.assertGreater(
             urgent.propose_map(self.layers).saving, URGENT_SAVING
         )
 
-    def test_a_span_with_a_turn_in_it_tells_nothing(self):
+    def test_interval_with_demand_shift_is_discarded(self):
         self.feed(4)
-        self.assertFalse(self.monitor.turning)
-        self.counter.turn()
+        self.assertFalse(self.monitor.is_demand_unknown)
+        self.counter.shift_demand()
         self.feed()
-        self.assertTrue(self.monitor.turning)
+        self.assertTrue(self.monitor.is_demand_unknown)
         self.assertEqual(
             self.monitor.propose_map(self.layers).reason, 'turning'
         )
         self.feed()
-        self.assertFalse(self.monitor.turning)
+        self.assertFalse(self.monitor.is_demand_unknown)
         self.assertIsInstance(
             self.monitor.propose_map(self.layers), MapProposal
         )
 
-    def test_a_span_after_a_turn_tells_the_new_demand(self):
+    def test_interval_after_demand_shift_gives_new_demand(self):
         self.feed(4)
-        self.counter.turn()
+        self.counter.shift_demand()
         self.now += 0.3
-        self.monitor.begin_span({0: self.counter.span()}, self.now)
+        self.monitor.begin_span({0: self.counter.next_counts()}, self.now)
         self.feed(is_new=True)
-        self.assertFalse(self.monitor.turning)
-        outlook = self.monitor.propose_map(self.layers)
-        self.assertLess(outlook.skew_after, 1.4)
+        self.assertFalse(self.monitor.is_demand_unknown)
+        proposal = self.monitor.propose_map(self.layers)
+        self.assertLess(proposal.skew_after, 1.4)
 
-    def test_short_spans_are_passed_over(self):
+    def test_short_intervals_give_no_demand(self):
         self.feed()
         self.feed(3, choices=100)
         self.assertEqual(
             self.monitor.propose_map(self.layers).reason, 'turning'
         )
 
-    def test_short_spans_add_up_until_they_tell(self):
-        """One rank of 72 makes a few dozen choices between two glances."""
+    def test_short_intervals_accumulate(self):
+        """One rank of 72 makes a few dozen selections between two readings."""
         self.feed(4)
-        self.counter.turn()
-        turned_after = 0
-        while not self.monitor.turning and turned_after < 20:
+        self.counter.shift_demand()
+        intervals = 0
+        while not self.monitor.is_demand_unknown and intervals < 20:
             self.feed(choices=100)
-            turned_after += 1
-        self.assertEqual(turned_after, 6)
+            intervals += 1
+        self.assertEqual(intervals, 6)
 
-    def test_a_span_that_tells_nothing_says_so(self):
+    def test_insufficient_interval_is_flagged(self):
         self.feed(2)
         self.assertTrue(self.monitor.demand.told)
         self.feed(choices=100)
@@ -133,66 +133,70 @@
         self.feed(choices=600)
         self.assertTrue(self.monitor.demand.told)
 
-    def test_another_epoch_counts_nothing(self):
+    def test_counts_of_another_epoch_are_ignored(self):
         self.feed()
-        late = self.counter.span()._replace(epoch=2)
+        late = self.counter.next_counts()._replace(epoch=2)
         self.monitor.end_span({0: late}, self.now, is_new=False)
         self.assertEqual(
             self.monitor.propose_map(self.layers).reason, 'turning'
         )
 
-    def test_the_pace_of_passes(self):
+    def test_pass_duration(self):
         self.feed(2)
         self.assertEqual(self.monitor.pass_timing.step, 20)
         self.assertAlmostEqual(self.monitor.pass_timing.pass_s, 0.06)
 
-    def test_what_entries_tell_of_passes_goes_first(self):
+    def test_reported_pass_duration_has_precedence(self):
         self.feed(2)
         self.monitor.reported_pass_s = 0.11
         self.assertAlmostEqual(self.monitor.pass_timing.pass_s, 0.11)
 
-    def test_a_small_gain_waits_until_passes_are_measured(self):
-        monitor = self._seen(SIZES._replace(share=0.2, pause_s=0.05))
+    def test_small_saving_is_deferred_until_passes_are_measured(self):
+        monitor = self._monitor_with_passes(
+            SIZES._replace(share=0.2, pause_s=0.05)
+        )
         monitor.reset_pass_timing()
         self.assertEqual(monitor.propose_map(self.layers).reason, 'calm')
 
-    def test_several_ranks_tell_together(self):
-        """Fewer choices of each will do."""
+    def test_counts_of_several_ranks_are_combined(self):
+        """Fewer selections per rank are sufficient."""
         self.feed(4)
-        self.counter.turn()
+        self.counter.shift_demand()
         self.feed()
         counters = [Counter(1), Counter(1), Counter(1)]
         for other in counters:
             other.weights = self.counter.weights
         self.read_all(counters)
-        self.assertTrue(self.monitor.turning)
+        self.assertTrue(self.monitor.is_demand_unknown)
         self.read_all(counters)
-        self.assertFalse(self.monitor.turning)
+        self.assertFalse(self.monitor.is_demand_unknown)
         self.assertLess(self.monitor.propose_map(self.layers).skew_after, 1.4)
 
     def test_old_readings_of_other_ranks_are_dropped(self):
-        """They would hold demand from before a turn."""
+        """They would contain demand from before a shift."""
         counters = [Counter(1), Counter(1)]
         self.read_all(counters)
         self.feed(4)
         for other in counters:
-            other.turn()
+            other.shift_demand()
         self.read_all(counters)
-        self.assertFalse(self.monitor.turning)
+        self.assertFalse(self.monitor.is_demand_unknown)
 
     def read_all(self, counters):
-        read = {rank: one.span(250) for rank, one in enumerate(counters, 4)}
+        read = {
+            rank: one.next_counts(250) for rank, one in enumerate(counters, 4)
+        }
         self.monitor.end_span(read, self.now, is_new=False)
 
-    def _seen(self, sizes):
-        """Return a watch that has seen passes of 60 ms."""
+    def _monitor_with_passes(self, sizes):
+        """Return a monitor that has measured passes of 60 ms."""
         monitor = GroupMonitor(sizes, REPORT)
         counter = Counter(4)
         for span in range(3):
-            read = {0: counter.span()}
+            read = {0: counter.next_counts()}
             monitor.end_span(read, 0.3 * span, is_new=False)
         return monitor
 
-    def test_first_map_has_experts_in_turn(self):
+    def test_first_map_is_round_robin(self):
         self.assertEqual(self.layers[0][2], (2, 18, 34, 50))
         self.assertEqual(len(self.layers), SIZES.layers)
--- a/tests/experts/test_map_search.py
+++ b/tests/experts/test_map_search.py
@@ -10,7 +10,7 @@
 from snipebend.experts.layer_state import layer_skew
 from snipebend.experts.layer_steps import LayerSteps
 from snipebend.experts.map_search import Bounds, MapSearch
-from tests.experts.demand_shifts import Answers, Size, answer_turns
+from tests.experts.demand_shifts import ShiftResult, Size, simulate_shifts
 
 RANKS = 16
 EXPERTS = 64
@@ -120,13 +120,16 @@
     def test_turns_are_answered_as_by_the_search_before(self):
         """Each layer to its end, by the hottest rank alone: its figures."""
         for size, former in (
-            (Size(8, 6, 64, 11, 1.0), Answers((2.018, 1.223, 1.084), 35)),
-            (Size(16, 4, 64, 5, 0.8), Answers((2.54, 1.135, 1.096), 40)),
-            (Size(32, 12, 128, 5, 0.7), Answers((3.007, 1.634, 1.248), 165)),
-            (Size(72, 12, 144, 3, 0.6), Answers((3.96, 1.668, 1.226), 333)),
+            (Size(8, 6, 64, 11, 1.0), ShiftResult((2.018, 1.223, 1.084), 35)),
+            (Size(16, 4, 64, 5, 0.8), ShiftResult((2.54, 1.135, 1.096), 40)),
+            (
+                Size(32, 12, 128, 5, 0.7),
+                ShiftResult((3.007, 1.634, 1.248), 165),
+            ),
+            (Size(72, 12, 144, 3, 0.6), ShiftResult((3.96, 1.668, 1.226), 333)),
         ):
             with self.subTest(ranks=size.ranks):
-                found = answer_turns(size, search_of(size), 3)
+                found = simulate_shifts(size, search_of(size), 3)
                 self.assertLess(found.skews[1], former.skews[1])
                 self.assertLess(found.skews[2], former.skews[2] + 0.03)
                 self.assertLess(found.loads, 1.05 * former.loads)
@@ -141,7 +144,7 @@
         To the end, it is 1.204 after one.
         """
         size = Size(192, 10, 384, 3, 0.6, most_fetched=46)
-        found = answer_turns(size, search_of(size), 3)
+        found = simulate_shifts(size, search_of(size), 3)
         self.assertLess(found.skews[1] - found.skews[2], 0.01)
 
 
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -127,21 +127,21 @@
 
     def test_entries_count_by_their_events(self):
         paces = GroupPassTimes()
-        paces.note('g', 3, 0.3, 1.0)
-        paces.note('g', 1, 0.5, 1.1)
-        paces.note('h', 1, 9.0, 1.1)
+        paces.record('g', 3, 0.3, 1.0)
+        paces.record('g', 1, 0.5, 1.1)
+        paces.record('h', 1, 9.0, 1.1)
         self.assertAlmostEqual(paces.mean_pass_s('g', 1.1), 0.2)
 
     def test_what_is_old_counts_no_more(self):
         paces = GroupPassTimes()
-        paces.note('g', 2, 0.1, 1.0)
-        paces.note('g', 1, 0.2, 1.2)
+        paces.record('g', 2, 0.1, 1.0)
+        paces.record('g', 1, 0.2, 1.2)
         self.assertAlmostEqual(paces.mean_pass_s('g', 1.1 + WINDOW_S), 0.2)
         self.assertIsNone(paces.mean_pass_s('g', 1.3 + WINDOW_S))
         self.assertIsNone(paces.mean_pass_s('unknown', 1.0))
 
     def test_noise_is_passed_over(self):
         paces = GroupPassTimes()
-        paces.note('g', 0, 1.0, 1.0)
-        paces.note('g', 1, -1.0, 1.0)
+        paces.record('g', 0, 1.0, 1.0)
+        paces.record('g', 1, -1.0, 1.0)
         self.assertIsNone(paces.mean_pass_s('g', 1.0))
--- a/tests/experts/test_switch_search.py
+++ b/tests/experts/test_switch_search.py
@@ -1,4 +1,4 @@
-"""A seeded search over schedules of the expert map switch."""
+"""Randomized search over seeded schedules of the expert map switch."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 EVENTS = 4000
 SETTLING_ROUNDS = 120
 
-#: A planted fault must be found within this many schedules.
+#: Number of schedules within which an injected fault must be detected.
 FAULT_SCHEDULES = 400
 
 
 class EagerCoordinator(SwitchCoordinator):
-    """Activates without a durable decision."""
+    """Fault: activates without a durable decision."""
 
     def decide(self, decision):
         self.record = change_record(self.record, Decide(decision))
@@ -34,7 +34,7 @@
 
 
 class SameIncarnationCoordinator(SwitchCoordinator):
-    """Goes on in the incarnation of a lost rank."""
+    """Fault: continues in the incarnation of a lost rank."""
 
     def bump(self):
         if self.record.incarnation == 0:
@@ -44,17 +44,17 @@
 
 
 class HoldlessRunner(StepRunner):
-    """Enters steps beyond the hold."""
+    """Fault: enters steps beyond the hold."""
 
     def can_enter(self, step):
         return True
 
 
-class CarelessRunner(StepRunner):
-    """Compares nobody's stamps at the barrier."""
+class UncheckedRunner(StepRunner):
+    """Fault: does not compare the stamps at the barrier."""
 
     def note_entry(self, entry):
-        self._barrier.note(entry)
+        self._barrier.record(entry)
         return []
 
     def barrier_verdict(self):
@@ -69,15 +69,15 @@
     return make
 
 
-class ForgetfulGuard(RankGuard):
-    """Takes orders under old fences."""
+class UnfencedGuard(RankGuard):
+    """Fault: accepts orders with old fences."""
 
     def is_stale(self, fence):
         return False
 
 
-class HastyGuard(RankGuard):
-    """Promises before the weights are there."""
+class EagerGuard(RankGuard):
+    """Fault: promises before the weights are fetched."""
 
     def can_promise(self):
         return self.promise.fetching is not None
@@ -87,16 +87,18 @@
     {
         'activate without durable decision': {'coordinator': EagerCoordinator},
         'no hold': {'guard': with_runner(HoldlessRunner)},
-        'barrier without version check': {'guard': with_runner(CarelessRunner)},
+        'barrier without version check': {
+            'guard': with_runner(UncheckedRunner)
+        },
         'incarnation not bumped': {'coordinator': SameIncarnationCoordinator},
-        'old fence accepted': {'guard': ForgetfulGuard},
-        'ack before weights fetched': {'guard': HastyGuard},
+        'old fence accepted': {'guard': UnfencedGuard},
+        'ack before weights fetched': {'guard': EagerGuard},
     }
 )
 
 
 def search(**machines: object) -> str:
-    """Return the first broken promise of all schedules, or nothing."""
+    """Return the first violation in all schedules, or an empty string."""
     for seed in range(FAULT_SCHEDULES):
         found = run_schedule(seed, **machines)
         if found:
@@ -105,7 +107,7 @@
 
 
 def run_schedule(seed: int, **machines: object) -> str:
-    """Run one schedule; name what it broke, or return nothing."""
+    """Run one schedule; return the violation, or an empty string."""
     simulation = Simulation(seed, **machines)
     try:
         simulation.run(EVENTS)
@@ -135,7 +137,7 @@
         self.assertGreater(steps, SCHEDULES * 10)
         self.assertGreater(switches, SCHEDULES * 2)
 
-    def test_planted_faults_are_found(self) -> None:
+    def test_injected_faults_are_detected(self) -> None:
         for name, machines in FAULTS.items():
             with self.subTest(fault=name):
                 found = search(**machines)
--- a/tests/experts/test_two_groups.py
+++ b/tests/experts/test_two_groups.py
@@ -1,68 +1,75 @@
-"""A seeded search over schedules of two groups under one leader."""
+"""Randomized search over seeded schedules of two groups under one leader."""
 
 from __future__ import annotations
 
 import unittest
 
 from tests.experts.direct_simulation import MixedMapsError
-from tests.experts.pair_simulation import ApartHalf, CrossedHalf, Pair, TornPair
+from tests.experts.pair_simulation import (
+    OwnVersionsGroup,
+    MisroutingGroup,
+    PairSimulation,
+    UnchangedEpochPair,
+)
 
 SCHEDULES = 60
 SPAN_S = 60
 
-#: A planted fault must be found within this many schedules.
+#: Number of schedules within which an injected fault must be detected.
 FAULT_SCHEDULES = 100
 
 
-def is_finished(half):
-    """Tell whether a group has the map that was planned last for it."""
-    epoch, version = half.plan
-    if epoch != half.engines.epoch:
+def is_finished(group):
+    """Return whether a group runs the map that was last planned for it."""
+    epoch, version = group.plan
+    if epoch != group.engines.epoch:
         return True
-    return all(rank.map_version == version for rank in half.engines.ranks)
+    return all(rank.map_version == version for rank in group.engines.ranks)
 
 
 class TestTwoGroups(unittest.TestCase):
-    """Neither's switches touch the other."""
+    """Switches of one group do not affect the other."""
 
-    def test_no_pass_mixes_maps_and_both_end_their_switches(self):
+    def test_no_mixed_maps_and_both_switches_finish(self):
         switched = 0
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
-                pair = Pair(seed)
+                pair = PairSimulation(seed)
                 pair.run(SPAN_S)
                 pair.settle()
-                steps = [half.engines.step for half in pair.halves]
+                steps = [group.engines.step for group in pair.groups]
                 pair.run(5)
-                for half, step in zip(pair.halves, steps, strict=True):
-                    self._check(half, step)
-                    switched += half.plan[1]
+                for group, step in zip(pair.groups, steps, strict=True):
+                    self._check(group, step)
+                    switched += group.plan[1]
         self.assertGreater(switched, SCHEDULES * 4)
 
-    def _check(self, half, step):
-        ranks = half.engines.ranks
-        self.assertTrue(is_finished(half))
+    def _check(self, group, step):
+        ranks = group.engines.ranks
+        self.assertTrue(is_finished(group))
         self.assertFalse([rank for rank in ranks if rank.held])
-        self.assertGreater(half.engines.step, step + 20)
+        self.assertGreater(group.engines.step, step + 20)
 
 
-class TestPlantedFaults(unittest.TestCase):
-    """The search finds each of these."""
+class TestInjectedFaults(unittest.TestCase):
+    """The search detects each injected fault."""
 
-    def test_orders_that_reach_the_other_group(self):
-        """With epochs that coincide: they are what refuses them else."""
-        self._find(lambda seed: Pair(seed, CrossedHalf, other_epoch=1))
+    def test_orders_sent_to_the_other_group(self):
+        """With equal epochs: distinct ones would cause a refusal."""
+        self._find(
+            lambda seed: PairSimulation(seed, MisroutingGroup, other_epoch=1)
+        )
 
     def test_ranks_that_change_groups_within_an_epoch(self):
-        self._find(TornPair)
+        self._find(UnchangedEpochPair)
 
-    def test_versions_that_are_numbered_group_by_group(self):
-        """A rank that came from the other group refuses them for long."""
+    def test_versions_numbered_per_group(self):
+        """A rank moved from the other group refuses many of its versions."""
         for seed in range(FAULT_SCHEDULES):
-            pair = Pair(seed, ApartHalf)
+            pair = PairSimulation(seed, OwnVersionsGroup)
             pair.run(SPAN_S)
             pair.settle()
-            if not all(map(is_finished, pair.halves)):
+            if not all(map(is_finished, pair.groups)):
                 return
         self.fail('was not found')
 
--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -38,16 +38,16 @@
         book = FenceBook()
         old = OrderIssuer(CFG, 'g', 'old')
         new = OrderIssuer(CFG, 'g', 'new')
-        old.note(book.take(old.request(0), 0))
+        old.apply_reply(book.take(old.request(0), 0))
         last = old.write(DRAFT, 'ignored', 5).unwrap()
         self.assertLessEqual(last.deadline_at, 6 - CFG.drift_s)
         self.assertTrue(old.write(DRAFT, 'ignored', 5.9).is_err())
-        self.assertFalse(new.note(book.take(new.request(5.9), 5.9)))
-        self.assertTrue(new.note(book.take(new.request(6), 6)))
+        self.assertFalse(new.apply_reply(book.take(new.request(5.9), 5.9)))
+        self.assertTrue(new.apply_reply(book.take(new.request(6), 6)))
         self.assertTrue(new.write(DRAFT, 'checked', 6).is_ok())
         self.assertTrue(new.write(DRAFT, 'ignored', 6.1).is_err())
         self.assertTrue(new.write(DRAFT, 'ignored', 6.5).is_ok())
-        self.assertFalse(new.note(book.take(new.request(9), 9)))
+        self.assertFalse(new.apply_reply(book.take(new.request(9), 9)))
         self.assertEqual(new.fence, 2)
 
     def test_no_order_of_an_old_holder_after_one_of_the_new(self) -> None:
@@ -115,7 +115,7 @@
         issuer = self.issuers[number]
         local = self.now + self.skews[number]
         if issuer.needs_renewal(local):
-            issuer.note(self.book.take(issuer.request(local), self.now))
+            issuer.apply_reply(self.book.take(issuer.request(local), self.now))
 
     def write(self) -> None:
         number = self.rng.randrange(2)
--- a/tests/transport/test_expert_switch.py
+++ b/tests/transport/test_expert_switch.py
@@ -109,7 +109,7 @@
             issuers = [OrderIssuer(LEASE, GROUP, name) for name in 'ab']
             old, new = issuers
             now = time.time()
-            old.note(machine.execute(TakeFence(old.request(now), now)))
+            old.apply_reply(machine.execute(TakeFence(old.request(now), now)))
             first = self._write(old, 'role-of-old')
             late = replace(first, target='late', deadline_at=now + 60)
             reply = await self._order(rig, first)
@@ -118,7 +118,7 @@
             def take() -> bool:
                 moment = time.time()
                 req = new.request(moment)
-                new.note(machine.execute(TakeFence(req, moment)))
+                new.apply_reply(machine.execute(TakeFence(req, moment)))
                 return new.write(
                     EngineOrder('load', GROUP, 0, 0), 'ignored', moment
                 ).is_ok()
