--- a/bench/quick_switch.py
+++ b/bench/quick_switch.py
@@ -31,7 +31,7 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
+    QueryDecision,
     BarrierEntryReceived,
     EnterBarrier,
     FetchWeights,
@@ -65,7 +65,7 @@
     retries: int
 
 
-class Run:
+class SimulatedRun:
     """One seeded run; ``loss`` is the share of messages that are lost."""
 
     def __init__(self, loss: float) -> None:
@@ -119,8 +119,8 @@
             self._deliver(receiver, event)
         self._notify_coordinator(Tick())
         for name, guard in self.guards.items():
-            waits = guard.promise.holds(guard.runner.next_step)
-            self.held += waits and guard.runner.running is None
+            is_held = guard.promise.holds(guard.runner.next_step)
+            self.held += is_held and guard.runner.running is None
             self._notify_rank(name, Tick())
 
     def _deliver(self, receiver: str, event: object) -> None:
@@ -160,7 +160,7 @@
                     self._schedule(4, name, WeightsFetched(digest))
                 case RunStep(step):
                     self._schedule(1, name, StepFinished(step))
-                case AskDecision():
+                case QueryDecision():
                     self.orders += 2
                     order = Activate('g', 1, self.record)
                     self._schedule(2, name, OrderReceived(order))
@@ -192,7 +192,7 @@
     """Return messages and held steps per rank, and retries, of a switch."""
     figures: dict[str, float] = {}
     for name, loss in (('clean', 0), ('loss', LOSS)):
-        tally = Run(loss).run()
+        tally = SimulatedRun(loss).run()
         per_rank = tally.orders / tally.switches / RANKS
         figures[f'messages_per_rank_{name}'] = per_rank
         figures[f'held_steps_per_rank_{name}'] = (
--- a/src/snipebend/balancing/count_reader.py
+++ b/src/snipebend/balancing/count_reader.py
@@ -52,7 +52,10 @@
         if reading is Reading.GLANCE:
             ranks = ranks[:1]
         found = await asyncio.gather(
-            *(self._link.counts(snapshot.upstreams[rank]) for rank in ranks)
+            *(
+                self._link.read_counts(snapshot.upstreams[rank])
+                for rank in ranks
+            )
         )
         read: dict[int, RankCounts] = {
             rank: counts
--- a/src/snipebend/balancing/engine_http.py
+++ b/src/snipebend/balancing/engine_http.py
@@ -66,7 +66,7 @@
             )
             return None
 
-    async def order(
+    async def send_order(
         self,
         upstream: UpstreamRecord,
         path: str,
@@ -126,16 +126,16 @@
     def _record_backoff(
         self, upstream: UpstreamRecord, resp: ClientResponse
     ) -> None:
-        rest = read_rest(resp.status, resp.headers.getall('Retry-After', ()))
-        if rest is None:
+        backoff = read_rest(resp.status, resp.headers.getall('Retry-After', ()))
+        if backoff is None:
             return
         logger.info(
             'event=engine_rests upstream={} rest_s={}',
             upstream.identity,
-            rest.seconds,
+            backoff.seconds,
         )
-        if rest.seconds is not None:
-            self._backoffs.record(upstream.identity, rest.seconds, _now())
+        if backoff.seconds is not None:
+            self._backoffs.record(upstream.identity, backoff.seconds, _now())
 
     def _open(self) -> ClientSession:
         if self._session is None:
--- a/src/snipebend/balancing/group_controller.py
+++ b/src/snipebend/balancing/group_controller.py
@@ -160,7 +160,7 @@
             snapshot,
             self._context.meters,
         )
-        await self._drive(plan, snapshot, driver, sizes.settle_s)
+        await self._run_switch(plan, snapshot, driver, sizes.settle_s)
         self._follower.plan.note_changed(self._clock.now())
 
     async def _follow_demand(
@@ -206,7 +206,7 @@
 
     def _orders_allowed_at(self, sizes: ExpertSizes) -> float:
         return max(
-            self._last_switch.settled_at,
+            self._last_switch.orders_allowed_at,
             self._context.leadership.leading_since + sizes.settle_s,
         )
 
@@ -264,7 +264,7 @@
             fetch_s=sizes.fetch_s * proposal.max_fetches,
             pass_timing=monitor.pass_timing,
         )
-        await self._drive(plan, snapshot, driver, sizes.settle_s)
+        await self._run_switch(plan, snapshot, driver, sizes.settle_s)
         return True
 
     async def _decide(self, plan: GroupPlan, after: int) -> bool:
@@ -281,7 +281,7 @@
             return False
         return reply.accepted
 
-    async def _drive(
+    async def _run_switch(
         self,
         plan: GroupPlan,
         snapshot: GroupSnapshot,
@@ -295,8 +295,8 @@
         visible_at = self._clock.now() + settle_s
         if phase is Phase.GO_ACCEPTED:
             # The previous pass must end first.
-            told_s = self.monitor.reported_pass_s if self.monitor else None
-            visible_at += max(LONG_PASS_S, told_s or 0)
+            pass_s = self.monitor.reported_pass_s if self.monitor else None
+            visible_at += max(LONG_PASS_S, pass_s or 0)
         self._last_switch.record_outcome(
             plan.version, phase, driver.hold_step, visible_at
         )
--- a/src/snipebend/balancing/group_observer.py
+++ b/src/snipebend/balancing/group_observer.py
@@ -35,16 +35,16 @@
 
 #: Slowness from which a rank counts as slow. All ranks wait for the slowest one
 #: in every pass.
-SLOW_RANK = 1.5
+SLOW_RANK_THRESHOLD = 1.5
 
 
 class EngineLink(Protocol):
     """Calls to engines, implemented for the platform's API."""
 
-    async def report(self, upstream: UpstreamRecord) -> RankReport | None:
+    async def read_report(self, upstream: UpstreamRecord) -> RankReport | None:
         """Return an engine's report, None without a response."""
 
-    async def counts(self, upstream: UpstreamRecord) -> RankCounts | None:
+    async def read_counts(self, upstream: UpstreamRecord) -> RankCounts | None:
         """Return an engine's expert selection counts."""
 
     async def read_map(
@@ -52,7 +52,9 @@
     ) -> tuple[tuple[int, ...], ...] | None:
         """Return the experts of an engine's map in force, by layer."""
 
-    async def order(self, upstream: UpstreamRecord, order: RankOrder) -> Reply:
+    async def send_order(
+        self, upstream: UpstreamRecord, order: RankOrder
+    ) -> Reply:
         """Send an order and return its reply."""
 
     async def close(self) -> None:
@@ -107,7 +109,7 @@
         return frozenset(
             report.identity
             for report in self.reports.values()
-            if report.slowness >= SLOW_RANK
+            if report.slowness >= SLOW_RANK_THRESHOLD
         )
 
     @property
@@ -217,7 +219,7 @@
         reports: dict[str, RankReport] = {}
         complete: dict[int, RankReport] | None = None
         pending = [
-            asyncio.ensure_future(self._link.report(members[identity]))
+            asyncio.ensure_future(self._link.read_report(members[identity]))
             for identity in sorted(candidates)
         ]
         try:
@@ -267,7 +269,7 @@
         self, members: Sequence[UpstreamRecord]
     ) -> list[RankReport]:
         responses = await asyncio.gather(
-            *(self._link.report(member) for member in members)
+            *(self._link.read_report(member) for member in members)
         )
         return [report for report in responses if report is not None]
 
--- a/src/snipebend/balancing/last_switch.py
+++ b/src/snipebend/balancing/last_switch.py
@@ -18,7 +18,7 @@
         """Start without a previous switch."""
         #: Time from which orders can be sent again; monotonic seconds, like
         #: all times of this class.
-        self.settled_at: float = 0
+        self.orders_allowed_at: float = 0
         #: Time from which reports show a switch whose ``Go`` was accepted.
         self.visible_at: float = 0
         #: The version of the last plan that a rank refused.
@@ -36,11 +36,11 @@
                 self._go_accepted = (version, step or 0)
             case Phase.REFUSED:
                 self._refused = version
-                self.settled_at = visible_at
+                self.orders_allowed_at = visible_at
             case Phase.DONE:
                 return
             case _:
-                self.settled_at = visible_at
+                self.orders_allowed_at = visible_at
 
     def is_unfinished(self, plan: GroupPlan, snapshot: GroupSnapshot) -> bool:
         """Return whether reports do not show the decided plan in force."""
--- a/src/snipebend/balancing/order_dispatcher.py
+++ b/src/snipebend/balancing/order_dispatcher.py
@@ -47,7 +47,7 @@
 
     async def _begin(self, size: int) -> int:
         """Wait for space in the window; return the order's number."""
-        if self._flow.has_room(size):
+        if self._flow.can_send(size):
             return self._flow.begin(size, _now())
         queued = _QueuedOrder(size, asyncio.get_running_loop().create_future())
         self._waiting.append(queued)
@@ -60,7 +60,7 @@
 
     def _end(self, number: int) -> None:
         self._flow.end(number)
-        while self._waiting and self._flow.has_room(self._waiting[0].size):
+        while self._waiting and self._flow.can_send(self._waiting[0].size):
             queued = self._waiting.popleft()
             if not queued.number.done():
                 queued.number.set_result(self._flow.begin(queued.size, _now()))
--- a/src/snipebend/balancing/switch_driver.py
+++ b/src/snipebend/balancing/switch_driver.py
@@ -108,7 +108,7 @@
         upstream = self._snapshot.upstreams[order.rank]
         if not self._can_order():
             return
-        reply = await self._link.order(upstream, order)
+        reply = await self._link.send_order(upstream, order)
         kind = type(order).__name__.lower()
         self._meters.order_ended(kind, reply.value)
         if reply is not Reply.ACCEPTED:
@@ -123,7 +123,7 @@
 
     async def _read_step(self) -> None:
         """Read the current pass; reports are a few hundred ms old."""
-        counts = await self._link.counts(self._snapshot.upstreams[0])
+        counts = await self._link.read_counts(self._snapshot.upstreams[0])
         if counts is None:
             logger.info('event=step_unread group={} rank=0', self._switch.group)
             return
@@ -133,7 +133,7 @@
         upstreams = self._snapshot.upstreams
         reports = await asyncio.gather(
             *(
-                self._link.report(upstreams[rank])
+                self._link.read_report(upstreams[rank])
                 for rank in ranks_to_poll(self._switch)
             )
         )
--- a/src/snipebend/experts/group_pass_times.py
+++ b/src/snipebend/experts/group_pass_times.py
@@ -7,7 +7,7 @@
 
 #: Seconds for which a reported duration is valid: several passes of 50 ms, and
 #: three messages of each entry.
-WINDOW_S = 0.3
+SAMPLE_TTL_S = 0.3
 
 
 class _Sample(NamedTuple):
@@ -42,5 +42,5 @@
         return sum(one.seconds for one in samples) / events if events else None
 
     def _drop_expired(self, samples: deque[_Sample], now: float) -> None:
-        while samples and samples[0].at < now - WINDOW_S:
+        while samples and samples[0].at < now - SAMPLE_TTL_S:
             samples.popleft()
--- a/src/snipebend/experts/switch_coordinator.py
+++ b/src/snipebend/experts/switch_coordinator.py
@@ -73,7 +73,7 @@
 #: Retries stop above this factor; the policy can then propose a new map.
 MAX_HOLD_FACTOR = 1024
 
-_MIN_JITTER = 0.5
+_MIN_JITTER_FACTOR = 0.5
 
 Outcome = Literal['activated', 'aborted', 'interrupted']
 
@@ -129,7 +129,7 @@
         """Commit the decision; activation starts only after the commit."""
         return self._persist(Decide(decision), decision.stamp)
 
-    def bump(self) -> list[CoordinatorAction]:
+    def start_incarnation(self) -> list[CoordinatorAction]:
         """Start a new incarnation and settle the version being prepared."""
         settled = self.record.settled
         if isinstance(self.state, Preparing):
@@ -164,8 +164,8 @@
         event: MapProposed,
         now: float,
     ) -> list[CoordinatorAction]:
-        fitting = is_applicable(event, self.record, self.roster)
-        if not isinstance(self.state, Idle) or not fitting:
+        applicable = is_applicable(event, self.record, self.roster)
+        if not isinstance(self.state, Idle) or not applicable:
             return []
         stamp = MapStamp(event.incarnation, self.record.settled + 1)
         starts = self._schedule.reserve(
@@ -185,7 +185,7 @@
             event,
             decision,
             base_stamp(self.record),
-            self.roster.lives(event.members),
+            self.roster.life_by_rank(event.members),
             starts,
             now + self._cfg.prepare_s,
         )
@@ -195,7 +195,7 @@
         if now < self._resend_at:
             return []
         self._resend_at = now + self._cfg.resend_s * (
-            _MIN_JITTER + rng.random()
+            _MIN_JITTER_FACTOR + rng.random()
         )
         match self.state:
             case Preparing(decision=decision, deadline_at=deadline_at):
@@ -227,7 +227,7 @@
             case Idle():
                 need = determine_need(self.record, self.roster, self._cfg.ranks)
                 if need is GroupNeed.BUMP:
-                    return self.bump()
+                    return self.start_incarnation()
                 if need is GroupNeed.MAP:
                     members = self.roster.announced or ()
                     return [NeedMap(self.record.incarnation, members)]
@@ -241,7 +241,7 @@
         stamp = state.decision.stamp
         match check_promises(state, self.roster):
             case PromiseCheck.MEMBER_LOST:
-                return self.bump()
+                return self.start_incarnation()
             case PromiseCheck.TOO_LATE:
                 self._retry_later(state)
                 return self._persist(Abort(stamp.map_version), stamp)
@@ -263,7 +263,7 @@
     ) -> list[CoordinatorAction]:
         if self.roster.has_unfit_member(decision):
             ended = SwitchEnded(decision.stamp, 'interrupted')
-            return [ended, *self.bump()]
+            return [ended, *self.start_incarnation()]
         if self.roster.to_activate(decision):
             return []
         self._hold_factor = 1
@@ -310,12 +310,12 @@
 
 
 def _send_prepares(
-    writer: OrderFactory,
+    factory: OrderFactory,
     state: Preparing,
     roster: RankRoster,
 ) -> list[CoordinatorAction]:
     return [
-        SendOrder(rank, writer.prepare(rank, state))
+        SendOrder(rank, factory.prepare(rank, state))
         for rank in members_without_promise(state.decision, roster)
     ]
 
--- a/src/snipebend/experts/switch_cost.py
+++ b/src/snipebend/experts/switch_cost.py
@@ -42,10 +42,10 @@
     known = before.members if before else ()
     sizes = {}
     for number, rank in enumerate(after.members):
-        wanted = _experts_on_rank(after, number)
+        required = _experts_on_rank(after, number)
         if before is not None and rank in known and rank not in fresh:
-            wanted -= _experts_on_rank(before, known.index(rank))
-        sizes[rank] = len(wanted) * expert_bytes
+            required -= _experts_on_rank(before, known.index(rank))
+        sizes[rank] = len(required) * expert_bytes
     return sizes
 
 
--- a/src/snipebend/experts/switch_group.py
+++ b/src/snipebend/experts/switch_group.py
@@ -110,7 +110,7 @@
     reports = [roster.find(rank) for rank in state.decision.members]
     known = [report for report in reports if report is not None]
     if len(known) < len(reports) or any(
-        report.life != state.lives[report.rank] for report in known
+        report.life != state.life_by_rank[report.rank] for report in known
     ):
         return PromiseCheck.MEMBER_LOST
     if any(report.too_late == stamp for report in known):
@@ -139,7 +139,7 @@
         return Prepare(
             self.group,
             self.fence,
-            state.lives[rank],
+            state.life_by_rank[rank],
             state.base,
             state.decision,
             state.proposal.fetch_bytes.get(rank, 0),
--- a/src/snipebend/experts/switch_rank.py
+++ b/src/snipebend/experts/switch_rank.py
@@ -20,7 +20,7 @@
 )
 from snipebend.experts.switch_promise import RankPromise
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
+    QueryDecision,
     BarrierEntryReceived,
     EntryRefused,
     FetchWeights,
@@ -39,7 +39,7 @@
 #: Seconds between two queries for a decision, before jitter.
 QUERY_INTERVAL_S = 0.2
 
-_MIN_JITTER = 0.5
+_MIN_JITTER_FACTOR = 0.5
 
 
 class RankGuard:
@@ -118,10 +118,12 @@
     def _tick(self, now: float, rng: Random) -> list[RankAction]:
         if now < self._query_at:
             return []
-        self._query_at = now + QUERY_INTERVAL_S * (_MIN_JITTER + rng.random())
+        self._query_at = now + QUERY_INTERVAL_S * (
+            _MIN_JITTER_FACTOR + rng.random()
+        )
         actions = self.runner.resend()
         if self.runner.in_force is None or self.promise.hold_step is not None:
-            actions.append(AskDecision())
+            actions.append(QueryDecision())
         return actions
 
     def _handle_order(self, order: RankOrder) -> list[RankAction]:
@@ -171,4 +173,4 @@
         if incarnation <= self.runner.stamp.incarnation:
             return []
         self.promise.stop_at(self.runner.next_step)
-        return [AskDecision()]
+        return [QueryDecision()]
--- a/src/snipebend/experts/switch_rank_events.py
+++ b/src/snipebend/experts/switch_rank_events.py
@@ -59,7 +59,7 @@
     report: RankReport
 
 
-class AskDecision(NamedTuple):
+class QueryDecision(NamedTuple):
     """Query control for the group's committed record; sent repeatedly."""
 
 
@@ -101,7 +101,7 @@
 
 RankAction = (
     SendReport
-    | AskDecision
+    | QueryDecision
     | FetchWeights
     | EnterBarrier
     | RefuseEntry
--- a/src/snipebend/experts/switch_roster.py
+++ b/src/snipebend/experts/switch_roster.py
@@ -51,11 +51,11 @@
             rank in self._reports for rank in self.announced
         )
 
-    def lives(self, members: Iterable[str]) -> dict[str, int]:
+    def life_by_rank(self, members: Iterable[str]) -> dict[str, int]:
         """Return the life of each member; all members must have reported."""
         return {rank: self._reports[rank].life for rank in members}
 
-    def fresh(self) -> frozenset[str]:
+    def ranks_without_map(self) -> frozenset[str]:
         """Return the ranks that have installed no map since they started."""
         return frozenset(
             rank
--- a/src/snipebend/experts/switch_runner.py
+++ b/src/snipebend/experts/switch_runner.py
@@ -7,7 +7,7 @@
 from snipebend.experts.switch_barrier import StepBarrier, Verdict
 from snipebend.experts.switch_messages import MapStamp, SwitchDecision
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
+    QueryDecision,
     EnterBarrier,
     RankAction,
     RefuseEntry,
@@ -53,7 +53,7 @@
         if self.barrier_verdict() is not Verdict.MISMATCH:
             return []
         stamps = tuple(stamp for stamp in self._barrier.stamps() if stamp)
-        return [StepStopped(self.next_step - 1, stamps), AskDecision()]
+        return [StepStopped(self.next_step - 1, stamps), QueryDecision()]
 
     def finish(self, step: int) -> None:
         """Leave a step that the engine has run; repeated calls are harmless."""
--- a/src/snipebend/experts/switch_states.py
+++ b/src/snipebend/experts/switch_states.py
@@ -36,7 +36,7 @@
     proposal: MapProposed
     decision: SwitchDecision
     base: MapStamp
-    lives: dict[str, int]
+    life_by_rank: dict[str, int]
     fetch_at: dict[str, float]
     deadline_at: float
 
--- a/src/snipebend/orders/fencing.py
+++ b/src/snipebend/orders/fencing.py
@@ -32,7 +32,7 @@
         """Start without fences; all orders are refused until one is known."""
         self._fences: dict[str, int] = {}
 
-    def knows(self, group: str) -> bool:
+    def has_fence(self, group: str) -> bool:
         """Return whether the group's fence was read from a quorum."""
         return group in self._fences
 
@@ -44,7 +44,7 @@
         """Return the highest known fences by group."""
         return dict(self._fences)
 
-    def learn(self, group: str, fence: int) -> None:
+    def record_fence(self, group: str, fence: int) -> None:
         """Record a fence that a quorum has confirmed."""
         self._fences[group] = max(fence, self.fence(group))
 
@@ -64,12 +64,12 @@
         fence: int,
     ) -> Result[None, SnipebendError]:
         """Admit a holder's message; its fence becomes the lowest valid one."""
-        if not self.knows(group):
+        if not self.has_fence(group):
             text = f'the fence of {group} was not read from a quorum yet'
             return Err(UnavailableError(text, step=_STEP))
         if fence < self.fence(group):
             return _refuse(f'stale fence {fence}, known {self.fence(group)}')
-        self.learn(group, fence)
+        self.record_fence(group, fence)
         return Ok(None)
 
 
--- a/src/snipebend/orders/flow.py
+++ b/src/snipebend/orders/flow.py
@@ -56,7 +56,7 @@
         #: Time of the last reply.
         self._last_reply_at: float = 0
 
-    def has_room(self, size: int) -> bool:
+    def can_send(self, size: int) -> bool:
         """Return whether an order of ``size`` bytes can be sent now."""
         if size <= SMALL_BYTES:
             return True
--- a/src/snipebend/transport/group_switch.py
+++ b/src/snipebend/transport/group_switch.py
@@ -287,7 +287,7 @@
         placed = plan.placed
         if placed is None:
             return
-        fresh = coordinator.roster.fresh()
+        fresh = coordinator.roster.ranks_without_map()
         before = read_decision(coordinator.record.decision)
         sizes = fetch_bytes(before, placed, self.group.expert_bytes, fresh)
         rate = plan.pace * self.group.store_bytes_per_s
--- a/src/snipebend/transport/map_orders.py
+++ b/src/snipebend/transport/map_orders.py
@@ -35,7 +35,7 @@
 
     def learn(self, group: str, fence: int) -> None:
         """Note the fence of an order that the guard has taken."""
-        self._orders.gate.learn(group, fence)
+        self._orders.gate.record_fence(group, fence)
 
     async def give(
         self,
--- a/src/snipebend/transport/orders_api.py
+++ b/src/snipebend/transport/orders_api.py
@@ -89,11 +89,11 @@
 
     async def read_fence(self, group: str) -> None:
         """Read the group's fence from a quorum, once in this process."""
-        if self.gate.knows(group):
+        if self.gate.has_fence(group):
             return
         fence = await self._reader.fence(group)
         if fence.is_ok():
-            self.gate.learn(group, fence.unwrap())
+            self.gate.record_fence(group, fence.unwrap())
 
     async def expert_load(self, req: ExpertLoadQuery) -> ExpertLoadReply:
         """Return the engine's counts since the last question."""
--- a/src/snipebend/transport/rank_api.py
+++ b/src/snipebend/transport/rank_api.py
@@ -64,7 +64,7 @@
     async def take_order(self, order: RankOrder) -> RankReport:
         """Let the group's guard take an order; return its report."""
         await self._orders.read_fence(order.group)
-        if not self._orders.gate.knows(order.group):
+        if not self._orders.gate.has_fence(order.group):
             raise GRPCError(Status.UNAVAILABLE, 'the fence is not known yet')
         return await self._find(order.group).take_order(order)
 
--- a/src/snipebend/transport/rank_switch.py
+++ b/src/snipebend/transport/rank_switch.py
@@ -21,7 +21,7 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
+    QueryDecision,
     FetchWeights,
     OrderReceived,
     RankAction,
@@ -122,7 +122,7 @@
         guard = self.guard
         if isinstance(action, FetchWeights) and order is not None:
             self._tasks.once('fetch', lambda: self._fetch(guard, order))
-        elif isinstance(action, AskDecision):
+        elif isinstance(action, QueryDecision):
             self._tasks.once('ask-decision', lambda: self._ask(guard))
 
     async def _fetch(self, guard: RankGuard, order: Prepare) -> None:
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -56,7 +56,7 @@
 SHIFT_SHARE = 0.65
 
 
-class Shape(NamedTuple):
+class GroupShape(NamedTuple):
     """The dimensions and pass times of a group; times in seconds."""
 
     ranks: int
@@ -192,7 +192,7 @@
         stretch = 1 - EXPERT_SHARE + EXPERT_SHARE * self.skew
         return self.shape.pass_s * stretch
 
-    async def report(self, upstream):
+    async def read_report(self, upstream):
         await asyncio.sleep(ROUND_TRIP_S)
         rank = int(upstream.identity)
         step, version, held = self._state_at(_now() - LAG_S)
@@ -210,7 +210,7 @@
             held=held if rank == 0 else None,
         )
 
-    async def counts(self, upstream):
+    async def read_counts(self, upstream):
         self.readings += 1
         if _now() < self.unreadable_until:
             await asyncio.sleep(MAX_REPLY_TIMEOUT_S)
@@ -224,7 +224,7 @@
         rank = int(upstream.identity)
         return tuple(layer[rank] for layer in self._layers)
 
-    async def order(self, upstream, order):
+    async def send_order(self, upstream, order):
         await asyncio.sleep(ROUND_TRIP_S)
         return Reply.ACCEPTED if self._execute(order) else Reply.REFUSED
 
--- a/tests/balancing/test_count_reader.py
+++ b/tests/balancing/test_count_reader.py
@@ -25,11 +25,11 @@
     """Ranks with many selections in each pass."""
 
     def __init__(self):
-        self.asked = []
+        self.queried = []
         self.step = 1
 
-    async def counts(self, upstream):
-        self.asked.append(upstream)
+    async def read_counts(self, upstream):
+        self.queried.append(upstream)
         choices = (100 * self.step,) * (SIZES.layers * SIZES.experts)
         return RankCounts(1, self.step, choices)
 
@@ -46,10 +46,10 @@
         )
         asked = []
         for reading in (Reading.BEGIN, Reading.END, Reading.END):
-            engines.asked.clear()
+            engines.queried.clear()
             engines.step += 3
             self.assertTrue(await reader.read(monitor, snapshot, reading))
-            asked.append(len(set(engines.asked)))
+            asked.append(len(set(engines.queried)))
         self.assertEqual(
             asked, [INITIAL_SAMPLE_SIZE, INITIAL_SAMPLE_SIZE, SAMPLE_SIZE]
         )
--- a/tests/balancing/test_demand_shifts.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -7,15 +7,15 @@
 from unittest import mock
 
 from snipebend.experts.group_pass_times import GroupPassTimes
-from tests.balancing.group_model import Leader, ModelGroup, Shape
+from tests.balancing.group_model import Leader, ModelGroup, GroupShape
 from tests.virtual_time import LoopClock, run_virtually
 
 SHAPES = (
-    Shape(8, 6, 64, 11, 1.0),
-    Shape(16, 4, 64, 5, 0.8),
-    Shape(32, 12, 128, 5, 0.7),
-    Shape(72, 12, 144, 3, 0.6),
-    Shape(192, 10, 384, 3, 0.43),
+    GroupShape(8, 6, 64, 11, 1.0),
+    GroupShape(16, 4, 64, 5, 0.8),
+    GroupShape(32, 12, 128, 5, 0.7),
+    GroupShape(72, 12, 144, 3, 0.6),
+    GroupShape(192, 10, 384, 3, 0.43),
 )
 #: Time of the first demand shift, after a new leader's wait for reports.
 SHIFT_AT_S = 3.0
@@ -71,7 +71,7 @@
         await self.leader.stop()
         self._passes.cancel()
 
-    async def fit_after_s(self, shifted_skew):
+    async def measure_fit_time_s(self, shifted_skew):
         """Return the seconds until the excess skew is halved."""
         clock = LoopClock()
         while self.group.skew > (1 + shifted_skew) / 2:
@@ -84,8 +84,8 @@
 class TestDemandShifts(unittest.TestCase):
     """A map that does not match the demand is replaced."""
 
-    def check(self, shape, fit_after_s):
-        self.assertLess(fit_after_s, MAX_FIT_S, shape)
+    def check(self, shape, fit_time_s):
+        self.assertLess(fit_time_s, MAX_FIT_S, shape)
 
     def test_passes_become_long_at_the_shift(self):
         for shape in SHAPES:
@@ -131,7 +131,7 @@
     async def _run_shift(self, shape, shifted_pass_s=SHIFTED_PASS_S):
         scenario = Scenario(shape)
         shifted_skew = await scenario.begin(shifted_pass_s)
-        took_s = await scenario.fit_after_s(shifted_skew)
+        took_s = await scenario.measure_fit_time_s(shifted_skew)
         await scenario.end()
         return took_s
 
@@ -139,7 +139,7 @@
         scenario = Scenario(shape)
         shifted_skew = await scenario.begin()
         scenario.group.unreadable_until = SHIFT_AT_S + 0.3
-        took_s = await scenario.fit_after_s(shifted_skew)
+        took_s = await scenario.measure_fit_time_s(shifted_skew)
         await scenario.end()
         return took_s
 
@@ -152,7 +152,7 @@
             scenario.group, scenario.paces, scenario.leader, term=2
         )
         await scenario.leader.start()
-        took_s = await scenario.fit_after_s(shifted_skew)
+        took_s = await scenario.measure_fit_time_s(shifted_skew)
         await scenario.end()
         return took_s
 
--- a/tests/balancing/test_engine_http.py
+++ b/tests/balancing/test_engine_http.py
@@ -58,11 +58,11 @@
     """Refuses all requests with a backoff that is longer than the test."""
 
     def __init__(self):
-        self.asked = 0
+        self.queried = 0
 
     async def serve(self, reader, writer):
         while await reader.readuntil(b'\r\n\r\n'):
-            self.asked += 1
+            self.queried += 1
             writer.write(RESPONSE_WITH_RETRY_AFTER)
 
 
@@ -84,19 +84,21 @@
     async def test_no_requests_during_backoff(self):
         self.assertIsNone(await self.http.read(self.rank('a'), '/', {}))
         self.assertIsNone(await self.http.read(self.rank('a'), '/', {}))
-        self.assertIsNone(await self.http.order(self.rank('a'), '/', {}, b''))
-        self.assertEqual(self.engine.asked, 1)
+        self.assertIsNone(
+            await self.http.send_order(self.rank('a'), '/', {}, b'')
+        )
+        self.assertEqual(self.engine.queried, 1)
 
     async def test_backoff_from_a_refused_order(self):
-        status = await self.http.order(self.rank('a'), '/', {}, b'')
+        status = await self.http.send_order(self.rank('a'), '/', {}, b'')
         self.assertEqual(status, 503)
         self.assertIsNone(await self.http.read(self.rank('a'), '/', {}))
-        self.assertEqual(self.engine.asked, 1)
+        self.assertEqual(self.engine.queried, 1)
 
     async def test_other_engines_are_still_queried(self):
         await self.http.read(self.rank('a'), '/', {})
         await self.http.read(self.rank('b'), '/', {})
-        self.assertEqual(self.engine.asked, 2)
+        self.assertEqual(self.engine.queried, 2)
 
 
 if __name__ == '__main__':
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -81,11 +81,11 @@
     """Two ranks that execute all orders."""
 
     def __init__(self):
-        self.asked = []
+        self.queried = []
         self.orders = []
         self.version = 0
         self.held = None
-        self.held_before = []
+        self.hold_steps = []
         self.step = 10
         #: Number of passes by which reports are delayed.
         self.lag = 0
@@ -97,9 +97,9 @@
         self.popularity = (900, 100, 300, 100)
         self.share = 1.0
 
-    async def report(self, upstream):
+    async def read_report(self, upstream):
         rank = int(upstream.identity)
-        self.asked.append('report')
+        self.queried.append('report')
         return RankReport(
             upstream.identity,
             'g',
@@ -114,8 +114,8 @@
             slowness=self.slowness,
         )
 
-    async def counts(self, upstream):
-        self.asked.append('counts')
+    async def read_counts(self, upstream):
+        self.queried.append('counts')
         return RankCounts(1, self.step, tuple(self.chosen))
 
     def work(self, passes=3):
@@ -124,14 +124,14 @@
         for expert, times in enumerate(self.popularity):
             self.chosen[expert] += round(passes * times * self.share)
 
-    async def order(self, upstream, order):
+    async def send_order(self, upstream, order):
         self.orders.append(type(order))
         match order:
             case Prepare(rank=rank):
                 self.prepared.add(rank)
             case Hold(step=step):
                 self.held = step
-                self.held_before.append(step)
+                self.hold_steps.append(step)
             case Arm(rank=rank, version=version, step=step):
                 self.armed[rank] = Armed(version, step)
             case Go(step=step):
@@ -203,10 +203,10 @@
         await self.check()
         self.assertEqual(self.engines.orders, [])
         # Snapshots from before the end of the wait are not used afterwards.
-        asked = len(self.engines.asked)
+        asked = len(self.engines.queried)
         self.clock.at += SETTLE_S
         await self.check()
-        self.assertGreater(len(self.engines.asked), asked)
+        self.assertGreater(len(self.engines.queried), asked)
 
     async def test_unfinished_switch_is_completed(self):
         await self.check()
@@ -223,7 +223,7 @@
         await self.check()
         self.clock.at += SETTLE_S
         await self.check()
-        self.assertEqual(self.engines.held_before, [10 + AHEAD])
+        self.assertEqual(self.engines.hold_steps, [10 + AHEAD])
 
     async def test_hold_of_previous_leader_is_adopted(self):
         self.engines.held = 14
@@ -239,9 +239,9 @@
         await self.check()
         self.clock.at += SETTLE_S
         self.store.group.replica.has_lease = False
-        asked = len(self.engines.asked)
+        asked = len(self.engines.queried)
         await self.check()
-        self.assertEqual(len(self.engines.asked), asked)
+        self.assertEqual(len(self.engines.queried), asked)
         self.assertEqual(self.engines.orders, [])
 
     async def test_new_leadership_is_detected_quickly(self):
@@ -275,7 +275,7 @@
         self.paces.record('g', 3, 0.1 * STREAM_PAUSE_S, self.clock.at)
         await self.check()
         self.clock.at += SETTLE_S
-        self.engines.asked.clear()
+        self.engines.queried.clear()
 
     async def pass_time(self, pass_s, passes=3):
         """Report some passes of streams, and let control check the group."""
@@ -287,7 +287,7 @@
     async def test_nothing_is_read_while_passes_are_short(self):
         for _ in range(30):
             await self.pass_time(0.3 * STREAM_PAUSE_S)
-        self.assertNotIn('counts', self.engines.asked)
+        self.assertNotIn('counts', self.engines.queried)
         self.assertEqual(self.engines.orders, [])
 
     async def test_long_passes_lead_to_a_better_map(self):
@@ -332,8 +332,8 @@
         # Pass times under the previous map remain valid for a while.
         for _ in range(6):
             await self.pass_time(0.3 * STREAM_PAUSE_S)
-        self.engines.asked.clear()
+        self.engines.queried.clear()
         for _ in range(30):
             await self.pass_time(0.3 * STREAM_PAUSE_S)
-        self.assertNotIn('counts', self.engines.asked)
+        self.assertNotIn('counts', self.engines.queried)
         self.assertEqual(self.engines.version, 1)
--- a/tests/balancing/test_group_observer.py
+++ b/tests/balancing/test_group_observer.py
@@ -31,20 +31,22 @@
     """Engines that return the reports set by the test, or never respond."""
 
     def __init__(self):
-        self.said = {}
+        self.current_reports = {}
         self.unresponsive = set()
-        self.asked = []
+        self.queried = []
 
-    def say(self, identity, rank, group='g', epoch=1, size=2, *, is_open=True):
-        self.said[identity] = RankReport(
+    def set_report(
+        self, identity, rank, group='g', epoch=1, size=2, *, is_open=True
+    ):
+        self.current_reports[identity] = RankReport(
             identity, group, epoch, rank, size, is_open, step=5, map_version=0
         )
 
-    async def report(self, upstream):
-        self.asked.append(upstream.identity)
+    async def read_report(self, upstream):
+        self.queried.append(upstream.identity)
         if upstream.identity in self.unresponsive:
             await asyncio.Event().wait()
-        return self.said.get(upstream.identity)
+        return self.current_reports.get(upstream.identity)
 
 
 def members(*identities):
@@ -62,10 +64,10 @@
         self.link = Link()
         self.observer = GroupObserver(self.link, self.clock)
         self.members = members('a', 'b', 'c', 'd')
-        self.link.say('a', 0)
-        self.link.say('b', 1)
-        self.link.say('c', 0, 'h')
-        self.link.say('d', 1, 'h')
+        self.link.set_report('a', 0)
+        self.link.set_report('b', 1)
+        self.link.set_report('c', 0, 'h')
+        self.link.set_report('d', 1, 'h')
         await self.observer.survey('s', self.members)
 
     async def observe(self, key):
@@ -81,10 +83,10 @@
     async def test_unresponsive_rank_does_not_delay_other_groups(self):
         self.link.unresponsive.add('c')
         self.assertEqual((await self.observe(G)).identities, ('a', 'b'))
-        self.assertNotIn('c', self.link.asked[4:])
+        self.assertNotIn('c', self.link.queried[4:])
 
     async def test_broken_group_does_not_affect_the_other(self):
-        self.link.say('d', 1, 'h', is_open=False)
+        self.link.set_report('d', 1, 'h', is_open=False)
         self.assertIsNone(await self.observe(H))
         self.assertTrue(self.observer.is_broken(H))
         self.assertIsNotNone(await self.observe(G))
@@ -93,8 +95,8 @@
     async def test_replaced_rank_is_no_longer_queried(self):
         """The old rank is unresponsive, and another rank has its number."""
         self.link.unresponsive.add('b')
-        self.link.say('e', 1, epoch=2)
-        self.link.say('a', 0, epoch=2)
+        self.link.set_report('e', 1, epoch=2)
+        self.link.set_report('a', 0, epoch=2)
         self.members |= members('e')
         await self.observer.survey('s', self.members)
         snapshot = await self.observe(G)
@@ -102,10 +104,10 @@
         self.assertEqual(self.observer.members(G), {'a', 'e'})
 
     async def test_groups_that_exchange_a_rank(self):
-        self.link.say('b', 0, 'h', epoch=2)
-        self.link.say('c', 1, 'g', epoch=2)
-        self.link.say('a', 0, 'g', epoch=2)
-        self.link.say('d', 1, 'h', epoch=2)
+        self.link.set_report('b', 0, 'h', epoch=2)
+        self.link.set_report('c', 1, 'g', epoch=2)
+        self.link.set_report('a', 0, 'g', epoch=2)
+        self.link.set_report('d', 1, 'h', epoch=2)
         for _ in range(2):
             await self.observe(G)
             await self.observe(H)
@@ -117,18 +119,18 @@
     async def test_ungrouped_replica_is_queried_at_intervals(self):
         self.members |= members('lone')
         await self.observer.survey('s', self.members)
-        asked = self.link.asked.count('lone')
+        asked = self.link.queried.count('lone')
         await self.observer.survey('s', self.members)
-        self.assertEqual(self.link.asked.count('lone'), asked)
+        self.assertEqual(self.link.queried.count('lone'), asked)
         self.clock.at += QUERY_RETRY_S
         await self.observer.survey('s', self.members)
-        self.assertEqual(self.link.asked.count('lone'), asked + 1)
+        self.assertEqual(self.link.queried.count('lone'), asked + 1)
         self.assertEqual((await self.observe(G)).identities, ('a', 'b'))
 
     async def test_snapshot_is_discarded_with_a_removed_rank(self):
         await self.observe(G)
-        asked = len(self.link.asked)
+        asked = len(self.link.queried)
         await self.observe(G)
-        self.assertEqual(len(self.link.asked), asked)
+        self.assertEqual(len(self.link.queried), asked)
         self.members.pop('b')
         self.assertIsNone(await self.observe(G))
--- a/tests/balancing/test_large_switch.py
+++ b/tests/balancing/test_large_switch.py
@@ -34,12 +34,12 @@
 
 SIZES = (16, 72, 192, 256)
 #: Bandwidths of known leader links, in bits per second.
-WIDE, NARROW = 170e6, 20e6
+WIDE_LINK_BPS, NARROW_LINK_BPS = 170e6, 20e6
 FETCH_S = 0.35
 PASS_S = 0.1
 ROUND_TRIP_S = 0.004
 #: Size in bytes of a small order with its headers.
-SMALL = 300
+SMALL_ORDER_BYTES = 300
 #: Maximum time from a plan to ``Go`` in seconds, in addition to the fetches.
 MAX_OVERHEAD_S = 0.6
 #: Time at which the first leader crashes, with half of the prepare orders sent.
@@ -76,20 +76,24 @@
         self._rng = random.Random(ranks)
         self._prepared = {}
 
-    async def order(self, upstream, order):
+    async def send_order(self, upstream, order):
         rank = int(upstream.identity)
-        size = 130 * self.ranks if isinstance(order, Prepare) else SMALL
+        size = (
+            130 * self.ranks
+            if isinstance(order, Prepare)
+            else SMALL_ORDER_BYTES
+        )
         answer = await self._dispatch(
             size, lambda: self._send(rank, size, order)
         )
         return Reply.LOST if answer is None else answer
 
-    async def report(self, upstream):
+    async def read_report(self, upstream):
         self.reports += 1
         await asyncio.sleep(ROUND_TRIP_S)
         return self._report(int(upstream.identity))
 
-    async def counts(self, upstream):
+    async def read_counts(self, upstream):
         await asyncio.sleep(ROUND_TRIP_S)
         return RankCounts(1, self._step(), ())
 
@@ -112,10 +116,10 @@
             await asyncio.sleep(0.03)
         if rank == 5 and now < self._unresponsive_until:
             await asyncio.Event().wait()
-        fits = self._execute(rank, order, now)
+        is_accepted = self._execute(rank, order, now)
         if self._rng.random() < self._lost:
             await asyncio.Event().wait()
-        return Reply.ACCEPTED if fits else Reply.REFUSED
+        return Reply.ACCEPTED if is_accepted else Reply.REFUSED
 
     def _execute(self, rank, order, now):
         match order:
@@ -171,7 +175,7 @@
     def test_switch_time_of_any_group_size(self):
         for ranks in SIZES[:-1]:
             with self.subTest(ranks=ranks):
-                engines = Engines(ranks, WIDE)
+                engines = Engines(ranks, WIDE_LINK_BPS)
                 phase, took_s = run_virtually(switch(engines))
                 self.assertIs(phase, Phase.GO_ACCEPTED)
                 self.assertLess(took_s, FETCH_S + MAX_OVERHEAD_S)
@@ -181,43 +185,45 @@
         """The transfer takes 0.2 to 3.4 s there; each order is sent once."""
         for ranks in SIZES:
             with self.subTest(ranks=ranks):
-                engines = Engines(ranks, NARROW)
+                engines = Engines(ranks, NARROW_LINK_BPS)
                 phase, took_s = run_virtually(switch(engines))
                 self.assertIs(phase, Phase.GO_ACCEPTED)
-                bytes_s = 130 * ranks**2 / (NARROW / 8)
+                bytes_s = 130 * ranks**2 / (NARROW_LINK_BPS / 8)
                 self.assertLess(took_s, bytes_s + FETCH_S + MAX_OVERHEAD_S)
                 self._check_once(engines)
 
     def test_uniform_short_timeout_is_detected(self):
-        phase, _ = run_virtually(switch(ShortTimeoutEngines(192, WIDE)))
+        phase, _ = run_virtually(
+            switch(ShortTimeoutEngines(192, WIDE_LINK_BPS))
+        )
         self.assertIs(phase, Phase.PREPARING)
 
     def test_a_slow_rank(self):
-        engines = Engines(192, WIDE, slow={7})
+        engines = Engines(192, WIDE_LINK_BPS, slow={7})
         phase, took_s = run_virtually(switch(engines))
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, FETCH_S + MAX_OVERHEAD_S)
         self._check_once(engines)
 
     def test_unresponsive_rank_is_retried(self):
-        engines = Engines(192, WIDE, unresponsive_until=0.4)
+        engines = Engines(192, WIDE_LINK_BPS, unresponsive_until=0.4)
         phase, took_s = run_virtually(switch(engines))
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, 0.4 + FETCH_S + MAX_OVERHEAD_S)
         self.assertGreater(engines.order_counts['Prepare', 5], 1)
-        self._check_once(engines, but=5)
+        self._check_once(engines, except_rank=5)
 
     def test_lost_replies(self):
-        engines = Engines(192, WIDE, lost=0.1)
+        engines = Engines(192, WIDE_LINK_BPS, lost=0.1)
         phase, took_s = run_virtually(switch(engines))
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, FETCH_S + 2 * MAX_OVERHEAD_S)
 
     def test_leader_crashes_during_the_switch(self):
         """The next leader continues from the reports of the ranks."""
-        engines = Engines(192, WIDE)
+        engines = Engines(192, WIDE_LINK_BPS)
 
-        async def lose_leader():
+        async def crash_leader():
             with suppress(TimeoutError):
                 async with asyncio.timeout(CRASH_AT_S):
                     await switch(engines)
@@ -225,7 +231,7 @@
             phase, at = await switch(engines)
             return sent, phase, at
 
-        sent, phase, at = run_virtually(lose_leader())
+        sent, phase, at = run_virtually(crash_leader())
         self.assertLess(sent, 192)
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(at, CRASH_AT_S + FETCH_S + MAX_OVERHEAD_S)
@@ -238,14 +244,14 @@
         self.assertLessEqual(prepares, 192 + under_way)
 
     def test_only_relevant_ranks_are_polled(self):
-        engines = Engines(192, WIDE)
+        engines = Engines(192, WIDE_LINK_BPS)
         run_virtually(switch(engines))
         self.assertLess(engines.reports, 10)
 
-    def _check_once(self, engines, but=None):
+    def _check_once(self, engines, except_rank=None):
         """Check that ``Prepare`` is sent once unless a reply was lost."""
         for (kind, rank), times in engines.order_counts.items():
-            if rank not in {0, but} and kind == 'Prepare':
+            if rank not in {0, except_rank} and kind == 'Prepare':
                 self.assertEqual(times, 1, (kind, rank))
 
 
--- a/tests/balancing/test_last_switch.py
+++ b/tests/balancing/test_last_switch.py
@@ -69,4 +69,4 @@
         self.last.record_outcome(7, Phase.REFUSED, None, 11.0)
         old = snapshot((302, 6, None), (302, 6, None))
         self.assertFalse(self.last.is_unfinished(PLAN, old))
-        self.assertEqual(self.last.settled_at, 11.0)
+        self.assertEqual(self.last.orders_allowed_at, 11.0)
--- a/tests/balancing/test_steady_demand.py
+++ b/tests/balancing/test_steady_demand.py
@@ -46,8 +46,8 @@
             with self.subTest(ranks=shape.ranks):
                 scenario, skews = run_scenario(self._steady(shape))
                 best = scenario.group.best_skew()
-                longer = stretch(skews[-1]) / stretch(best)
-                self.assertLess(longer, MAX_PASS_RATIO, (skews, best))
+                pass_ratio = stretch(skews[-1]) / stretch(best)
+                self.assertLess(pass_ratio, MAX_PASS_RATIO, (skews, best))
                 late = [
                     at
                     for at in scenario.group.changed_at.values()
@@ -72,8 +72,8 @@
                 )
                 best = stretch(scenario.group.best_skew())
                 settled = fmean(skews[int(KNOWN_AT_S) :])
-                longer = stretch(settled) / best
-                self.assertLess(longer, MAX_PASS_RATIO, skews)
+                pass_ratio = stretch(settled) / best
+                self.assertLess(pass_ratio, MAX_PASS_RATIO, skews)
 
     async def _steady(self, shape, pass_s=LOADED_PASS_S, drifting=0):
         scenario = Scenario(shape._replace(pass_s=pass_s))
--- a/tests/experts/pair_simulation.py
+++ b/tests/experts/pair_simulation.py
@@ -59,12 +59,12 @@
         switch = sender.switch
         self.schedule(
             self.rng.uniform(0.001, 0.01),
-            lambda: self._carry_out(sender, switch, rank, order),
+            lambda: self._execute_and_reply(sender, switch, rank, order),
         )
 
-    def _carry_out(self, sender, switch, rank, order):
-        fits = self.pair.execute(rank, order)
-        reply = Reply.ACCEPTED if fits else Reply.REFUSED
+    def _execute_and_reply(self, sender, switch, rank, order):
+        is_accepted = self.pair.execute(rank, order)
+        reply = Reply.ACCEPTED if is_accepted else Reply.REFUSED
         self._deliver_reply(sender, switch, order, reply)
 
     def _inject_fault(self):
@@ -135,7 +135,7 @@
                 )
         return False
 
-    def exchange(self):
+    def exchange_ranks(self):
         """Exchange a rank between the groups, which both start a new epoch."""
         first, second = (group.engines for group in self.groups)
         one, other = (self.rng.randrange(RANKS) for _ in range(2))
@@ -153,7 +153,7 @@
             case 0:
                 self.rng.choice(self.groups).engines.crash()
             case 1 | 2:
-                self.exchange()
+                self.exchange_ranks()
             case 3 | 4 | 5:
                 self._replace_leader(dies=self.rng.randrange(2) == 0)
             case _:
--- a/tests/experts/switch_simulation.py
+++ b/tests/experts/switch_simulation.py
@@ -32,7 +32,7 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
+    QueryDecision,
     BarrierEntryReceived,
     EnterBarrier,
     EntryRefused,
@@ -75,7 +75,7 @@
     rank: str
 
 
-class Checker:
+class InvariantChecker:
     """Checks invariants on everything committed, entered, fetched and run.
 
     A step is identified by its number within a lineage. A decision continues
@@ -91,17 +91,17 @@
         self.fetched: dict[str, set[str]] = {rank: set() for rank in RANKS}
         self.runs: dict[tuple[int, int], MapStamp] = {}
         self.last_run: dict[tuple[int, str], int] = {}
-        self.memory: dict[str, MapStamp] = {}
+        self.entered_stamps: dict[str, MapStamp] = {}
         self.newest = MapStamp()
         self.steps = 0
         self.stopped = 0
 
     def restart(self, rank: str) -> None:
         self.fetched[rank] = set()
-        self.memory.pop(rank, None)
+        self.entered_stamps.pop(rank, None)
 
     def commit(self, decision: SwitchDecision) -> None:
-        known = [self.memory.get(rank) for rank in decision.members]
+        known = [self.entered_stamps.get(rank) for rank in decision.members]
         incarnations = {stamp.incarnation for stamp in known if stamp}
         lineage = len(self.decisions) + 1
         if self.newest.incarnation in incarnations:
@@ -149,7 +149,9 @@
 
     def enter(self, rank: str, step: int, stamp: MapStamp) -> None:
         self.entered.add((rank, step, stamp))
-        self.memory[rank] = max(stamp, self.memory.get(rank, stamp))
+        self.entered_stamps[rank] = max(
+            stamp, self.entered_stamps.get(rank, stamp)
+        )
 
 
 class Simulation:
@@ -166,14 +168,14 @@
         self.record = GroupRecord()
         self.fence = 0
         self.quorum = True
-        self.checker = Checker()
+        self.checker = InvariantChecker()
         self.activated = 0
         self.maps = 0
         self.in_flight: list[object] = []
         self.sent = 0
         self.coordinators: dict[int, SwitchCoordinator] = {}
         self.guards: dict[str, RankGuard] = {}
-        self.lives = dict.fromkeys(RANKS, 0)
+        self.life_by_rank = dict.fromkeys(RANKS, 0)
         self.frozen: set[str] = set()
         self.work_left: dict[str, list[object]] = {}
         self.announced = RANKS
@@ -261,9 +263,11 @@
             self.notify_coordinator(fence, RanksAnnounced(ranks))
 
     def restart_rank(self, rank: str) -> None:
-        self.lives[rank] += 1
+        self.life_by_rank[rank] += 1
         self.checker.restart(rank)
-        self.guards[rank] = self._make_guard(rank, self.lives[rank], self.fence)
+        self.guards[rank] = self._make_guard(
+            rank, self.life_by_rank[rank], self.fence
+        )
         self.work_left[rank] = []
 
     def deliver_random(self) -> None:
@@ -362,17 +366,17 @@
         guard = self.guards[rank]
         before = (guard.fence, guard.promise.newest)
         for action in guard.step(event, self.now, self.rng):
-            self.act_rank(rank, action)
+            self.apply_rank_action(rank, action)
         if isinstance(event, OrderReceived) and event.order.fence < before[0]:
             if before != (guard.fence, guard.promise.newest):
                 raise InvariantError('old fence', rank, event)
 
-    def act_rank(self, rank: str, action: object) -> None:
+    def apply_rank_action(self, rank: str, action: object) -> None:
         match action:
             case SendReport(report):
                 for fence in tuple(self.coordinators):
                     self.post(ToCoordinator(fence, RankReported(report)))
-            case AskDecision():
+            case QueryDecision():
                 self.post(RecordQuery(rank))
             case FetchWeights(digest):
                 self.work_left[rank].append(WeightsFetched(digest))
@@ -393,9 +397,9 @@
         if coordinator is None:
             return
         for action in coordinator.step(event, self.now, self.rng):
-            self.act_coordinator(fence, action)
+            self.apply_coordinator_action(fence, action)
 
-    def act_coordinator(self, fence: int, action: object) -> None:
+    def apply_coordinator_action(self, fence: int, action: object) -> None:
         match action:
             case SendOrder(rank, order):
                 self.post(ToRank(rank, OrderReceived(order)))
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -86,12 +86,12 @@
 class TestGo(unittest.TestCase):
     """A switch is finished once ``Go`` is accepted for the armed pass."""
 
-    def run_until_go(self, losing=()):
+    def run_until_go(self, lost_kinds=()):
         """Send orders; lose the first reply to each kind in ``losing``."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldAim(100, 10.0, 0.05)
-        lost = set(losing)
-        given = []
+        lost = set(lost_kinds)
+        sent = []
         now = 10.0
         for _ in range(40):
             now += 0.03
@@ -99,26 +99,26 @@
                 switch.note_step(1, 103, now)
             for order in switch.next_orders(now):
                 kind = type(order)
-                given.append(kind)
+                sent.append(kind)
                 reply = Reply.LOST if kind in lost else Reply.ACCEPTED
                 lost.discard(kind)
                 switch.note_reply(order, reply, now)
-        return switch, given
+        return switch, sent
 
     def test_does_not_wait_for_reports(self):
-        switch, given = self.run_until_go()
+        switch, sent = self.run_until_go()
         self.assertIs(switch.phase, Phase.GO_ACCEPTED)
-        self.assertEqual(given, [Prepare, Prepare, Hold, Arm, Arm, Go])
+        self.assertEqual(sent, [Prepare, Prepare, Hold, Arm, Arm, Go])
 
     def test_lost_go_is_sent_again(self):
-        switch, given = self.run_until_go(losing=[Go])
+        switch, sent = self.run_until_go(lost_kinds=[Go])
         self.assertIs(switch.phase, Phase.GO_ACCEPTED)
-        self.assertEqual(given[-2:], [Go, Go])
+        self.assertEqual(sent[-2:], [Go, Go])
 
     def test_go_requires_every_rank_to_confirm_arming(self):
-        switch, given = self.run_until_go(losing=[Arm])
+        switch, sent = self.run_until_go(lost_kinds=[Arm])
         self.assertIs(switch.phase, Phase.GO_ACCEPTED)
-        self.assertEqual(given[3:], [Arm, Arm, Arm, Go])
+        self.assertEqual(sent[3:], [Arm, Arm, Arm, Go])
 
     def test_unneeded_hold_is_released(self):
         """The ranks switched at an older hold; reports show it late."""
--- a/tests/experts/test_group_monitor.py
+++ b/tests/experts/test_group_monitor.py
@@ -74,13 +74,15 @@
     def test_small_saving_is_deferred_while_passes_are_short(self):
         # If experts are a small share of the work, a better map saves less.
         small = SIZES._replace(share=0.2)
-        hasty = self._monitor_with_passes(small._replace(pause_s=0.05))
-        calm = self._monitor_with_passes(small._replace(pause_s=0.2))
-        urgent = self._monitor_with_passes(SIZES._replace(pause_s=0.2))
-        self.assertLess(hasty.propose_map(self.layers).saving, URGENT_SAVING)
-        self.assertEqual(calm.propose_map(self.layers).reason, 'calm')
+        long_passes = self._monitor_with_passes(small._replace(pause_s=0.05))
+        short_passes = self._monitor_with_passes(small._replace(pause_s=0.2))
+        large_saving = self._monitor_with_passes(SIZES._replace(pause_s=0.2))
+        self.assertLess(
+            long_passes.propose_map(self.layers).saving, URGENT_SAVING
+        )
+        self.assertEqual(short_passes.propose_map(self.layers).reason, 'calm')
         self.assertGreater(
-            urgent.propose_map(self.layers).saving, URGENT_SAVING
+            large_saving.propose_map(self.layers).saving, URGENT_SAVING
         )
 
     def test_interval_with_demand_shift_is_discarded(self):
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from snipebend.experts.group_pass_times import WINDOW_S, GroupPassTimes
+from snipebend.experts.group_pass_times import SAMPLE_TTL_S, GroupPassTimes
 from snipebend.experts.reading_plan import (
     AGAIN_S,
     BLIND_EVERY_S,
@@ -136,8 +136,8 @@
         paces = GroupPassTimes()
         paces.record('g', 2, 0.1, 1.0)
         paces.record('g', 1, 0.2, 1.2)
-        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1 + WINDOW_S), 0.2)
-        self.assertIsNone(paces.mean_pass_s('g', 1.3 + WINDOW_S))
+        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1 + SAMPLE_TTL_S), 0.2)
+        self.assertIsNone(paces.mean_pass_s('g', 1.3 + SAMPLE_TTL_S))
         self.assertIsNone(paces.mean_pass_s('unknown', 1.0))
 
     def test_noise_is_passed_over(self):
--- a/tests/experts/test_switch_search.py
+++ b/tests/experts/test_switch_search.py
@@ -36,9 +36,9 @@
 class SameIncarnationCoordinator(SwitchCoordinator):
     """Fault: continues in the incarnation of a lost rank."""
 
-    def bump(self):
+    def start_incarnation(self):
         if self.record.incarnation == 0:
-            return super().bump()
+            return super().start_incarnation()
         self.state = Idle()
         return [NeedMap(self.record.incarnation, self.roster.announced)]
 
--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -24,12 +24,12 @@
         order = EngineOrder('load', 'g', 4, deadline_at=10)
         unread = gate.admit(order, 1).unwrap_err()
         self.assertIsInstance(unread, UnavailableError)
-        gate.learn('g', 3)
+        gate.record_fence('g', 3)
         self.assertTrue(gate.admit(order, 1).is_ok())
         stale = gate.admit(replace(order, fence=3), 1).unwrap_err()
         self.assertIsInstance(stale, ConflictError)
         self.assertTrue(gate.admit(order, 10).is_err())
-        gate.learn('g', 2)
+        gate.record_fence('g', 2)
         self.assertEqual(gate.fence('g'), 4)
 
 
@@ -80,12 +80,12 @@
         self.rng = Random(seed)
         self.now = 0.0
         self.book = FenceBook()
-        self.kind = issuer
+        self.issuer_type = issuer
         self.issuers = [issuer(CFG, 'g', str(number)) for number in range(2)]
         # The clock of the leader, which decides on leases, is the reference.
         half = CFG.drift_s / 2
         self.skews = [self.rng.uniform(-half, half) for _ in range(3)]
-        self.late: list[EngineOrder] = []
+        self.in_flight: list[EngineOrder] = []
         self.executions: list[tuple[float, int]] = []
         self.restart_agent()
 
@@ -94,7 +94,7 @@
         acts = (
             self.take,
             self.write,
-            self.arrive,
+            self.deliver,
             self.restart_agent,
             self.restart_holder,
         )
@@ -105,12 +105,12 @@
 
     def restart_agent(self) -> None:
         self.gate = FenceGate()
-        self.gate.learn('g', self.book.read('g').fence)
+        self.gate.record_fence('g', self.book.read('g').fence)
 
     def restart_holder(self) -> None:
         """Restart a holder with the same name; its orders stay in flight."""
         number = self.rng.randrange(2)
-        self.issuers[number] = self.kind(CFG, 'g', str(number))
+        self.issuers[number] = self.issuer_type(CFG, 'g', str(number))
 
     def take(self) -> None:
         number = self.rng.randrange(2)
@@ -124,13 +124,13 @@
         local = self.now + self.skews[number]
         draft = self.issuers[number].write(DRAFT, 'ignored', local)
         if draft.is_ok():
-            self.late.append(draft.unwrap())
+            self.in_flight.append(draft.unwrap())
 
-    def arrive(self) -> None:
+    def deliver(self) -> None:
         """Forward a delayed order; the agent cancels it at its deadline."""
-        if not self.late:
+        if not self.in_flight:
             return
-        order = self.late.pop(self.rng.randrange(len(self.late)))
+        order = self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
         local = self.now + self.skews[-1]
         if self.gate.admit(order, local).is_ok():
             left = order.deadline_at - local
--- a/tests/orders/test_flow.py
+++ b/tests/orders/test_flow.py
@@ -25,21 +25,21 @@
         self.numbers = [self.flow.begin(LARGE, 10.0) for _ in range(4)]
 
     def test_window_limits_large_orders(self):
-        self.assertFalse(self.flow.has_room(LARGE))
+        self.assertFalse(self.flow.can_send(LARGE))
         self.flow.end(self.numbers[0])
-        self.assertTrue(self.flow.has_room(LARGE))
+        self.assertTrue(self.flow.can_send(LARGE))
 
     def test_small_order_is_sent_at_once(self):
-        self.assertTrue(self.flow.has_room(SMALL_BYTES))
+        self.assertTrue(self.flow.can_send(SMALL_BYTES))
 
     def test_order_larger_than_the_window_is_sent_alone(self):
-        self.assertTrue(OrderFlow().has_room(2 * WINDOW_BYTES))
+        self.assertTrue(OrderFlow().can_send(2 * WINDOW_BYTES))
 
     def test_unanswered_order_does_not_block_others(self):
         """The link has delivered all orders sent before an answered one."""
         self.flow.record_reply(self.numbers[1], 10.1)
-        self.assertTrue(self.flow.has_room(2 * LARGE))
-        self.assertFalse(self.flow.has_room(3 * LARGE))
+        self.assertTrue(self.flow.can_send(2 * LARGE))
+        self.assertFalse(self.flow.can_send(3 * LARGE))
 
 
 class TestTimeout(unittest.TestCase):
