--- a/bench/quick_switch.py
+++ b/bench/quick_switch.py
@@ -119,7 +119,7 @@
             self._deliver(receiver, event)
         self._notify_coordinator(Tick())
         for name, guard in self.guards.items():
-            is_held = guard.promise.holds(guard.runner.next_step)
+            is_held = guard.promise.must_hold(guard.runner.next_step)
             self.held += is_held and guard.runner.running is None
             self._notify_rank(name, Tick())
 
--- a/src/snipebend/balancing/count_reader.py
+++ b/src/snipebend/balancing/count_reader.py
@@ -65,9 +65,9 @@
         if len(read) < len(ranks):
             return False
         if reading is Reading.BEGIN:
-            monitor.begin_span(read, self._clock.now())
+            monitor.begin_interval(read, self._clock.now())
         else:
-            monitor.end_span(read, self._clock.now(), is_new=is_new)
+            monitor.end_interval(read, self._clock.now(), is_new=is_new)
         return True
 
 
--- a/src/snipebend/balancing/group_observer.py
+++ b/src/snipebend/balancing/group_observer.py
@@ -120,8 +120,8 @@
         the hold in such a report may have ended.
         """
         reports = self.reports.values()
-        begun = max(report.step for report in reports)
-        return any((report.held or 0) > begun for report in reports)
+        latest_step = max(report.step for report in reports)
+        return any((report.held or 0) > latest_step for report in reports)
 
     def is_current(self, members: Mapping[str, UpstreamRecord]) -> bool:
         """Return whether all ranks are still in the roster."""
--- a/src/snipebend/balancing/switch_driver.py
+++ b/src/snipebend/balancing/switch_driver.py
@@ -97,7 +97,7 @@
     async def _send_orders(self) -> None:
         """Send due orders until the switch has to wait."""
         while True:
-            if self._switch.needs_step(self._clock.now()):
+            if self._switch.needs_step_reading(self._clock.now()):
                 await self._read_step()
             orders = self._switch.next_orders(self._clock.now())
             if not orders or not self._can_order():
--- a/src/snipebend/experts/direct_switch.py
+++ b/src/snipebend/experts/direct_switch.py
@@ -106,16 +106,16 @@
         rank = self.ranks[report.rank]
         self.aim.note_report(report.step)
         if report.prepared == self.version:
-            rank.prepared_at = 0
+            rank.expected_ready_at = 0
         if report.map_version >= self.version:
-            rank.prepared_at = 0
+            rank.expected_ready_at = 0
             rank.in_force = True
         self._drop_expired_hold(report)
         self._note_held(report)
         self._note_armed(report, rank)
         self._advance()
 
-    def needs_step(self, now: float) -> bool:
+    def needs_step_reading(self, now: float) -> bool:
         """Return whether the current pass must be read before a hold."""
         if self.phase is not Phase.HOLDING or now < self.ranks.ready_at:
             return False
@@ -207,7 +207,7 @@
         if self.is_finished:
             return
         ranks = self.ranks
-        if self.hold_step is None and ranks.any_refuses:
+        if self.hold_step is None and ranks.any_refused:
             # Nothing is on hold yet, so the plan can safely be abandoned.
             self.phase = Phase.REFUSED
             return
--- a/src/snipebend/experts/group_monitor.py
+++ b/src/snipebend/experts/group_monitor.py
@@ -88,13 +88,15 @@
         """Return whether the current demand is unknown."""
         return self.demand.shares is None
 
-    def begin_span(self, read: Mapping[int, RankCounts], now: float) -> None:
+    def begin_interval(
+        self, read: Mapping[int, RankCounts], now: float
+    ) -> None:
         """Start a measurement interval on the ranks that were read."""
         self._note_steps(read, now)
         self._read_at = now
         self.demand.begin(read)
 
-    def end_span(
+    def end_interval(
         self, read: Mapping[int, RankCounts], now: float, *, is_new: bool
     ) -> None:
         """Record the selections of this interval and start the next one."""
--- a/src/snipebend/experts/rank_states.py
+++ b/src/snipebend/experts/rank_states.py
@@ -25,7 +25,7 @@
 
     sent_at: float = -1
     #: Expected end of its fetches; None until it accepts ``Prepare``.
-    prepared_at: float | None = None
+    expected_ready_at: float | None = None
     armed: bool = False
     in_force: bool = False
     refusals: int = 0
@@ -35,9 +35,9 @@
     prepare_attempts: int = 0
 
     @property
-    def refuses(self) -> bool:
+    def has_refused(self) -> bool:
         """Return whether the rank has refused to prepare too often."""
-        return self.prepared_at is None and self.refusals >= MAX_REFUSALS
+        return self.expected_ready_at is None and self.refusals >= MAX_REFUSALS
 
     @property
     def arm_retry_at(self) -> float:
@@ -73,12 +73,12 @@
     @property
     def ready_at(self) -> float:
         """Return the expected end of all fetches."""
-        return max(rank.prepared_at or 0 for rank in self._ranks.values())
+        return max(rank.expected_ready_at or 0 for rank in self._ranks.values())
 
     @property
-    def any_refuses(self) -> bool:
+    def any_refused(self) -> bool:
         """Return whether a rank has refused to prepare too often."""
-        return any(rank.refuses for rank in self._ranks.values())
+        return any(rank.has_refused for rank in self._ranks.values())
 
     @property
     def unprepared(self) -> list[int]:
@@ -86,7 +86,7 @@
         return [
             number
             for number, rank in self._ranks.items()
-            if rank.prepared_at is None
+            if rank.expected_ready_at is None
         ]
 
     @property
@@ -106,7 +106,7 @@
     ) -> None:
         """Record that a rank has started to fetch its experts."""
         state = self._ranks[rank]
-        state.prepared_at = ready_at
+        state.expected_ready_at = ready_at
         self._last_accepted_at = now
         if state.prepare_attempts == 1:
             self._last_first_try_accepted_at = now
@@ -121,7 +121,7 @@
         due = [
             number
             for number, rank in self._ranks.items()
-            if rank.prepared_at is None and now >= rank.sent_at + RETRY_S
+            if rank.expected_ready_at is None and now >= rank.sent_at + RETRY_S
         ]
         for number in due:
             self._ranks[number].sent_at = now
--- a/src/snipebend/experts/switch_promise.py
+++ b/src/snipebend/experts/switch_promise.py
@@ -40,11 +40,11 @@
         fetching = self.fetching.decision.stamp if self.fetching else MapStamp()
         return max(self.installed, self.prepared, fetching)
 
-    def holds(self, step: int) -> bool:
+    def must_hold(self, step: int) -> bool:
         """Return whether a step must not be entered yet."""
         return self.hold_step is not None and step >= self.hold_step
 
-    def stop_at(self, step: int) -> None:
+    def hold_before(self, step: int) -> None:
         """Hold before this step, or an earlier one, in this incarnation."""
         known = step if self.hold_step is None else self.hold_step
         self.hold_step = min(known, step)
@@ -76,7 +76,7 @@
             self.too_late = decision.stamp
             return
         self.promised = decision
-        self.stop_at(decision.step)
+        self.hold_before(decision.step)
 
     def apply_record(self, record: GroupRecord, next_step: int) -> None:
         """Install the map, release the hold or stop, as the record requires."""
@@ -86,7 +86,7 @@
         elif self._accepted_version() <= record.settled:
             self._drop(record.incarnation)
         if decision is not None and _is_ahead(decision, self.installed):
-            self.stop_at(next_step)
+            self.hold_before(next_step)
 
     def _install(self, decision: SwitchDecision) -> None:
         self.installed = decision.stamp
--- a/src/snipebend/experts/switch_rank.py
+++ b/src/snipebend/experts/switch_rank.py
@@ -172,5 +172,5 @@
     def _note_refusal(self, incarnation: int) -> list[RankAction]:
         if incarnation <= self.runner.stamp.incarnation:
             return []
-        self.promise.stop_at(self.runner.next_step)
+        self.promise.hold_before(self.runner.next_step)
         return [QueryDecision()]
--- a/src/snipebend/experts/switch_runner.py
+++ b/src/snipebend/experts/switch_runner.py
@@ -38,7 +38,7 @@
 
     def can_enter(self, step: int) -> bool:
         """Return whether the rank's promise permits entering a step."""
-        return not self._promise.holds(step)
+        return not self._promise.must_hold(step)
 
     def barrier_verdict(self) -> Verdict:
         """Compare the map stamps with which the ranks entered the step."""
--- a/src/snipebend/orders/flow.py
+++ b/src/snipebend/orders/flow.py
@@ -60,12 +60,12 @@
         """Return whether an order of ``size`` bytes can be sent now."""
         if size <= SMALL_BYTES:
             return True
-        on_link = sum(
+        bytes_in_flight = sum(
             sent.size
             for number, sent in self._sent.items()
             if number not in self._delivered_at
         )
-        return not on_link or on_link + size <= WINDOW_BYTES
+        return not bytes_in_flight or bytes_in_flight + size <= WINDOW_BYTES
 
     def begin(self, size: int, now: float) -> int:
         """Record that an order is sent; return its number."""
--- a/src/snipebend/orders/issuer.py
+++ b/src/snipebend/orders/issuer.py
@@ -49,7 +49,7 @@
         """Return the last held fence, or 0."""
         return self._held.fence if self._held else 0
 
-    def holds(self, now: float) -> bool:
+    def has_valid_lease(self, now: float) -> bool:
         """Return whether the lease is valid by the clock of any VM."""
         return self._held is not None and now < self._trusted_until(self._held)
 
@@ -94,7 +94,7 @@
     ) -> Result[EngineOrder, UnavailableError]:
         """Add fence and deadline to an order, or return why it must wait."""
         held = self._held
-        if held is None or not self.holds(now):
+        if held is None or not self.has_valid_lease(now):
             return Err(UnavailableError('no fence is held', step=_STEP))
         if now < self.ready_at(fencing):
             text = f'the previous lease is valid until {held.not_before}'
--- a/src/snipebend/transport/group_switch.py
+++ b/src/snipebend/transport/group_switch.py
@@ -162,7 +162,7 @@
         if self.issuer.needs_renewal(now):
             await self._take_fence(now)
         now = self._links.clock.wall()
-        if not self.issuer.holds(now):
+        if not self.issuer.has_valid_lease(now):
             self.coordinator = None
         elif (
             self.coordinator is None
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -51,7 +51,7 @@
 #: Seconds between two reports of pass times by entries.
 ENTRY_REPORT_INTERVAL_S = 0.1
 #: Expert selections per rank, layer and pass: two streams of a few tokens.
-CHOICES = 500
+SELECTIONS = 500
 #: Share of the experts whose popularity a demand shift exchanges.
 SHIFT_SHARE = 0.65
 
@@ -171,7 +171,7 @@
             pass_s=self.shape.pass_s * pass_s / self.pass_s
         )
 
-    async def run(self, paces):
+    async def run(self, pass_times):
         """Run passes forever, and report their durations as entries do."""
         reported_at = 0.0
         while True:
@@ -181,7 +181,7 @@
             now = _now()
             if now >= reported_at + ENTRY_REPORT_INTERVAL_S:
                 reported_at = now
-                paces.record('g', 10, 10 * length_s, now)
+                pass_times.record('g', 10, 10 * length_s, now)
             while self._held == self.step + 1:
                 self._released.clear()
                 await self._released.wait()
@@ -301,7 +301,7 @@
 
     def _count(self, rank):
         counts, step = self._counts.get(rank, (0, self.step))
-        expected = (self.step - step) * CHOICES * self._popularity
+        expected = (self.step - step) * SELECTIONS * self._popularity
         counts = counts + self._noise.poisson(expected)
         self._counts[rank] = (counts, self.step)
         return counts
@@ -310,13 +310,13 @@
 class Leader:
     """A control leader, which can be stopped at any time."""
 
-    def __init__(self, group, paces, before=None, term=1):
+    def __init__(self, group, pass_times, before=None, term=1):
         self.store = LeadingStore(before and before.store.kept, term)
         self._registry = Registry(LoopClock(), TaskSupervisor())
         self._registry.register(self.store)
         self._registry.register(RecordingKeeper())
         table = group.shape.table()
-        self._balancer = GroupBalancer('b', group, lambda: table, paces)
+        self._balancer = GroupBalancer('b', group, lambda: table, pass_times)
         for rank in range(group.shape.ranks):
             record = UpstreamRecord(str(rank), 's', '10.0.0.1:80', 'dc', 3)
             self.store.kept.state.roster.record(RecordRequest(record))
--- a/tests/balancing/test_count_reader.py
+++ b/tests/balancing/test_count_reader.py
@@ -30,8 +30,8 @@
 
     async def read_counts(self, upstream):
         self.queried.append(upstream)
-        choices = (100 * self.step,) * (SIZES.layers * SIZES.experts)
-        return RankCounts(1, self.step, choices)
+        selections = (100 * self.step,) * (SIZES.layers * SIZES.experts)
+        return RankCounts(1, self.step, selections)
 
 
 class TestCountReader(unittest.IsolatedAsyncioTestCase):
--- a/tests/balancing/test_demand_shifts.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -48,9 +48,9 @@
 
     def __init__(self, shape, seed=1):
         self.group = ModelGroup(shape, seed)
-        self.paces = GroupPassTimes()
-        self.leader = Leader(self.group, self.paces)
-        self._passes = asyncio.ensure_future(self.group.run(self.paces))
+        self.pass_times = GroupPassTimes()
+        self.leader = Leader(self.group, self.pass_times)
+        self._passes = asyncio.ensure_future(self.group.run(self.pass_times))
 
     async def until(self, moment):
         await asyncio.sleep(moment - asyncio.get_running_loop().time())
@@ -149,7 +149,7 @@
         await asyncio.sleep(0.3)
         await scenario.leader.stop()
         scenario.leader = Leader(
-            scenario.group, scenario.paces, scenario.leader, term=2
+            scenario.group, scenario.pass_times, scenario.leader, term=2
         )
         await scenario.leader.start()
         took_s = await scenario.measure_fit_time_s(shifted_skew)
--- a/tests/balancing/test_engine_http.py
+++ b/tests/balancing/test_engine_http.py
@@ -12,7 +12,7 @@
 
 RANKS = 192
 TEST_TIMEOUT_S = 60
-ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
+OK_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 RESPONSE_WITH_RETRY_AFTER = (
     b'HTTP/1.1 503 Busy\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n'
 )
@@ -31,7 +31,7 @@
         if self._asked == RANKS:
             self._all_asked.set()
         await self._all_asked.wait()
-        writer.write(ANSWER)
+        writer.write(OK_RESPONSE)
         await writer.drain()
         writer.close()
 
@@ -46,10 +46,10 @@
         upstream = SimpleNamespace(identity='r', address=f'{host}:{port}')
         http = EngineHttpClient()
         with mock.patch.object(engine_http, 'CALL_TIMEOUT_S', TEST_TIMEOUT_S):
-            answers = await asyncio.gather(
+            bodies = await asyncio.gather(
                 *(http.read(upstream, '/', {}) for _ in range(RANKS))
             )
-        self.assertEqual(set(answers), {b'ok'})
+        self.assertEqual(set(bodies), {b'ok'})
         await http.close()
         server.close()
 
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -158,9 +158,9 @@
         self.keeper = RecordingKeeper()
         registry.register(self.store)
         registry.register(self.keeper)
-        self.paces = GroupPassTimes()
+        self.pass_times = GroupPassTimes()
         self.balancer = GroupBalancer(
-            'balancer', self.engines, lambda: TABLE, self.paces
+            'balancer', self.engines, lambda: TABLE, self.pass_times
         )
         state = self.store.machine.state
         for rank in range(RANKS):
@@ -272,7 +272,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.store.machine.state.plans.plans.clear()
-        self.paces.record('g', 3, 0.1 * STREAM_PAUSE_S, self.clock.at)
+        self.pass_times.record('g', 3, 0.1 * STREAM_PAUSE_S, self.clock.at)
         await self.check()
         self.clock.at += SETTLE_S
         self.engines.queried.clear()
@@ -281,7 +281,7 @@
         """Report some passes of streams, and let control check the group."""
         self.clock.at += passes * pass_s
         self.engines.work(passes)
-        self.paces.record('g', passes, passes * pass_s, self.clock.at)
+        self.pass_times.record('g', passes, passes * pass_s, self.clock.at)
         await self.check()
 
     async def test_nothing_is_read_while_passes_are_short(self):
--- a/tests/balancing/test_large_switch.py
+++ b/tests/balancing/test_large_switch.py
@@ -83,10 +83,10 @@
             if isinstance(order, Prepare)
             else SMALL_ORDER_BYTES
         )
-        answer = await self._dispatch(
+        reply = await self._dispatch(
             size, lambda: self._send(rank, size, order)
         )
-        return Reply.LOST if answer is None else answer
+        return Reply.LOST if reply is None else reply
 
     async def read_report(self, upstream):
         self.reports += 1
@@ -240,8 +240,8 @@
             for (kind, _), times in engines.order_counts.items()
             if kind == 'Prepare'
         )
-        under_way = WINDOW_BYTES // (130 * 192)
-        self.assertLessEqual(prepares, 192 + under_way)
+        in_flight = WINDOW_BYTES // (130 * 192)
+        self.assertLessEqual(prepares, 192 + in_flight)
 
     def test_only_relevant_ranks_are_polled(self):
         engines = Engines(192, WIDE_LINK_BPS)
--- a/tests/experts/direct_simulation.py
+++ b/tests/experts/direct_simulation.py
@@ -187,7 +187,7 @@
         if self.switch is None or self.switch.is_finished:
             self._start_switch()
             return
-        if self.switch.needs_step(simulation.now):
+        if self.switch.needs_step_reading(simulation.now):
             simulation.read_step(self)
         for order in self.switch.next_orders(simulation.now):
             simulation.send(self, order)
--- a/tests/experts/switch_simulation.py
+++ b/tests/experts/switch_simulation.py
@@ -273,11 +273,11 @@
     def deliver_random(self) -> None:
         if not self.in_flight:
             return
-        place = self.rng.randrange(len(self.in_flight))
+        index = self.rng.randrange(len(self.in_flight))
         if self.chance(10):
-            self.deliver(self.in_flight[place])
+            self.deliver(self.in_flight[index])
             return
-        message = self.in_flight.pop(place)
+        message = self.in_flight.pop(index)
         if self.chance(95):
             self.deliver(message)
         # Bound the queue so that old messages cannot starve new ones.
@@ -342,8 +342,8 @@
         """Finish a step or a fetch of some rank."""
         rank = self.rng.choice(RANKS)
         if self.work_left[rank] and rank not in self.frozen:
-            place = self.rng.randrange(len(self.work_left[rank]))
-            event = self.work_left[rank].pop(place)
+            index = self.rng.randrange(len(self.work_left[rank]))
+            event = self.work_left[rank].pop(index)
             if isinstance(event, WeightsFetched):
                 self.checker.fetched[rank].add(event.digest)
             self.notify_rank(rank, event)
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -31,8 +31,8 @@
             self.switch.note_reply(order, Reply.ACCEPTED, 10.0)
 
     def test_step_is_read_after_all_fetches(self):
-        self.assertFalse(self.switch.needs_step(10.0 + FETCH_S / 2))
-        self.assertTrue(self.switch.needs_step(10.0 + FETCH_S))
+        self.assertFalse(self.switch.needs_step_reading(10.0 + FETCH_S / 2))
+        self.assertTrue(self.switch.needs_step_reading(10.0 + FETCH_S))
 
     def test_hold_is_close_for_a_slower_group(self):
         now = 10.0 + FETCH_S
@@ -75,8 +75,8 @@
     def test_step_reading_expires(self):
         now = 10.0 + FETCH_S
         self.switch.note_step(1, 103, now)
-        self.assertFalse(self.switch.needs_step(now))
-        self.assertTrue(self.switch.needs_step(now + STEP_VALID_S))
+        self.assertFalse(self.switch.needs_step_reading(now))
+        self.assertTrue(self.switch.needs_step_reading(now + STEP_VALID_S))
 
     def test_new_epoch_ends_the_switch(self):
         self.switch.note_step(2, 3, 10.1)
@@ -95,7 +95,7 @@
         now = 10.0
         for _ in range(40):
             now += 0.03
-            if switch.needs_step(now):
+            if switch.needs_step_reading(now):
                 switch.note_step(1, 103, now)
             for order in switch.next_orders(now):
                 kind = type(order)
@@ -147,16 +147,16 @@
     def test_arm_retries_back_off(self):
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldAim(100, 10.0, 0.05)
-        asked = []
+        arm_times = []
         for tick in range(200):
             now = 10.0 + 0.01 * tick
-            if switch.needs_step(now):
+            if switch.needs_step_reading(now):
                 switch.note_step(1, 103, now)
             for order in switch.next_orders(now):
                 refuses = isinstance(order, Arm) and order.rank == 1
                 reply = Reply.REFUSED if refuses else Reply.ACCEPTED
                 if refuses:
-                    asked.append(now)
+                    arm_times.append(now)
                 switch.note_reply(order, reply, now)
-        self.assertLess(asked[1] - asked[0], 2.5 * ARM_RETRY_S)
-        self.assertLess(len(asked), 2 / MAX_ARM_RETRY_S + 4)
+        self.assertLess(arm_times[1] - arm_times[0], 2.5 * ARM_RETRY_S)
+        self.assertLess(len(arm_times), 2 / MAX_ARM_RETRY_S + 4)
--- a/tests/experts/test_group_monitor.py
+++ b/tests/experts/test_group_monitor.py
@@ -30,9 +30,11 @@
         self.weights = [1 / (place + 1) ** 1.1 for place in range(64)]
         self.rng.shuffle(self.weights)
 
-    def next_counts(self, choices=3000):
+    def next_counts(self, selections=3000):
         for layer in range(2):
-            for expert in self.rng.choices(range(64), self.weights, k=choices):
+            for expert in self.rng.choices(
+                range(64), self.weights, k=selections
+            ):
                 self.counts[64 * layer + expert] += 1
         self.step += 5
         return RankCounts(3, self.step, tuple(self.counts))
@@ -47,11 +49,11 @@
         self.now = 5.0
         self.layers = first_map(SIZES, 16)
 
-    def feed(self, spans=1, choices=3000, *, is_new=False):
+    def feed(self, spans=1, selections=3000, *, is_new=False):
         for _ in range(spans):
             self.now += 0.3
-            read = {0: self.counter.next_counts(choices)}
-            self.monitor.end_span(read, self.now, is_new=is_new)
+            read = {0: self.counter.next_counts(selections)}
+            self.monitor.end_interval(read, self.now, is_new=is_new)
 
     def test_no_proposal_before_two_readings(self):
         self.feed()
@@ -104,7 +106,7 @@
         self.feed(4)
         self.counter.shift_demand()
         self.now += 0.3
-        self.monitor.begin_span({0: self.counter.next_counts()}, self.now)
+        self.monitor.begin_interval({0: self.counter.next_counts()}, self.now)
         self.feed(is_new=True)
         self.assertFalse(self.monitor.is_demand_unknown)
         proposal = self.monitor.propose_map(self.layers)
@@ -112,7 +114,7 @@
 
     def test_short_intervals_give_no_demand(self):
         self.feed()
-        self.feed(3, choices=100)
+        self.feed(3, selections=100)
         self.assertEqual(
             self.monitor.propose_map(self.layers).reason, 'turning'
         )
@@ -123,22 +125,22 @@
         self.counter.shift_demand()
         intervals = 0
         while not self.monitor.is_demand_unknown and intervals < 20:
-            self.feed(choices=100)
+            self.feed(selections=100)
             intervals += 1
         self.assertEqual(intervals, 6)
 
     def test_insufficient_interval_is_flagged(self):
         self.feed(2)
         self.assertTrue(self.monitor.demand.told)
-        self.feed(choices=100)
+        self.feed(selections=100)
         self.assertFalse(self.monitor.demand.told)
-        self.feed(choices=600)
+        self.feed(selections=600)
         self.assertTrue(self.monitor.demand.told)
 
     def test_counts_of_another_epoch_are_ignored(self):
         self.feed()
         late = self.counter.next_counts()._replace(epoch=2)
-        self.monitor.end_span({0: late}, self.now, is_new=False)
+        self.monitor.end_interval({0: late}, self.now, is_new=False)
         self.assertEqual(
             self.monitor.propose_map(self.layers).reason, 'turning'
         )
@@ -188,7 +190,7 @@
         read = {
             rank: one.next_counts(250) for rank, one in enumerate(counters, 4)
         }
-        self.monitor.end_span(read, self.now, is_new=False)
+        self.monitor.end_interval(read, self.now, is_new=False)
 
     def _monitor_with_passes(self, sizes):
         """Return a monitor that has measured passes of 60 ms."""
@@ -196,7 +198,7 @@
         counter = Counter(4)
         for span in range(3):
             read = {0: counter.next_counts()}
-            monitor.end_span(read, 0.3 * span, is_new=False)
+            monitor.end_interval(read, 0.3 * span, is_new=False)
         return monitor
 
     def test_first_map_is_round_robin(self):
--- a/tests/experts/test_switch_search.py
+++ b/tests/experts/test_switch_search.py
@@ -58,8 +58,8 @@
         return []
 
     def barrier_verdict(self):
-        seen = None not in self._barrier.stamps()
-        return Verdict.AGREED if seen else Verdict.WAITING
+        is_complete = None not in self._barrier.stamps()
+        return Verdict.AGREED if is_complete else Verdict.WAITING
 
 
 def with_runner(runner):
