--- a/src/snipebend/balancing/group_balancer.py
+++ b/src/snipebend/balancing/group_balancer.py
@@ -70,7 +70,7 @@
         self._clock = registry.clock
         # Any daemon can become leader while groups are on hold or have
         # unsuitable maps, so dependencies are loaded during the first election.
-        self._loading = self._begin_loading()
+        self._loading = self._start_loading()
         registry.tasks.start('balance', self._run)
 
     async def stop(self) -> None:
@@ -119,10 +119,10 @@
         failure = self._loading.exception()
         if failure is not None:
             logger.warning('event=load_failed error={!r}', str(failure))
-            self._loading = self._begin_loading()
+            self._loading = self._start_loading()
         return await self._loading
 
-    def _begin_loading(self) -> asyncio.Task[ControllerContext]:
+    def _start_loading(self) -> asyncio.Task[ControllerContext]:
         return asyncio.create_task(asyncio.to_thread(self._load))
 
     async def _survey(
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -132,7 +132,7 @@
         self._update_skew()
 
     def drift(self, pairs):
-        """Exchange the popularity of some experts with their neighbours."""
+        """Exchange the popularity of experts adjacent in popularity."""
         self._settle_counts()
         for popularity in self._popularity:
             order = np.argsort(popularity)
@@ -205,7 +205,7 @@
             is_open=True,
             step=step,
             map_version=version,
-            prepared=self._ready(rank),
+            prepared=self._prepared_version(rank),
             armed=self._armed.get(rank),
             held=held if rank == 0 else None,
         )
@@ -249,7 +249,7 @@
                 self._held = step
                 return True
             case Arm(rank=rank, version=version, step=step):
-                if step <= self.step or self._ready(rank) != version:
+                if step <= self.step or self._prepared_version(rank) != version:
                     return False
                 self._armed[rank] = Armed(version, step)
                 return True
@@ -273,7 +273,7 @@
         self._armed.clear()
         self._update_skew()
 
-    def _ready(self, rank):
+    def _prepared_version(self, rank):
         version, ready_at = self._prepared.get(rank, (None, 0))
         return version if _now() >= ready_at else None
 
--- a/tests/balancing/test_demand_shifts.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -28,7 +28,8 @@
 #: demand shifts every 3 to 4 s; an unsuitable map must be replaced in less than
 #: half of that.
 MAX_FIT_S = 1.75
-#: Seconds after which the wait for a suitable map is given up.
+#: Seconds after which the wait for a suitable map ends; a map that is not in
+#: force by then is not expected any more.
 GIVE_UP_S = 10.0
 
 
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -192,7 +192,7 @@
         load = self.balancer._load
         failing = mock.Mock(side_effect=(ImportError('half loaded'), load()))
         with mock.patch.object(self.balancer, '_load', failing):
-            self.balancer._loading = self.balancer._begin_loading()
+            self.balancer._loading = self.balancer._start_loading()
             await self.check()
         self.assertEqual(failing.call_count, 2)
         self.assertTrue(self.balancer.controllers)
--- a/tests/balancing/test_steady_demand.py
+++ b/tests/balancing/test_steady_demand.py
@@ -27,7 +27,7 @@
 DRIFT_PAIRS_PER_S = 1
 
 
-def stretch(skew):
+def relative_pass_time(skew):
     """Return the duration of a pass relative to one without skew."""
     return 1 - EXPERT_SHARE + EXPERT_SHARE * skew
 
@@ -46,7 +46,9 @@
             with self.subTest(ranks=shape.ranks):
                 scenario, skews = run_scenario(self._steady(shape))
                 best = scenario.group.best_skew()
-                pass_ratio = stretch(skews[-1]) / stretch(best)
+                pass_ratio = relative_pass_time(skews[-1]) / relative_pass_time(
+                    best
+                )
                 self.assertLess(pass_ratio, MAX_PASS_RATIO, (skews, best))
                 late = [
                     at
@@ -70,9 +72,9 @@
                 scenario, skews = run_scenario(
                     self._steady(shape, drifting=DRIFT_PAIRS_PER_S)
                 )
-                best = stretch(scenario.group.best_skew())
+                best = relative_pass_time(scenario.group.best_skew())
                 settled = fmean(skews[int(KNOWN_AT_S) :])
-                pass_ratio = stretch(settled) / best
+                pass_ratio = relative_pass_time(settled) / best
                 self.assertLess(pass_ratio, MAX_PASS_RATIO, skews)
 
     async def _steady(self, shape, pass_s=LOADED_PASS_S, drifting=0):
--- a/tests/experts/direct_simulation.py
+++ b/tests/experts/direct_simulation.py
@@ -157,23 +157,23 @@
     ignores_lease = False
 
     def __init__(
-        self, simulation: Simulation, make: Callable[..., DirectSwitch]
+        self, simulation: Simulation, make_switch: Callable[..., DirectSwitch]
     ) -> None:
         self.simulation = simulation
-        self.make = make
+        self.make_switch = make_switch
         self.switch = None
         self.report_at = 0.0
         self.frozen_until = 0.0
-        self.replaced = False
-        self.ended = False
+        self.is_replaced = False
+        self.is_stopped = False
         self.settled_at = None
         self.reports = None
-        self.read_at = 0.0
+        self.reports_ready_at = 0.0
 
     def run(self) -> None:
         """Run one step and schedule the next one."""
         simulation = self.simulation
-        if self.ended:
+        if self.is_stopped:
             return
         if simulation.now >= self.frozen_until:
             self._step()
@@ -181,8 +181,8 @@
 
     def _step(self) -> None:
         simulation = self.simulation
-        if self.replaced and not self.ignores_lease:
-            self.ended = True
+        if self.is_replaced and not self.ignores_lease:
+            self.is_stopped = True
             return
         if self.switch is None or self.switch.is_finished:
             self._start_switch()
@@ -208,8 +208,8 @@
                 simulation.engines.report(number, simulation.now)
                 for number in range(RANKS)
             ]
-            self.read_at = simulation.now + 0.3
-        if simulation.now < self.read_at:
+            self.reports_ready_at = simulation.now + 0.3
+        if simulation.now < self.reports_ready_at:
             return
         reports = self.reports
         self.reports = None
@@ -223,11 +223,11 @@
         finished = all(one.map_version == version for one in reports)
         held = any(one.held and one.held > one.step for one in reports)
         if planned != epoch or finished:
-            if self.replaced or (simulation.is_fault_free and not held):
+            if self.is_replaced or (simulation.is_fault_free and not held):
                 return
             version = simulation.next_version()
             simulation.plan = (epoch, version)
-        self.switch = self.make(
+        self.switch = self.make_switch(
             GROUP,
             epoch,
             version,
@@ -246,7 +246,7 @@
     def __init__(
         self,
         seed: int,
-        make: Callable[..., DirectSwitch] = DirectSwitch,
+        make_switch: Callable[..., DirectSwitch] = DirectSwitch,
         coordinator: type[Coordinator] = Coordinator,
     ) -> None:
         self.rng = random.Random(seed)
@@ -257,13 +257,13 @@
         self.engines = Engines(self.rng)
         self.plan = (0, 0)
         self.is_fault_free = False
-        self._make = make
+        self._make_switch = make_switch
         self._events = []
         self._numbers = count()
         self._coordinator = coordinator
-        self.leader = coordinator(self, make)
+        self.leader = coordinator(self, make_switch)
         self.schedule(0, self.leader.run)
-        self.schedule(PASS_S, self._pass)
+        self.schedule(PASS_S, self._run_pass)
         self.schedule(0.5, self._inject_fault)
 
     def schedule(self, after_s: float, callback: Callable[[], None]) -> None:
@@ -369,10 +369,10 @@
         ):
             switch.note_reply(order, reply, self.now)
 
-    def _pass(self) -> None:
+    def _run_pass(self) -> None:
         if self.rng.randrange(10):
             self.engines.begin_pass()
-        self.schedule(PASS_S * self.rng.uniform(0.5, 2), self._pass)
+        self.schedule(PASS_S * self.rng.uniform(0.5, 2), self._run_pass)
 
     def _inject_fault(self) -> None:
         if self.is_fault_free:
@@ -391,9 +391,9 @@
     def _replace_leader(self, *, dies: bool) -> None:
         """Elect a new leader; the old one ends, or resumes after a freeze."""
         old = self.leader
-        old.replaced = True
-        old.ended = dies
+        old.is_replaced = True
+        old.is_stopped = dies
         if not dies:
             old.frozen_until = self.now + self.rng.uniform(0, 6)
-        self.leader = self._coordinator(self, self._make)
+        self.leader = self._coordinator(self, self._make_switch)
         self.schedule(LEASE_S, self.leader.run)
--- a/tests/experts/pair_simulation.py
+++ b/tests/experts/pair_simulation.py
@@ -23,9 +23,9 @@
 class SimulatedGroup(Simulation):
     """One of the two groups, which uses the clock of the pair."""
 
-    def __init__(self, seed, pair, epoch, make):
+    def __init__(self, seed, pair, epoch, make_switch):
         self.pair = pair
-        super().__init__(seed, make)
+        super().__init__(seed, make_switch)
         self.engines.epoch = epoch
 
     @property
@@ -167,8 +167,8 @@
         wakes_at = self.now + self.rng.uniform(0, 6)
         for group in self.groups:
             old = group.leader
-            old.replaced = True
-            old.ended = dies
+            old.is_replaced = True
+            old.is_stopped = dies
             if not dies:
                 old.frozen_until = wakes_at
             group.leader = Coordinator(group, DirectSwitch)
--- a/tests/experts/test_direct_switch_search.py
+++ b/tests/experts/test_direct_switch_search.py
@@ -93,18 +93,18 @@
     """The search detects each injected fault."""
 
     def test_go_before_all_are_armed(self):
-        self._find(EarlyGo)
+        self._assert_detected(EarlyGo)
 
     def test_arming_without_a_hold(self):
-        self._find(ArmsWithoutHold)
+        self._assert_detected(ArmsWithoutHold)
 
     def test_held_switch_is_abandoned(self):
-        self._find(ReleasesHeldPass)
+        self._assert_detected(ReleasesHeldPass)
 
     def test_orders_without_a_lease(self):
-        self._find(DirectSwitch, UnleasedCoordinator)
+        self._assert_detected(DirectSwitch, UnleasedCoordinator)
 
-    def _find(self, make, coordinator=Coordinator):
+    def _assert_detected(self, make, coordinator=Coordinator):
         for seed in range(FAULT_SCHEDULES):
             try:
                 Simulation(seed, make, coordinator).run(SPAN_S)
--- a/tests/experts/test_two_groups.py
+++ b/tests/experts/test_two_groups.py
@@ -56,12 +56,12 @@
 
     def test_orders_sent_to_the_other_group(self):
         """With equal epochs: distinct ones would cause a refusal."""
-        self._find(
+        self._assert_detected(
             lambda seed: PairSimulation(seed, MisroutingGroup, other_epoch=1)
         )
 
     def test_ranks_that_change_groups_within_an_epoch(self):
-        self._find(UnchangedEpochPair)
+        self._assert_detected(UnchangedEpochPair)
 
     def test_versions_numbered_per_group(self):
         """A rank moved from the other group refuses many of its versions."""
@@ -73,7 +73,7 @@
                 return
         self.fail('was not found')
 
-    def _find(self, make):
+    def _assert_detected(self, make):
         for seed in range(FAULT_SCHEDULES):
             try:
                 make(seed).run(SPAN_S)
--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -91,16 +91,16 @@
 
     def run(self) -> list[int]:
         """Return the fences in the sequence of execution by the engine."""
-        acts = (
+        actions = (
             self.take,
             self.write,
             self.deliver,
             self.restart_agent,
             self.restart_holder,
         )
-        for act in self.rng.choices(acts, (6, 12, 12, 2, 1), k=400):
+        for action in self.rng.choices(actions, (6, 12, 12, 2, 1), k=400):
             self.now += self.rng.uniform(0, 0.2)
-            act()
+            action()
         return [fence for _, fence in sorted(self.executions)]
 
     def restart_agent(self) -> None:
@@ -108,7 +108,10 @@
         self.gate.record_fence('g', self.book.read('g').fence)
 
     def restart_holder(self) -> None:
-        """Restart a holder with the same name; its orders stay in flight."""
+        """Restart a holder without its fence; its orders stay in flight.
+
+        The restarted holder has the same name.
+        """
         number = self.rng.randrange(2)
         self.issuers[number] = self.issuer_type(CFG, 'g', str(number))
 
