--- a/bench/quick_switch.py
+++ b/bench/quick_switch.py
@@ -1,8 +1,9 @@
-"""What an expert map switch costs in messages and held steps.
+"""Cost of an expert map switch in messages and held steps.
 
-One group under a coordinator on a seeded network. Steps take one tick; so does
-a message, with loss a share of them is lost and sent again. A held step is a
-tick in which a rank could have entered a step but for its promise.
+Simulates one group and its coordinator on a seeded network. A step and a
+message take one tick each; in runs with loss, a share of the messages is lost
+and sent again. A held step is a tick in which only its promise prevents a rank
+from entering a step.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
-    BarrierSeen,
+    QueryDecision,
+    BarrierEntryReceived,
     EnterBarrier,
     FetchWeights,
-    OrderArrived,
+    OrderReceived,
     RunStep,
     SendReport,
     StepFinished,
@@ -47,16 +48,16 @@
 SWITCHES = 40
 LOSS = 0.1
 
-#: Seconds of one tick, which a step and a message take.
+#: Duration of one tick in seconds; a step and a message take one tick each.
 TICK_S = 0.05
 
-#: Steps between proposal and hold; ticks of a durable commit.
+#: Steps between proposal and hold, and duration of a durable commit in ticks.
 HOLD_AHEAD = 12
 COMMIT_TICKS = 2
 
 
 class Tally(NamedTuple):
-    """Sums over all switches."""
+    """Totals over all switches."""
 
     switches: int
     orders: int
@@ -64,11 +65,11 @@
     retries: int
 
 
-class Run:
-    """One seeded run; ``loss`` is the share of messages that vanish."""
+class SimulatedRun:
+    """One seeded run; ``loss`` is the share of messages that are lost."""
 
     def __init__(self, loss: float) -> None:
-        """Begin with all ranks announced and no map."""
+        """Start with all ranks announced and no map."""
         self.rng = Random(1)
         self.names = tuple(f'r{number}' for number in range(RANKS))
         self.record = GroupRecord()
@@ -89,8 +90,8 @@
         self._due: list[tuple[float, str, object]] = []
 
     def run(self) -> Tally:
-        """Make the first map, then count the switches after it."""
-        self._tell(RanksAnnounced(self.names))
+        """Activate the first map, then count the following switches."""
+        self._notify_coordinator(RanksAnnounced(self.names))
         self._until(1)
         self.orders = 0
         self.held = 0
@@ -101,11 +102,11 @@
         return Tally(SWITCHES, self.orders, self.held, self.aborted)
 
     def _until(self, activated: int) -> None:
-        """Run until all ranks have the map in force."""
-        while self.activated < activated or self._is_behind():
+        """Run until the map is in force on all ranks."""
+        while self.activated < activated or self._has_pending_map():
             self._tick()
 
-    def _is_behind(self) -> bool:
+    def _has_pending_map(self) -> bool:
         return any(
             guard.promise.pending is not None for guard in self.guards.values()
         )
@@ -116,60 +117,60 @@
         self._due = [entry for entry in self._due if entry[0] > self.now]
         for _, receiver, event in due:
             self._deliver(receiver, event)
-        self._tell(Tick())
+        self._notify_coordinator(Tick())
         for name, guard in self.guards.items():
-            waits = guard.promise.holds(guard.runner.next_step)
-            self.held += waits and guard.runner.running is None
-            self._feed(name, Tick())
+            is_held = guard.promise.must_hold(guard.runner.next_step)
+            self.held += is_held and guard.runner.running is None
+            self._notify_rank(name, Tick())
 
     def _deliver(self, receiver: str, event: object) -> None:
         match event:
             case PersistDecision(change):
                 changed = change_record(self.record, change)
                 self.record = changed or self.record
-                self._tell(RecordCommitted(self.record))
+                self._notify_coordinator(RecordCommitted(self.record))
             case _ if receiver:
-                self._feed(receiver, event)
+                self._notify_rank(receiver, event)
             case _:
-                self._tell(event)
+                self._notify_coordinator(event)
 
-    def _tell(self, event: object) -> None:
+    def _notify_coordinator(self, event: object) -> None:
         for action in self.coordinator.step(event, self.now, self.rng):
             match action:
                 case SendOrder(rank, order):
                     self.orders += 1
-                    self._send(rank, OrderArrived(order))
+                    self._send(rank, OrderReceived(order))
                 case PersistDecision():
-                    self._later(COMMIT_TICKS, '', action)
+                    self._schedule(COMMIT_TICKS, '', action)
                 case NeedMap(incarnation):
                     self._propose(incarnation)
                 case SwitchEnded(_, outcome):
                     self.activated += outcome == 'activated'
                     self.aborted += outcome == 'aborted'
 
-    def _feed(self, name: str, event: object) -> None:
+    def _notify_rank(self, name: str, event: object) -> None:
         for action in self.guards[name].step(event, self.now, self.rng):
             match action:
                 case SendReport(report):
                     self.orders += 1
                     self._send('', RankReported(report))
                 case EnterBarrier(peer, entry):
-                    self._later(0, peer, BarrierSeen(entry))
+                    self._schedule(0, peer, BarrierEntryReceived(entry))
                 case FetchWeights(digest):
-                    self._later(4, name, WeightsFetched(digest))
+                    self._schedule(4, name, WeightsFetched(digest))
                 case RunStep(step):
-                    self._later(1, name, StepFinished(step))
-                case AskDecision():
+                    self._schedule(1, name, StepFinished(step))
+                case QueryDecision():
                     self.orders += 2
                     order = Activate('g', 1, self.record)
-                    self._later(2, name, OrderArrived(order))
+                    self._schedule(2, name, OrderReceived(order))
 
     def _send(self, receiver: str, event: object) -> None:
         if self.rng.random() >= self.loss:
-            self._later(1, receiver, event)
+            self._schedule(1, receiver, event)
 
-    def _later(self, ticks: int, receiver: str, event: object) -> None:
-        # Half a tick early, against rounding.
+    def _schedule(self, ticks: int, receiver: str, event: object) -> None:
+        # Half a tick early, so that rounding does not delay the event.
         moment = self.now + (ticks - 0.5) * TICK_S
         self._due.append((moment, receiver, event))
 
@@ -178,7 +179,7 @@
             return
         self.maps += 1
         sizes = dict.fromkeys(self.names, 1000)
-        self._later(
+        self._schedule(
             1,
             '',
             MapProposed(
@@ -188,10 +189,10 @@
 
 
 def measure() -> dict[str, float]:
-    """Return messages a switch and rank, held steps and retries a switch."""
+    """Return messages and held steps per rank, and retries, of a switch."""
     figures: dict[str, float] = {}
     for name, loss in (('clean', 0), ('loss', LOSS)):
-        tally = Run(loss).run()
+        tally = SimulatedRun(loss).run()
         per_rank = tally.orders / tally.switches / RANKS
         figures[f'messages_per_rank_{name}'] = per_rank
         figures[f'held_steps_per_rank_{name}'] = (
--- a/src/snipebend/balancing/direct_http.py
+++ b/src/snipebend/balancing/engine_http.py
@@ -1,7 +1,7 @@
-"""HTTP calls of upstreams by the control leader, one session for all.
+"""HTTP client of the control leader for all upstreams, with a shared session.
 
-The client library is loaded with the first call: daemons that never lead need
-7 MB less, and start 0.1 s sooner.
+The client library is imported at the first call, so that daemons that never
+lead need 7 MB less memory and start 0.1 s sooner.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 from loguru import logger
 
-from snipebend.balancing.engine_rests import EngineRests
-from snipebend.balancing.order_desk import OrderDesk
+from snipebend.balancing.engine_backoffs import EngineBackoffs
+from snipebend.balancing.order_dispatcher import OrderDispatcher
 from snipebend.relay.statement_reading import read_rest
 
 if TYPE_CHECKING:
@@ -22,39 +22,39 @@
 
     from snipebend.state.roster import UpstreamRecord
 
-#: Seconds for one call: a round trip within a region and an engine's answer,
-#: which takes milliseconds, many times over.
+#: Timeout of one call in seconds: many times a round trip within a region plus
+#: an engine's response time, which is a few milliseconds.
 CALL_TIMEOUT_S = 0.4
 
 _OK = 200
 
 
-class DirectHttp:
-    """Reads from upstreams, and gives them orders."""
+class EngineHttpClient:
+    """Sends read requests and orders to upstreams."""
 
     def __init__(self) -> None:
-        """Open nothing yet."""
+        """Create the client; connections are opened on demand."""
         self._session: ClientSession | None = None
-        self._desk = OrderDesk()
-        self._rests = EngineRests()
+        self._dispatcher = OrderDispatcher()
+        self._backoffs = EngineBackoffs()
 
     def load(self) -> None:
-        """Load the library; takes a tenth of a second."""
+        """Import the client library, which takes 0.1 s."""
         import aiohttp  # noqa: F401
 
     async def read(
         self, upstream: UpstreamRecord, path: str, headers: Mapping[str, str]
     ) -> bytes | None:
-        """Return the body of a 200; nothing for anything else."""
+        """Return the body of a 200 response, None for any other outcome."""
         from aiohttp import ClientError
 
-        if self._is_resting(upstream, path):
+        if self._is_backing_off(upstream, path):
             return None
         try:
             async with self._open().get(
                 _url(upstream, path), headers=headers
             ) as resp:
-                self._note_rest(upstream, resp)
+                self._record_backoff(upstream, resp)
                 body = await resp.read()
                 return body if resp.status == _OK else None
         except (ClientError, asyncio.TimeoutError, OSError) as exc:
@@ -66,25 +66,25 @@
             )
             return None
 
-    async def order(
+    async def send_order(
         self,
         upstream: UpstreamRecord,
         path: str,
         headers: Mapping[str, str],
         body: bytes,
     ) -> int | None:
-        """Give an order; return the answer's status, nothing without one."""
-        if self._is_resting(upstream, path):
+        """Send an order; return the response status, None without response."""
+        if self._is_backing_off(upstream, path):
             return None
-        answer = await self._desk.give(
+        status = await self._dispatcher.dispatch(
             len(body), lambda: self._post(upstream, path, headers, body)
         )
-        if answer is None:
+        if status is None:
             logger.info('event=order_lost upstream={}', upstream.identity)
-        return answer
+        return status
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -101,7 +101,7 @@
             async with self._open().post(
                 _url(upstream, path), data=body, headers=headers
             ) as resp:
-                self._note_rest(upstream, resp)
+                self._record_backoff(upstream, resp)
                 await resp.read()
                 return resp.status
         except (ClientError, asyncio.TimeoutError, OSError) as exc:
@@ -112,38 +112,39 @@
             )
             return None
 
-    def _is_resting(self, upstream: UpstreamRecord, path: str) -> bool:
-        left_s = self._rests.left_s(upstream.identity, _now())
-        if left_s:
+    def _is_backing_off(self, upstream: UpstreamRecord, path: str) -> bool:
+        remaining_s = self._backoffs.remaining_s(upstream.identity, _now())
+        if remaining_s:
             logger.info(
                 'event=engine_left_alone upstream={} path={} rest_ms={:.0f}',
                 upstream.identity,
                 path,
-                1000 * left_s,
+                1000 * remaining_s,
             )
-        return left_s > 0
+        return remaining_s > 0
 
-    def _note_rest(
+    def _record_backoff(
         self, upstream: UpstreamRecord, resp: ClientResponse
     ) -> None:
-        rest = read_rest(resp.status, resp.headers.getall('Retry-After', ()))
-        if rest is None:
+        backoff = read_rest(resp.status, resp.headers.getall('Retry-After', ()))
+        if backoff is None:
             return
         logger.info(
             'event=engine_rests upstream={} rest_s={}',
             upstream.identity,
-            rest.seconds,
+            backoff.seconds,
         )
-        if rest.seconds is not None:
-            self._rests.note(upstream.identity, rest.seconds, _now())
+        if backoff.seconds is not None:
+            self._backoffs.record(upstream.identity, backoff.seconds, _now())
 
     def _open(self) -> ClientSession:
         if self._session is None:
             from aiohttp import ClientSession, ClientTimeout, TCPConnector
 
             self._session = ClientSession(
-                # The library's own limit is 100 connections: of a group's 192
-                # ranks, 92 waited for one within the time for their answer.
+                # No connection limit. With the library's default of 100, 92 of
+                # a group's 192 ranks waited for a connection while their call
+                # timeout was running.
                 connector=TCPConnector(limit=0),
                 timeout=ClientTimeout(total=CALL_TIMEOUT_S),
             )
--- a/src/snipebend/balancing/group_balancer.py
+++ b/src/snipebend/balancing/group_balancer.py
@@ -1,4 +1,4 @@
-"""The control leader's balancing of expert maps over engines without agents."""
+"""Balancing of expert maps over engines without agents, by the leader."""
 
 from __future__ import annotations
 
@@ -12,63 +12,66 @@
 from snipebend.state.roster import RosterPhase
 from snipebend.balancing.meters import BalancerMeters
 from snipebend.balancing.engine_sizes import expert_services
-from snipebend.balancing.group_eyes import GroupEyes, GroupKey
+from snipebend.balancing.group_observer import GroupObserver, GroupKey
 from snipebend.transport.host_keeper import HostKeeper
-from snipebend.balancing.lead import Lead
+from snipebend.balancing.leadership import Leadership
 from snipebend.transport.replicated_state import ReplicatedState
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from snipebend.experts.group_pace import GroupPaces
+    from snipebend.experts.group_pass_times import GroupPassTimes
     from snipebend.experts.sizes import ExpertSizes
     from snipebend.hosts.model import HostTable
     from snipebend.kernel.registry import Registry
     from snipebend.state.roster import UpstreamRecord
-    from snipebend.balancing.group_care import CareTools, GroupCare
-    from snipebend.balancing.group_eyes import EngineLink
+    from snipebend.balancing.group_controller import (
+        ControllerContext,
+        GroupController,
+    )
+    from snipebend.balancing.group_observer import EngineLink
 
-#: Seconds between two looks for ranks that belong to no group yet: about a
-#: quarter of the time in which a group forms anew (0.6 s and more).
-SURVEY_EVERY_S = 0.15
+#: Seconds between two surveys of ranks that belong to no group yet: about a
+#: quarter of the time that a group needs to re-form (0.6 s or more).
+SURVEY_INTERVAL_S = 0.15
 
-#: Seconds between two looks whether this daemon leads now. A group may be held
-#: and stand still since its last leader died: at 1 s it did so 0.5 s longer in
-#: the mean.
-IDLE_EVERY_S = 0.05
+#: Seconds between two checks whether this daemon leads. A group may have been
+#: on hold since its previous leader crashed; with an interval of 1 s it was
+#: stopped 0.5 s longer on average.
+LEADERSHIP_CHECK_INTERVAL_S = 0.05
 
 
 class GroupBalancer(Service):
-    """Finds the groups of engines, and cares for each by a task of its own."""
+    """Discovers groups of engines and runs one controller task for each."""
 
     def __init__(
         self,
         name: str,
         link: EngineLink,
         table: Callable[[], HostTable | None],
-        paces: GroupPaces,
+        pass_times: GroupPassTimes,
     ) -> None:
-        """Keep the way to engines; ``table`` returns the document in force."""
+        """Create the service; ``table`` returns the current document."""
         super().__init__(name)
-        self._paces = paces
+        self._pass_times = pass_times
         self._link = link
         self._table = table
-        #: The care for each group, while a task gives it.
-        self.cares: dict[GroupKey, GroupCare] = {}
-        #: What the care for groups needs; none: not started.
-        self._loading: asyncio.Task[CareTools] | None = None
+        #: The controller of each group, while its task runs.
+        self.controllers: dict[GroupKey, GroupController] = {}
+        #: Loads the controllers' dependencies; None before the start.
+        self._loading: asyncio.Task[ControllerContext] | None = None
 
     async def start(self, registry: Registry) -> None:
-        """Start the task."""
+        """Start loading dependencies and the balancing task."""
         self._tasks = registry.tasks
         self._store = registry.find('state', ReplicatedState)
         self._keeper = registry.find('hosts', HostKeeper)
-        self._lead = Lead(self._store, registry.clock)
+        self._leadership = Leadership(self._store, registry.clock)
         self._clock = registry.clock
-        # Every daemon may have to lead, while groups stand still or have maps
-        # that don't fit: what that needs is loaded beside its first election.
-        self._loading = self._begin_loading()
-        registry.tasks.start('balance', self._balance_for_ever)
+        # Any daemon can become leader while groups are on hold or have
+        # unsuitable maps, so dependencies are loaded during the first election.
+        self._loading = self._start_loading()
+        registry.tasks.start('balance', self._run)
 
     async def stop(self) -> None:
         """Close the connections to engines."""
@@ -77,93 +80,100 @@
         await self._link.close()
 
     def dump(self) -> Mapping[str, object]:
-        """Return how far each group's demand was followed."""
+        """Return the state of demand tracking, by group."""
         return {
             key.group: {
                 'service': key.service,
-                'epoch': care.watch.epoch,
-                'step': care.watch.step,
-                'turning': care.watch.turning,
+                'epoch': controller.monitor.epoch,
+                'step': controller.monitor.step,
+                'turning': controller.monitor.is_demand_unknown,
             }
-            for key, care in self.cares.items()
-            if care.watch is not None
+            for key, controller in self.controllers.items()
+            if controller.monitor is not None
         }
 
     @property
     def pause_s(self) -> float:
-        """Return seconds to the next look for groups."""
-        return SURVEY_EVERY_S if self._lead.may_order else IDLE_EVERY_S
+        """Return the seconds until the next survey."""
+        return (
+            SURVEY_INTERVAL_S
+            if self._leadership.can_order
+            else LEADERSHIP_CHECK_INTERVAL_S
+        )
 
-    async def look(self) -> list[GroupCare]:
-        """Look for groups, if this daemon leads; return those found now."""
-        self._lead.note_term()
-        if not self._lead.may_order:
+    async def check(self) -> list[GroupController]:
+        """Survey groups if this daemon leads; return new controllers."""
+        self._leadership.update_term()
+        if not self._leadership.can_order:
             self._keeper.forget_groups()
             return []
-        return await self._survey(await self._find_tools())
+        return await self._survey(await self._load_context())
 
-    async def _find_tools(self) -> CareTools:
-        """Return what was loaded; load it again if that failed.
+    async def _load_context(self) -> ControllerContext:
+        """Return the loaded dependencies; repeat the load after a failure.
 
-        The first time it is loaded beside all else that a daemon starts.
+        The first load runs in parallel with the start of the daemon.
         """
         assert self._loading is not None, 'start() comes first'
         await asyncio.wait((self._loading,))
         failure = self._loading.exception()
         if failure is not None:
             logger.warning('event=load_failed error={!r}', str(failure))
-            self._loading = self._begin_loading()
+            self._loading = self._start_loading()
         return await self._loading
 
-    def _begin_loading(self) -> asyncio.Task[CareTools]:
+    def _start_loading(self) -> asyncio.Task[ControllerContext]:
         return asyncio.create_task(asyncio.to_thread(self._load))
 
-    async def _survey(self, tools: CareTools) -> list[GroupCare]:
-        found: list[GroupCare] = []
+    async def _survey(
+        self, context: ControllerContext
+    ) -> list[GroupController]:
+        found: list[GroupController] = []
         for service, _ in expert_services(self._table()):
             members = self._members(service)
-            for group in await tools.eyes.survey(service, members):
+            for group in await context.observer.survey(service, members):
                 key = GroupKey(service, group)
-                if key not in self.cares:
-                    self.cares[key] = tools.care_for(key)
-                    found.append(self.cares[key])
+                if key not in self.controllers:
+                    self.controllers[key] = context.create_controller(key)
+                    found.append(self.controllers[key])
         return found
 
-    def _load(self) -> CareTools:
-        """Load what only a leader needs: 23 MB, 0.3 s of a core."""
+    def _load(self) -> ControllerContext:
+        """Load the modules that only a leader needs: 23 MB, 0.3 s CPU time."""
         from snipebend.balancing.count_reader import CountReader
-        from snipebend.balancing.group_care import CareTools
+        from snipebend.balancing.group_controller import ControllerContext
 
         self._link.load()
-        return CareTools(
+        return ControllerContext(
             self._link,
             self._clock,
-            GroupEyes(self._link, self._clock),
+            GroupObserver(self._link, self._clock),
             CountReader(self._link, self._clock),
-            self._paces,
+            self._pass_times,
             self._store,
             self._keeper,
             BalancerMeters(),
-            self._lead,
+            self._leadership,
             self._members,
             self._sizes,
         )
 
-    async def _balance_for_ever(self) -> None:
+    async def _run(self) -> None:
         while True:
-            for care in await self.look():
+            for controller in await self.check():
                 self._tasks.start(
-                    f'group-{care.key.group}', partial(self._tend, care)
+                    f'group-{controller.key.group}',
+                    partial(self._run_controller, controller),
                 )
             await asyncio.sleep(self.pause_s)
 
-    async def _tend(self, care: GroupCare) -> None:
-        """Care for a group to the end; after a failure it is begun again."""
-        await care.run()
-        self.cares.pop(care.key, None)
+    async def _run_controller(self, controller: GroupController) -> None:
+        """Run a controller until it ends; it is restarted after a failure."""
+        await controller.run()
+        self.controllers.pop(controller.key, None)
 
     def _members(self, service: str) -> dict[str, UpstreamRecord]:
-        """Return a service's upstreams that haven't ended, by identity."""
+        """Return a service's upstreams that have not ended, by identity."""
         roster = self._store.machine.state.roster
         return {
             record.identity: record
--- a/src/snipebend/balancing/switch_driver.py
+++ b/src/snipebend/balancing/switch_driver.py
@@ -1,4 +1,4 @@
-"""Drives one switch of a group's map: its orders out, their replies in."""
+"""Runs one map switch of a group: sends orders and processes replies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from snipebend.experts.direct_orders import Reply
-from snipebend.experts.direct_switch import DirectSwitch, unsure_ranks
+from snipebend.experts.direct_switch import DirectSwitch, ranks_to_poll
 from snipebend.experts.hold_planner import HoldPlanner
 
 if TYPE_CHECKING:
@@ -16,37 +16,37 @@
 
     from snipebend.experts.direct_orders import RankOrder
     from snipebend.experts.direct_switch import Phase
-    from snipebend.experts.group_watch import Pace
+    from snipebend.experts.group_monitor import PassTiming
     from snipebend.kernel.clock import Clock
     from snipebend.state.group_plans import GroupPlan
     from snipebend.balancing.meters import BalancerMeters
-    from snipebend.balancing.group_eyes import EngineLink, Seen
+    from snipebend.balancing.group_observer import EngineLink, GroupSnapshot
 
-#: Seconds between two steps of a switch.
-STEP_EVERY_S = 0.02
+#: Seconds between two rounds of orders.
+STEP_INTERVAL_S = 0.02
 
-#: Seconds between two rounds of reports while a switch goes on.
-REPORT_EVERY_S = 0.2
+#: Seconds between two rounds of reports during a switch.
+REPORT_INTERVAL_S = 0.2
 
 
 class SwitchDriver:
-    """One switch, as long as this daemon leads."""
+    """Runs one switch while this daemon leads."""
 
     def __init__(
         self,
         link: EngineLink,
         clock: Clock,
         plan: GroupPlan,
-        seen: Seen,
+        snapshot: GroupSnapshot,
         meters: BalancerMeters,
         *,
         fetch_s: float = 0,
-        pace: Pace | None = None,
+        pass_timing: PassTiming | None = None,
     ) -> None:
-        """Start from what was seen; without a pace the reports tell it."""
+        """Start from a snapshot; ``pass_timing`` is derived if missing."""
         self._link = link
         self._clock = clock
-        self._seen = seen
+        self._snapshot = snapshot
         self._meters = meters
         self._fetch_s = fetch_s
         self._switch = DirectSwitch(
@@ -54,31 +54,33 @@
             plan.epoch,
             plan.version,
             plan.layers,
-            seen.any_report.size,
+            snapshot.any_report.size,
             fetch_s,
         )
-        if pace is not None and pace.pass_s is not None:
-            self._switch.aim = HoldPlanner(pace.step, pace.at, pace.pass_s)
-        for report in seen.reports.values():
+        if pass_timing is not None and pass_timing.pass_s is not None:
+            self._switch.aim = HoldPlanner(
+                pass_timing.step, pass_timing.at, pass_timing.pass_s
+            )
+        for report in snapshot.reports.values():
             self._switch.note_report(report)
 
     @property
     def hold_step(self) -> int | None:
-        """Return the pass that the group was held before."""
+        """Return the pass before which the group was held."""
         return self._switch.hold_step
 
-    async def run(self, may_order: Callable[[], bool]) -> Phase:
-        """Drive to the end, or until this daemon may no longer order."""
-        self._may_order = may_order
+    async def run(self, can_order: Callable[[], bool]) -> Phase:
+        """Run until finished, or until this daemon may not send orders."""
+        self._can_order = can_order
         switch = self._switch
         began_at = self._clock.now()
         report_at = began_at + self._fetch_s
-        while not switch.over and may_order():
+        while not switch.is_finished and can_order():
             await self._send_orders()
-            await asyncio.sleep(STEP_EVERY_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
             if self._clock.now() >= report_at:
                 await self._read_reports()
-                report_at = self._clock.now() + REPORT_EVERY_S
+                report_at = self._clock.now() + REPORT_INTERVAL_S
         took_s = self._clock.now() - began_at
         self._meters.switch_ended(switch.group, switch.phase.value, took_s)
         logger.info(
@@ -93,20 +95,20 @@
         return switch.phase
 
     async def _send_orders(self) -> None:
-        """Send what is due until the switch must wait for something."""
+        """Send due orders until the switch has to wait."""
         while True:
-            if self._switch.needs_step(self._clock.now()):
+            if self._switch.needs_step_reading(self._clock.now()):
                 await self._read_step()
             orders = self._switch.next_orders(self._clock.now())
-            if not orders or not self._may_order():
+            if not orders or not self._can_order():
                 return
             await asyncio.gather(*(self._send(order) for order in orders))
 
     async def _send(self, order: RankOrder) -> None:
-        upstream = self._seen.upstreams[order.rank]
-        if not self._may_order():
+        upstream = self._snapshot.upstreams[order.rank]
+        if not self._can_order():
             return
-        reply = await self._link.order(upstream, order)
+        reply = await self._link.send_order(upstream, order)
         kind = type(order).__name__.lower()
         self._meters.order_ended(kind, reply.value)
         if reply is not Reply.ACCEPTED:
@@ -120,19 +122,19 @@
         self._switch.note_reply(order, reply, self._clock.now())
 
     async def _read_step(self) -> None:
-        """Read the pass under way; reports are some hundred ms old."""
-        counts = await self._link.counts(self._seen.upstreams[0])
+        """Read the current pass; reports are a few hundred ms old."""
+        counts = await self._link.read_counts(self._snapshot.upstreams[0])
         if counts is None:
             logger.info('event=step_unread group={} rank=0', self._switch.group)
             return
         self._switch.note_step(counts.epoch, counts.step, self._clock.now())
 
     async def _read_reports(self) -> None:
-        upstreams = self._seen.upstreams
+        upstreams = self._snapshot.upstreams
         reports = await asyncio.gather(
             *(
-                self._link.report(upstreams[rank])
-                for rank in unsure_ranks(self._switch)
+                self._link.read_report(upstreams[rank])
+                for rank in ranks_to_poll(self._switch)
             )
         )
         for report in reports:
--- a/src/snipebend/experts/group_watch.py
+++ b/src/snipebend/experts/group_monitor.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows of one group: its ranks, map and load (pure)."""
+"""Demand and pass times of one group, and map proposals. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
     from snipebend.experts.direct_orders import RankCounts, RankReport
     from snipebend.experts.sizes import ExpertSizes
 
-#: A change that saves less is left while passes are short: for its second it
-#: would bar the answer to the next turn. Turns save 0.5 and more.
+#: A map change that saves less is deferred while passes are short: during the
+#: second that it takes, it would block the response to the next demand shift.
+#: Changes after a demand shift save 0.5 or more.
 URGENT_SAVING = 0.4
 
-#: Seconds that a rank may fetch in one change: passes are long meanwhile. On
-#: six days of turns every 3 s, at 0.11 s an expert, three experts a rank came
-#: to a worth of 0.722, four and more to 0.698, two to 0.677.
-MOST_FETCH_S = 0.35
+#: Limit in seconds for a rank's fetches in one map change, because passes take
+#: longer meanwhile. Over six days with a demand shift every 3 s and 0.11 s per
+#: expert, three experts per rank gave a benefit of 0.722, four or more 0.698
+#: and two 0.677.
+MAX_FETCH_S = 0.35
 
 
-class Pace(NamedTuple):
-    """How fast a group goes from pass to pass; times in seconds."""
+class PassTiming(NamedTuple):
+    """The last observed pass and the duration of a pass, in seconds."""
 
     step: int
     at: float
@@ -38,21 +40,21 @@
     pass_s: float | None = None
 
 
-class Outlook(NamedTuple):
-    """A better map, and how much shorter it makes a pass."""
+class MapProposal(NamedTuple):
+    """A better map, and how much it shortens a pass."""
 
     layers: tuple[LayerMap, ...]
     skew_before: float = 0
     skew_after: float = 0
-    #: Relative to the length of a pass now.
+    #: Saved time relative to the current pass duration.
     saving: float = 0
-    #: Experts that ranks would fetch, over all layers, and the most of one.
-    loads: int = 0
-    most_loads: int = 0
+    #: Experts to fetch over all ranks and layers, and the maximum of one rank.
+    fetches: int = 0
+    max_fetches: int = 0
 
 
-class Kept(NamedTuple):
-    """Why a look left the map as it is."""
+class MapKept(NamedTuple):
+    """The reason for keeping the current map."""
 
     reason: str
     skew: float = 0
@@ -60,114 +62,121 @@
     saving: float = 0
 
 
-class GroupWatch:
-    """One epoch of a group."""
+class GroupMonitor:
+    """Tracks the demand and the pass times of a group during one epoch."""
 
     def __init__(self, sizes: ExpertSizes, report: RankReport) -> None:
-        """Start with the first report of an epoch."""
+        """Start from the first report of an epoch."""
         self.group = report.group
         self.epoch = report.epoch
         self.size = report.size
         self.step = report.step
-        #: Seconds of a pass by what entries tell; none: they don't.
-        self.told_pass_s: float | None = None
-        self._pace: Pace | None = None
-        #: How many times as long each rank takes for its work.
+        #: Pass duration in seconds reported by entries; None without reports.
+        self.reported_pass_s: float | None = None
+        self._pass_timing: PassTiming | None = None
+        #: Duration of each rank's work relative to its usual duration.
         self.slowness: tuple[float, ...] = ()
         self._sizes = sizes
         self.demand = Demand(sizes.layers, sizes.experts)
-        #: When counts were read last.
+        #: Time at which the counts were last read.
         self._read_at: float = 0
-        #: Since when the demand is known, if it ever was.
+        #: How long the demand has been known, if at all.
         self.age = DemandAge()
 
     @property
-    def turning(self) -> bool:
-        """Tell whether the demand isn't known."""
+    def is_demand_unknown(self) -> bool:
+        """Return whether the current demand is unknown."""
         return self.demand.shares is None
 
-    def begin_span(self, read: Mapping[int, RankCounts], now: float) -> None:
-        """Count choices from here on, on the ranks that were read."""
+    def begin_interval(
+        self, read: Mapping[int, RankCounts], now: float
+    ) -> None:
+        """Start a measurement interval on the ranks that were read."""
         self._note_steps(read, now)
         self._read_at = now
         self.demand.begin(read)
 
-    def end_span(
+    def end_interval(
         self, read: Mapping[int, RankCounts], now: float, *, is_unmixed: bool
     ) -> None:
-        """Take over what was chosen since the span began; begin another."""
+        """Record the selections of this interval and start the next one."""
         self._note_steps(read, now)
         self.demand.end(read, is_unmixed=is_unmixed)
         if (
             self.demand.is_conclusive
             and self.demand.is_restarted
-            and not self.turning
+            and not self.is_demand_unknown
         ):
             self.age.note_shift(self._read_at)
         self._read_at = now
 
     @property
-    def pace(self) -> Pace | None:
-        """Return the last pass known and its length; none: not measured."""
-        pace = self._pace
-        if pace is None or self.told_pass_s is None:
-            return pace
-        return pace._replace(pass_s=max(MIN_PASS_S, self.told_pass_s))
+    def pass_timing(self) -> PassTiming | None:
+        """Return the last known pass and its duration, None if unmeasured."""
+        pass_timing = self._pass_timing
+        if pass_timing is None or self.reported_pass_s is None:
+            return pass_timing
+        return pass_timing._replace(
+            pass_s=max(MIN_PASS_S, self.reported_pass_s)
+        )
 
-    def renew_pace(self) -> None:
-        """Measure passes anew: the map in force has changed."""
-        self._pace = None
+    def reset_pass_timing(self) -> None:
+        """Discard the measured pass duration after a map change."""
+        self._pass_timing = None
 
     def _note_steps(self, read: Mapping[int, RankCounts], now: float) -> None:
         for counts in read.values():
-            self._note_pace(counts.step, now)
+            self._update_pass_timing(counts.step, now)
 
-    def _note_pace(self, step: int, now: float) -> None:
-        last = self._pace
+    def _update_pass_timing(self, step: int, now: float) -> None:
+        last = self._pass_timing
         passes = step - last.step if last else 0
         if last and passes > 0:
-            self._pace = Pace(
+            self._pass_timing = PassTiming(
                 step, now, max(MIN_PASS_S, (now - last.at) / passes)
             )
         elif last is None:
-            self._pace = Pace(step, now)
+            self._pass_timing = PassTiming(step, now)
         self.step = max(self.step, step)
 
-    def look(self, layers: tuple[LayerMap, ...]) -> Outlook | Kept:
-        """Return a map that is worth its loads, or why there is none."""
+    def propose_map(
+        self, layers: tuple[LayerMap, ...]
+    ) -> MapProposal | MapKept:
+        """Return a map that justifies its fetches, or why there is none."""
         shares = self.demand.shares
         chosen = self.demand.choices
         if shares is None or chosen is None:
-            return Kept('turning')
+            return MapKept('turning')
         loads: list[list[float]] = (shares * self.size).tolist()
         better = self._search(layers, loads)
-        fetched = _loads_by_rank(layers, better)
+        fetched = _fetches_by_rank(layers, better)
         before = expected_skew(layers, chosen, self.slowness)
         after = expected_skew(better, chosen, self.slowness)
         saving = self._saving(before, after)
         if saving < self._least_saving(max(fetched)):
-            return Kept('saving', before, after, saving)
-        if self._is_calm(saving):
-            return Kept('calm', before, after, saving)
-        return Outlook(
+            return MapKept('saving', before, after, saving)
+        if self._is_deferrable(saving):
+            return MapKept('calm', before, after, saving)
+        return MapProposal(
             better, before, after, saving, sum(fetched), max(fetched)
         )
 
-    def _least_saving(self, most_loads: int) -> float:
+    def _least_saving(self, max_fetches: int) -> float:
         age_s = self.age.age_s(self._read_at)
-        fetch_s = most_loads * self._sizes.fetch_s
+        fetch_s = max_fetches * self._sizes.fetch_s
         return required_saving(age_s, self.age.previous_lifetime_s, fetch_s)
 
-    def _is_calm(self, saving: float) -> bool:
-        """Tell whether streams are on time without this change, too.
+    def _is_deferrable(self, saving: float) -> bool:
+        """Return whether streams are on time without this map change.
 
-        Passes that weren't measured since the last change are waited for.
+        A change is also deferred until passes have been measured since the
+        last change.
         """
         if saving >= URGENT_SAVING:
             return False
-        pass_s = self.told_pass_s
-        if pass_s is None and self._pace is not None:
-            pass_s = self._pace.pass_s
+        pass_s = self.reported_pass_s
+        if pass_s is None and self._pass_timing is not None:
+            pass_s = self._pass_timing.pass_s
         return (
             pass_s is None or pass_s < ON_TIME_SHARE * self._sizes.max_pause_s
         )
@@ -178,14 +187,14 @@
         limits = ChangeLimits(
             self._sizes.slots,
             self._sizes.max_new,
-            max_fetches=self._max_fetches(),
+            max_fetches=self._max_fetched(),
         )
         return MapSearch(layers, loads, limits, self.slowness).run()
 
-    def _max_fetches(self) -> float:
+    def _max_fetched(self) -> float:
         if not self._sizes.fetch_s:
             return math.inf
-        return max(1, MOST_FETCH_S // self._sizes.fetch_s)
+        return max(1, MAX_FETCH_S // self._sizes.fetch_s)
 
     def _saving(self, before: float, after: float) -> float:
         work_share = self._sizes.work_share
@@ -193,10 +202,10 @@
         return work_share * (before - after) / length
 
 
-def _loads_by_rank(
+def _fetches_by_rank(
     before: tuple[LayerMap, ...], after: tuple[LayerMap, ...]
 ) -> list[int]:
-    """Return how many experts each rank fetches, over all layers."""
+    """Return the number of experts that each rank fetches in all layers."""
     return [
         sum(
             len(set(new[rank]) - set(old[rank]))
--- a/src/snipebend/experts/rank_states.py
+++ b/src/snipebend/experts/rank_states.py
@@ -1,4 +1,4 @@
-"""What a coordinator knows of each rank while it switches maps (pure)."""
+"""State of each rank during a map switch. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,130 +7,136 @@
 
 from snipebend.experts.hold_planner import RETRY_S
 
-#: Seconds before a rank that refused to be armed is asked again: the group may
-#: stand still meanwhile. Doubled with each refusal up to the second figure:
-#: each order is paid for, and a rank that fetches slowly refused a hundred.
-ARM_AGAIN_S = 0.015
-MOST_ARM_AGAIN_S = 0.12
+#: Initial and maximum delay in seconds before ``Arm`` is sent again to a rank
+#: that refused it. The first one is short because the group may be on hold
+#: meanwhile. The delay doubles with each refusal, because each order has a cost
+#: and a rank with a slow fetch refused a hundred of them.
+ARM_RETRY_S = 0.015
+MAX_ARM_RETRY_S = 0.12
 
-#: Refusals of one rank to prepare after which the plan is given up.
+#: Number of times that one rank may refuse to prepare before the plan is
+#: abandoned.
 MAX_REFUSALS = 3
 
 
 @dataclass(slots=True)
 class RankState:
-    """What is known of one rank."""
+    """The progress of one rank."""
 
     sent_at: float = -1
-    #: When it should have fetched its experts; none: it wasn't told to.
-    prepared_at: float | None = None
+    #: Expected end of its fetches; None until it accepts ``Prepare``.
+    expected_ready_at: float | None = None
     armed: bool = False
     in_force: bool = False
     refusals: int = 0
-    #: Refusals to be armed, since it was last told to prepare.
+    #: Number of times that it refused ``Arm``.
     arm_refusals: int = 0
-    #: How often it was told to prepare.
-    tries: int = 0
+    #: Number of ``Prepare`` orders sent.
+    prepare_attempts: int = 0
 
     @property
-    def refuses(self) -> bool:
-        """Tell whether it won't prepare."""
-        return self.prepared_at is None and self.refusals >= MAX_REFUSALS
+    def has_refused(self) -> bool:
+        """Return whether the rank has refused to prepare too often."""
+        return self.expected_ready_at is None and self.refusals >= MAX_REFUSALS
 
     @property
-    def arm_again_at(self) -> float:
-        """Return when it may be told again to be armed."""
-        doubled_s = math.ldexp(ARM_AGAIN_S, min(8, self.arm_refusals))
-        return self.sent_at + min(MOST_ARM_AGAIN_S, doubled_s)
+    def arm_retry_at(self) -> float:
+        """Return the time of the next ``Arm`` order."""
+        doubled_s = math.ldexp(ARM_RETRY_S, min(8, self.arm_refusals))
+        return self.sent_at + min(MAX_ARM_RETRY_S, doubled_s)
 
 
 class RankStates:
     """All ranks of a group, by number."""
 
     def __init__(self, size: int) -> None:
-        """Start without knowledge of any rank."""
+        """Create an initial state for each rank."""
         self._ranks = {rank: RankState() for rank in range(size)}
-        #: When the last rank was told to prepare, and when the last one that
-        #: took its first order for it.
-        self._told_at: float = 0
-        self._reached_at: float = 0
+        #: Time at which the last rank accepted ``Prepare``, and at which the
+        #: last rank did so at its first order.
+        self._last_accepted_at: float = 0
+        self._last_first_try_accepted_at: float = 0
 
     def __contains__(self, rank: int) -> bool:
-        """Tell whether a number is one of the group's."""
+        """Return whether the group has a rank with this number."""
         return rank in self._ranks
 
     def __getitem__(self, rank: int) -> RankState:
-        """Return one rank."""
+        """Return the state of one rank."""
         return self._ranks[rank]
 
     @property
-    def losses_s(self) -> float:
-        """Return the seconds that lost answers cost while ranks were told."""
-        return max(0, self._told_at - self._reached_at)
+    def lost_reply_delay_s(self) -> float:
+        """Return the delay due to lost replies to ``Prepare``, in seconds."""
+        return max(0, self._last_accepted_at - self._last_first_try_accepted_at)
 
     @property
     def ready_at(self) -> float:
-        """Return when every rank should have fetched its experts."""
-        return max(rank.prepared_at or 0 for rank in self._ranks.values())
+        """Return the expected end of all fetches."""
+        return max(rank.expected_ready_at or 0 for rank in self._ranks.values())
 
     @property
-    def any_refuses(self) -> bool:
-        """Tell whether a rank won't prepare."""
-        return any(rank.refuses for rank in self._ranks.values())
+    def any_refused(self) -> bool:
+        """Return whether a rank has refused to prepare too often."""
+        return any(rank.has_refused for rank in self._ranks.values())
 
     @property
-    def untold(self) -> list[int]:
-        """Return the ranks that neither fetch nor have fetched experts."""
+    def unprepared(self) -> list[int]:
+        """Return the ranks that have not accepted ``Prepare``."""
         return [
             number
             for number, rank in self._ranks.items()
-            if rank.prepared_at is None
+            if rank.expected_ready_at is None
         ]
 
     @property
     def unarmed(self) -> list[int]:
-        """Return the ranks that aren't armed."""
+        """Return the ranks that are not armed."""
         return [
             number for number, rank in self._ranks.items() if not rank.armed
         ]
 
     @property
     def all_in_force(self) -> bool:
-        """Tell whether every rank has switched."""
+        """Return whether every rank has activated the map."""
         return all(rank.in_force for rank in self._ranks.values())
 
-    def note_told(self, rank: int, now: float, ready_at: float) -> None:
-        """Take note that a rank fetches its experts."""
+    def note_prepare_accepted(
+        self, rank: int, now: float, ready_at: float
+    ) -> None:
+        """Record that a rank has started to fetch its experts."""
         state = self._ranks[rank]
-        state.prepared_at = ready_at
-        self._told_at = now
-        if state.tries == 1:
-            self._reached_at = now
+        state.expected_ready_at = ready_at
+        self._last_accepted_at = now
+        if state.prepare_attempts == 1:
+            self._last_first_try_accepted_at = now
 
     def disarm(self) -> None:
-        """Forget who was armed, for a pass that has begun."""
+        """Mark all ranks as not armed after the armed pass has started."""
         for rank in self._ranks.values():
             rank.armed = False
 
-    def take_unprepared(self, now: float) -> list[int]:
-        """Return the ranks that are to be told to prepare now."""
+    def next_to_prepare(self, now: float) -> list[int]:
+        """Return the ranks that are due for ``Prepare`` and record the send."""
         due = [
             number
             for number, rank in self._ranks.items()
-            if rank.prepared_at is None and now >= rank.sent_at + RETRY_S
+            if rank.expected_ready_at is None and now >= rank.sent_at + RETRY_S
         ]
         for number in due:
             self._ranks[number].sent_at = now
-            self._ranks[number].tries += 1
-        self._reached_at = self._reached_at or now
+            self._ranks[number].prepare_attempts += 1
+        self._last_first_try_accepted_at = (
+            self._last_first_try_accepted_at or now
+        )
         return due
 
-    def take_unarmed(self, now: float) -> list[int]:
-        """Return the ranks that are to be armed now."""
+    def next_to_arm(self, now: float) -> list[int]:
+        """Return the ranks that are due for ``Arm`` and record the send."""
         due = [
             number
             for number, rank in self._ranks.items()
-            if not rank.armed and now >= rank.arm_again_at
+            if not rank.armed and now >= rank.arm_retry_at
         ]
         for number in due:
             self._ranks[number].sent_at = now
--- a/src/snipebend/experts/switch_coordinator.py
+++ b/src/snipebend/experts/switch_coordinator.py
@@ -1,8 +1,8 @@
-"""The coordinator of one group's expert map switches, in the control leader.
+"""Coordinator of one group's expert map switches, run by the control leader.
 
-A pure machine: prepare, durable decision, activation. It recovers from the
-committed record and the ranks' reports alone, so that a new leader can take
-over at any point.
+A state machine without I/O: prepare, commit the decision, activate. It recovers
+from the committed record and the ranks' reports alone, so that a new leader can
+take over at any point.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 )
 from snipebend.experts.switch_group import (
     GroupNeed,
-    OrderWriter,
+    OrderFactory,
     PromiseCheck,
     base_stamp,
     check_promises,
-    find_need,
-    first_step,
-    fits,
-    has_ended,
-    without_fetched,
-    without_promise,
+    determine_need,
+    first_unentered_step,
+    is_applicable,
+    awaits_map,
+    exclude_fetched,
+    members_without_promise,
 )
 from snipebend.experts.switch_messages import (
     Abort,
@@ -65,20 +65,21 @@
 
     from snipebend.experts.switch_store import StoreSchedule
 
-#: A hold step that came too early is put off by this factor at each retry,
-#: for which the weights fetched so far need no fetching.
+#: Factor by which the distance to the hold step grows after a rank passed it
+#: before it could promise. A retry does not fetch the weights again that ranks
+#: already have.
 HOLD_GROWTH = 2
 
-#: The retries end here; the policy may propose anew.
+#: Retries stop above this factor; the policy can then propose a new map.
 MAX_HOLD_FACTOR = 1024
 
-_HALF = 0.5
+_MIN_JITTER_FACTOR = 0.5
 
 Outcome = Literal['activated', 'aborted', 'interrupted']
 
 
 class SwitchCoordinator:
-    """One holder of a group's fence, from its election to its end."""
+    """Coordinates the switches of a group while it holds the group's fence."""
 
     def __init__(
         self,
@@ -89,8 +90,9 @@
     ) -> None:
         """Recover from the committed record.
 
-        A former coordinator may have prepared the version after the last
-        settled one; it is aborted first, so that no version has two contents.
+        A previous coordinator may have prepared the version after the last
+        settled one. That version is aborted first, so that no version number
+        is used for two different maps.
         """
         self.record = record
         self.roster = RankRoster(fence)
@@ -100,11 +102,11 @@
         )
         self._cfg = cfg
         self._fence = fence
-        self._writer = OrderWriter(cfg.group, fence)
+        self._order_factory = OrderFactory(cfg.group, fence)
         self._schedule = schedule
         self._resend_at = float('-inf')
         self._hold_factor = 1
-        self._again: MapProposed | None = None
+        self._retry_proposal: MapProposed | None = None
         self._activated = MapStamp()
 
     def step(
@@ -113,22 +115,22 @@
         now: float,
         rng: Random,
     ) -> list[CoordinatorAction]:
-        """Handle one event and return what to do, in order."""
+        """Handle one event and return the resulting actions in order."""
         if isinstance(self.state, Stopped):
             return []
         actions = self._dispatch(event, now, rng)
-        if self._again is not None and isinstance(self.state, Idle):
-            proposal = self._again
-            self._again = None
+        if self._retry_proposal is not None and isinstance(self.state, Idle):
+            proposal = self._retry_proposal
+            self._retry_proposal = None
             actions += self._propose(proposal, now)
         return actions
 
     def decide(self, decision: SwitchDecision) -> list[CoordinatorAction]:
-        """Decide durably; nothing is activated before."""
+        """Commit the decision; activation starts only after the commit."""
         return self._persist(Decide(decision), decision.stamp)
 
-    def bump(self) -> list[CoordinatorAction]:
-        """End the incarnation and settle whatever was being prepared."""
+    def start_incarnation(self) -> list[CoordinatorAction]:
+        """Start a new incarnation and settle the version being prepared."""
         settled = self.record.settled
         if isinstance(self.state, Preparing):
             settled = self.state.decision.stamp.map_version
@@ -162,17 +164,19 @@
         event: MapProposed,
         now: float,
     ) -> list[CoordinatorAction]:
-        fitting = fits(event, self.record, self.roster)
-        if not isinstance(self.state, Idle) or not fitting:
+        applicable = is_applicable(event, self.record, self.roster)
+        if not isinstance(self.state, Idle) or not applicable:
             return []
         stamp = MapStamp(event.incarnation, self.record.settled + 1)
-        starts = self._schedule.reserve(event.fetch_bytes, now, event.pace)
+        starts = self._schedule.reserve(
+            event.fetch_bytes, now, event.rate_share
+        )
         if starts is None:
             return [SwitchEnded(stamp, 'deferred')]
         hold_ahead = event.hold_ahead * self._hold_factor
         decision = SwitchDecision(
             stamp,
-            first_step(self.record, self.roster) + hold_ahead,
+            first_unentered_step(self.record, self.roster) + hold_ahead,
             event.digest,
             event.members,
             event.placement,
@@ -181,16 +185,18 @@
             event,
             decision,
             base_stamp(self.record),
-            self.roster.lives(event.members),
+            self.roster.life_by_rank(event.members),
             starts,
             now + self._cfg.prepare_s,
         )
-        return _send_prepares(self._writer, self.state, self.roster)
+        return _send_prepares(self._order_factory, self.state, self.roster)
 
     def _tick(self, now: float, rng: Random) -> list[CoordinatorAction]:
         if now < self._resend_at:
             return []
-        self._resend_at = now + self._cfg.resend_s * (_HALF + rng.random())
+        self._resend_at = now + self._cfg.resend_s * (
+            _MIN_JITTER_FACTOR + rng.random()
+        )
         match self.state:
             case Preparing(decision=decision, deadline_at=deadline_at):
                 if deadline_at <= now:
@@ -198,28 +204,30 @@
                         Abort(decision.stamp.map_version),
                         decision.stamp,
                     )
-                return _send_prepares(self._writer, self.state, self.roster)
+                return _send_prepares(
+                    self._order_factory, self.state, self.roster
+                )
             case Persisting(change=change):
                 return [PersistDecision(change)]
             case Activating(decision):
-                order = self._writer.activate(self.record)
+                order = self._order_factory.activate(self.record)
                 return _send(self.roster.to_activate(decision), order)
-        query = _send(self.roster.announced or (), self._writer.query())
+        query = _send(self.roster.announced or (), self._order_factory.query())
         return query + self._reconcile()
 
     def _note_report(self, report: RankReport) -> list[CoordinatorAction]:
         if report.fence > self._fence:
             self.state = Stopped()
             return []
-        return self._reconcile() if self.roster.note(report) else []
+        return self._reconcile() if self.roster.record(report) else []
 
     def _reconcile(self) -> list[CoordinatorAction]:
-        """Compare the reports with the state, and act on the difference."""
+        """Compare the reports with the state and return corrective actions."""
         match self.state:
             case Idle():
-                need = find_need(self.record, self.roster, self._cfg.ranks)
+                need = determine_need(self.record, self.roster, self._cfg.ranks)
                 if need is GroupNeed.BUMP:
-                    return self.bump()
+                    return self.start_incarnation()
                 if need is GroupNeed.MAP:
                     members = self.roster.announced or ()
                     return [NeedMap(self.record.incarnation, members)]
@@ -233,19 +241,19 @@
         stamp = state.decision.stamp
         match check_promises(state, self.roster):
             case PromiseCheck.MEMBER_LOST:
-                return self.bump()
+                return self.start_incarnation()
             case PromiseCheck.TOO_LATE:
-                self._put_off(state)
+                self._retry_later(state)
                 return self._persist(Abort(stamp.map_version), stamp)
             case PromiseCheck.COMPLETE:
                 return self.decide(state.decision)
         return []
 
-    def _put_off(self, state: Preparing) -> None:
-        """Try the same map again with a later hold step."""
+    def _retry_later(self, state: Preparing) -> None:
+        """Schedule a retry of the same map with a later hold step."""
         self._hold_factor *= HOLD_GROWTH
         if self._hold_factor <= MAX_HOLD_FACTOR:
-            self._again = without_fetched(state, self.roster)
+            self._retry_proposal = exclude_fetched(state, self.roster)
         else:
             self._hold_factor = 1
 
@@ -253,9 +261,9 @@
         self,
         decision: SwitchDecision,
     ) -> list[CoordinatorAction]:
-        if self.roster.lacks(decision):
+        if self.roster.has_unfit_member(decision):
             ended = SwitchEnded(decision.stamp, 'interrupted')
-            return [ended, *self.bump()]
+            return [ended, *self.start_incarnation()]
         if self.roster.to_activate(decision):
             return []
         self._hold_factor = 1
@@ -277,22 +285,24 @@
         if not isinstance(state, Persisting):
             return []
         if change_record(record, state.change) is not None:
-            # An older record: the change has not been committed yet.
+            # This record is older than the requested change.
             return []
         self.record = record
-        told = _send(self.roster.announced or (), self._writer.activate(record))
+        actions = _send(
+            self.roster.announced or (), self._order_factory.activate(record)
+        )
         decision = record.decision
         if (
             decision is None
-            or has_ended(record)
+            or awaits_map(record)
             or decision.stamp == self._activated
         ):
             self.state = Idle()
         else:
             self.state = Activating(decision)
         if decision is None or decision.stamp != state.stamp:
-            told.append(_name_end(state))
-        return told + self._reconcile()
+            actions.append(_switch_ended(state))
+        return actions + self._reconcile()
 
 
 def _send(ranks: Iterable[str], order: RankOrder) -> list[CoordinatorAction]:
@@ -300,17 +310,17 @@
 
 
 def _send_prepares(
-    writer: OrderWriter,
+    factory: OrderFactory,
     state: Preparing,
     roster: RankRoster,
 ) -> list[CoordinatorAction]:
     return [
-        SendOrder(rank, writer.prepare(rank, state))
-        for rank in without_promise(state.decision, roster)
+        SendOrder(rank, factory.prepare(rank, state))
+        for rank in members_without_promise(state.decision, roster)
     ]
 
 
-def _name_end(state: Persisting) -> SwitchEnded:
+def _switch_ended(state: Persisting) -> SwitchEnded:
     aborted = isinstance(state.change, Abort)
     outcome: Outcome = 'aborted' if aborted else 'interrupted'
     return SwitchEnded(state.stamp, outcome)
--- a/src/snipebend/transport/group_switch.py
+++ b/src/snipebend/transport/group_switch.py
@@ -162,7 +162,7 @@
         if self.issuer.needs_renewal(now):
             await self._take_fence(now)
         now = self._links.clock.wall()
-        if not self.issuer.holds(now):
+        if not self.issuer.has_valid_lease(now):
             self.coordinator = None
         elif (
             self.coordinator is None
@@ -182,7 +182,7 @@
                 exc.message,
             )
             return
-        if self.issuer.note(reply):
+        if self.issuer.apply_reply(reply):
             self.coordinator = None
             logger.info(
                 'event=fence_taken group={} fence={}',
@@ -287,7 +287,7 @@
         placed = plan.placed
         if placed is None:
             return
-        fresh = coordinator.roster.fresh()
+        fresh = coordinator.roster.ranks_without_map()
         before = read_decision(coordinator.record.decision)
         sizes = fetch_bytes(before, placed, self.group.expert_bytes, fresh)
         rate = plan.pace * self.group.store_bytes_per_s
--- a/src/snipebend/transport/rank_switch.py
+++ b/src/snipebend/transport/rank_switch.py
@@ -21,9 +21,9 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
+    QueryDecision,
     FetchWeights,
-    OrderArrived,
+    OrderReceived,
     RankAction,
     RankEvent,
     WeightsFetched,
@@ -71,7 +71,7 @@
         if isinstance(order, Prepare):
             # The engine must hear of each hold step, weights or not.
             self.guard.promise.fetched.clear()
-        self.handle_event(OrderArrived(order))
+        self.handle_event(OrderReceived(order))
         await self._follow()
         return self.guard.report(refused=self.guard.is_stale(order.fence))
 
@@ -122,7 +122,7 @@
         guard = self.guard
         if isinstance(action, FetchWeights) and order is not None:
             self._tasks.once('fetch', lambda: self._fetch(guard, order))
-        elif isinstance(action, AskDecision):
+        elif isinstance(action, QueryDecision):
             self._tasks.once('ask-decision', lambda: self._ask(guard))
 
     async def _fetch(self, guard: RankGuard, order: Prepare) -> None:
@@ -142,7 +142,7 @@
         record = await self._reader.record(self._group)
         if record.is_ok() and self.guard is guard:
             order = Activate(self._group, guard.fence, record.unwrap())
-            self.handle_event(OrderArrived(order))
+            self.handle_event(OrderReceived(order))
             await self._follow()
 
     async def _follow(self) -> None:
--- a/tests/balancing/test_count_reader.py
+++ b/tests/balancing/test_count_reader.py
@@ -1,4 +1,4 @@
-"""How many ranks are asked for their counts."""
+"""Number of ranks whose counts are read."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from types import SimpleNamespace
 
 from snipebend.balancing.count_reader import (
-    FIRST_SAMPLE,
-    SAMPLE,
+    INITIAL_SAMPLE_SIZE,
+    SAMPLE_SIZE,
     CountReader,
 )
 from snipebend.experts.direct_orders import RankCounts, RankReport
-from snipebend.experts.group_watch import GroupWatch
+from snipebend.experts.group_monitor import GroupMonitor
 from snipebend.experts.reading_plan import Reading
 from snipebend.experts.sizes import ExpertSizes
 from tests.virtual_time import LoopClock
@@ -22,34 +22,38 @@
 
 
 class Engines:
-    """Ranks with many choices in each pass."""
+    """Ranks with many selections in each pass."""
 
     def __init__(self):
-        self.asked = []
+        self.queried = []
         self.step = 1
 
-    async def counts(self, upstream):
-        self.asked.append(upstream)
-        choices = (100 * self.step,) * (SIZES.layers * SIZES.experts)
-        return RankCounts(1, self.step, choices)
+    async def read_counts(self, upstream):
+        self.queried.append(upstream)
+        selections = (100 * self.step,) * (SIZES.layers * SIZES.experts)
+        return RankCounts(1, self.step, selections)
 
 
 class TestCountReader(unittest.IsolatedAsyncioTestCase):
-    """More ranks until the demand is known, few after that."""
+    """More ranks are read until the demand is known, and few after that."""
 
-    async def test_first_span_hears_of_many_requests(self):
+    async def test_initial_interval_reads_more_ranks(self):
         engines = Engines()
         reader = CountReader(engines, LoopClock())
-        watch = GroupWatch(SIZES, REPORT)
-        seen = SimpleNamespace(upstreams={rank: rank for rank in range(RANKS)})
+        monitor = GroupMonitor(SIZES, REPORT)
+        snapshot = SimpleNamespace(
+            upstreams={rank: rank for rank in range(RANKS)}
+        )
         asked = []
         for reading in (Reading.BEGIN, Reading.END, Reading.END):
-            engines.asked.clear()
+            engines.queried.clear()
             engines.step += 3
-            self.assertTrue(await reader.read(watch, seen, reading))
-            asked.append(len(set(engines.asked)))
-        self.assertEqual(asked, [FIRST_SAMPLE, FIRST_SAMPLE, SAMPLE])
-        self.assertFalse(watch.turning)
+            self.assertTrue(await reader.read(monitor, snapshot, reading))
+            asked.append(len(set(engines.queried)))
+        self.assertEqual(
+            asked, [INITIAL_SAMPLE_SIZE, INITIAL_SAMPLE_SIZE, SAMPLE_SIZE]
+        )
+        self.assertFalse(monitor.is_demand_unknown)
 
 
 if __name__ == '__main__':
--- a/tests/experts/switch_world.py
+++ b/tests/experts/switch_simulation.py
@@ -1,7 +1,7 @@
-"""A group, its control and a bad network, driven by one seed.
+"""Simulation of a group, its control and an unreliable network from one seed.
 
-Everything that the machines promise is checked while the schedule runs; a
-broken promise raises ``BrokenPromiseError``.
+The invariants of the state machines are checked while the schedule runs; a
+violation raises ``InvariantError``.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    AskDecision,
-    BarrierSeen,
+    QueryDecision,
+    BarrierEntryReceived,
     EnterBarrier,
     EntryRefused,
     FetchWeights,
-    OrderArrived,
+    OrderReceived,
     RefuseEntry,
     RunStep,
     SendReport,
@@ -52,8 +52,8 @@
 RANKS = ('r0', 'r1', 'r2')
 
 
-class BrokenPromiseError(Exception):
-    """The schedule has found a fault."""
+class InvariantError(Exception):
+    """An invariant of the switch was violated."""
 
 
 class ToRank(NamedTuple):
@@ -71,17 +71,17 @@
     change: object
 
 
-class Question(NamedTuple):
+class RecordQuery(NamedTuple):
     rank: str
 
 
-class Checker:
-    """Knows what was committed, entered, fetched and run.
+class InvariantChecker:
+    """Checks invariants on everything committed, entered, fetched and run.
 
     A step is identified by its number within a lineage. A decision continues
-    the lineage if one of its members has, in its present life, entered a step
-    of the newest incarnation that ran any; otherwise nobody is left who could
-    know how far the count had come.
+    the lineage if one of its members has, in its current life, entered a step
+    of the newest incarnation that ran any. Otherwise no remaining member knows
+    how far the steps had been counted.
     """
 
     def __init__(self) -> None:
@@ -91,24 +91,24 @@
         self.fetched: dict[str, set[str]] = {rank: set() for rank in RANKS}
         self.runs: dict[tuple[int, int], MapStamp] = {}
         self.last_run: dict[tuple[int, str], int] = {}
-        self.memory: dict[str, MapStamp] = {}
+        self.entered_stamps: dict[str, MapStamp] = {}
         self.newest = MapStamp()
         self.steps = 0
         self.stopped = 0
 
     def restart(self, rank: str) -> None:
         self.fetched[rank] = set()
-        self.memory.pop(rank, None)
+        self.entered_stamps.pop(rank, None)
 
     def commit(self, decision: SwitchDecision) -> None:
-        known = [self.memory.get(rank) for rank in decision.members]
+        known = [self.entered_stamps.get(rank) for rank in decision.members]
         incarnations = {stamp.incarnation for stamp in known if stamp}
         lineage = len(self.decisions) + 1
         if self.newest.incarnation in incarnations:
             lineage = self.lineages[self.newest]
         for (ran_in, step), stamp in self.runs.items():
             if ran_in == lineage and step >= decision.step:
-                raise BrokenPromiseError('ran beyond the hold', stamp, decision)
+                raise InvariantError('ran beyond the hold', stamp, decision)
         self.decisions[decision.stamp] = decision
         self.lineages[decision.stamp] = lineage
 
@@ -116,20 +116,20 @@
         step, stamp = action
         decision = self.decisions.get(stamp)
         if decision is None or decision.step > step:
-            raise BrokenPromiseError('not decided', rank, action)
+            raise InvariantError('not decided', rank, action)
         lineage = self.lineages[stamp]
         if self.runs.setdefault((lineage, step), stamp) != stamp:
-            raise BrokenPromiseError('two maps', rank, action)
+            raise InvariantError('two maps', rank, action)
         if any(
             newer.stamp > stamp
             and newer.step <= step
             and self.lineages[newer.stamp] == lineage
             for newer in self.decisions.values()
         ):
-            raise BrokenPromiseError('old map', rank, action)
+            raise InvariantError('old map', rank, action)
         self.check_ready(rank, action, decision)
         if self.last_run.get((lineage, rank), -1) >= step:
-            raise BrokenPromiseError('ran again', rank, action)
+            raise InvariantError('ran again', rank, action)
         self.last_run[lineage, rank] = step
         self.newest = max(self.newest, stamp)
         self.steps += 1
@@ -143,17 +143,19 @@
         if any(
             (peer, *action) not in self.entered for peer in decision.members
         ):
-            raise BrokenPromiseError('barrier mixed', rank, action)
+            raise InvariantError('barrier mixed', rank, action)
         if decision.digest not in self.fetched[rank]:
-            raise BrokenPromiseError('no weights', rank, action)
+            raise InvariantError('no weights', rank, action)
 
     def enter(self, rank: str, step: int, stamp: MapStamp) -> None:
         self.entered.add((rank, step, stamp))
-        self.memory[rank] = max(stamp, self.memory.get(rank, stamp))
+        self.entered_stamps[rank] = max(
+            stamp, self.entered_stamps.get(rank, stamp)
+        )
 
 
-class World:
-    """One seeded schedule, from quiet to wild."""
+class Simulation:
+    """One seeded schedule; the seed also selects the rate of faults."""
 
     def __init__(
         self,
@@ -166,14 +168,14 @@
         self.record = GroupRecord()
         self.fence = 0
         self.quorum = True
-        self.checker = Checker()
+        self.checker = InvariantChecker()
         self.activated = 0
         self.maps = 0
-        self.pool: list[object] = []
+        self.in_flight: list[object] = []
         self.sent = 0
         self.coordinators: dict[int, SwitchCoordinator] = {}
         self.guards: dict[str, RankGuard] = {}
-        self.lives = dict.fromkeys(RANKS, 0)
+        self.life_by_rank = dict.fromkeys(RANKS, 0)
         self.frozen: set[str] = set()
         self.work_left: dict[str, list[object]] = {}
         self.announced = RANKS
@@ -188,13 +190,13 @@
         return self.coordinators.get(self.fence)
 
     def run(self, events: int) -> None:
-        """Let faults, messages and time come in random order."""
+        """Run faults, messages and clock ticks in random order."""
         actions = (
             (self.deliver_random, 60),
             (self.tick, 15),
             (self.work, 40),
             (self.propose, 3),
-            (self.fault, self.rng.choice((0.02, 0.1, 0.3, 1, 3))),
+            (self.inject_fault, self.rng.choice((0.02, 0.1, 0.3, 1, 3))),
         )
         choices, weights = zip(*actions, strict=True)
         picks = self.rng.choices(choices, weights, k=events)
@@ -202,7 +204,7 @@
             act()
 
     def settle(self, rounds: int) -> bool:
-        """Heal everything; tell whether the group moves on under new maps."""
+        """Remove all faults; return whether new maps and steps follow."""
         self.quorum = True
         self.frozen.clear()
         if self.leader is None:
@@ -217,11 +219,11 @@
             for _ in range(8):
                 self.deliver_all()
                 self.work_all()
-            if self.activated >= goal and self._moves_on(floor):
+            if self.activated >= goal and self._makes_progress(floor):
                 return True
         return False
 
-    def fault(self) -> None:
+    def inject_fault(self) -> None:
         rank = self.rng.choice(RANKS)
         match self.rng.randrange(7):
             case 0:
@@ -240,7 +242,7 @@
                 self.quorum = not self.quorum
 
     def elect(self) -> None:
-        """Elect a leader; the former one may go on talking."""
+        """Elect a leader; the previous one may continue to send messages."""
         if not self.quorum:
             return
         self.fence += 1
@@ -258,31 +260,33 @@
     def announce(self, ranks: tuple[str, ...]) -> None:
         self.announced = ranks
         for fence in tuple(self.coordinators):
-            self.tell(fence, RanksAnnounced(ranks))
+            self.notify_coordinator(fence, RanksAnnounced(ranks))
 
     def restart_rank(self, rank: str) -> None:
-        self.lives[rank] += 1
+        self.life_by_rank[rank] += 1
         self.checker.restart(rank)
-        self.guards[rank] = self._make_guard(rank, self.lives[rank], self.fence)
+        self.guards[rank] = self._make_guard(
+            rank, self.life_by_rank[rank], self.fence
+        )
         self.work_left[rank] = []
 
     def deliver_random(self) -> None:
-        if not self.pool:
+        if not self.in_flight:
             return
-        place = self.rng.randrange(len(self.pool))
+        index = self.rng.randrange(len(self.in_flight))
         if self.chance(10):
-            self.deliver(self.pool[place])
+            self.deliver(self.in_flight[index])
             return
-        message = self.pool.pop(place)
+        message = self.in_flight.pop(index)
         if self.chance(95):
             self.deliver(message)
-        # Old messages must not bury the new ones for good.
-        while len(self.pool) > 60:
-            self.pool.pop(self.rng.randrange(len(self.pool)))
+        # Bound the queue so that old messages cannot starve new ones.
+        while len(self.in_flight) > 60:
+            self.in_flight.pop(self.rng.randrange(len(self.in_flight)))
 
     def deliver_all(self) -> None:
-        messages = tuple(self.pool)
-        self.pool.clear()
+        messages = tuple(self.in_flight)
+        self.in_flight.clear()
         for message in messages:
             self.deliver(message)
 
@@ -290,21 +294,21 @@
         match message:
             case ToRank(rank, event):
                 if rank in self.frozen:
-                    self.pool.append(message)
+                    self.in_flight.append(message)
                 else:
-                    self.feed(rank, event)
+                    self.notify_rank(rank, event)
             case ToCoordinator(fence, event):
-                self.tell(fence, event)
+                self.notify_coordinator(fence, event)
             case ToStore(fence, change):
                 self.commit(fence, change)
-            case Question(rank):
+            case RecordQuery(rank):
                 if self.quorum:
                     order = Activate(GROUP, self.fence, self.record)
-                    self.post(ToRank(rank, OrderArrived(order)))
+                    self.post(ToRank(rank, OrderReceived(order)))
 
     def post(self, message: object) -> None:
         self.sent += 1
-        self.pool.append(message)
+        self.in_flight.append(message)
 
     def commit(self, fence: int, change: object) -> None:
         if not self.quorum or fence != self.fence:
@@ -319,64 +323,66 @@
     def tick(self) -> None:
         self.now += self.rng.random() * 0.2
         if self.chance(50):
-            self.tell(self.rng.choice((self.fence, self.fence - 1)), Tick())
+            self.notify_coordinator(
+                self.rng.choice((self.fence, self.fence - 1)), Tick()
+            )
         else:
-            self.feed(self.rng.choice(RANKS), Tick())
+            self.notify_rank(self.rng.choice(RANKS), Tick())
 
     def chance(self, percent: int) -> bool:
         return self.rng.randrange(100) < percent
 
     def tick_all(self) -> None:
         for fence in tuple(self.coordinators):
-            self.tell(fence, Tick())
+            self.notify_coordinator(fence, Tick())
         for rank in RANKS:
-            self.feed(rank, Tick())
+            self.notify_rank(rank, Tick())
 
     def work(self) -> None:
         """Finish a step or a fetch of some rank."""
         rank = self.rng.choice(RANKS)
         if self.work_left[rank] and rank not in self.frozen:
-            place = self.rng.randrange(len(self.work_left[rank]))
-            event = self.work_left[rank].pop(place)
+            index = self.rng.randrange(len(self.work_left[rank]))
+            event = self.work_left[rank].pop(index)
             if isinstance(event, WeightsFetched):
                 self.checker.fetched[rank].add(event.digest)
-            self.feed(rank, event)
+            self.notify_rank(rank, event)
 
     def work_all(self) -> None:
         for _ in RANKS * 3:
             self.work()
 
     def propose(self) -> None:
-        """Let the policy want another map."""
+        """Propose another map on behalf of the policy."""
         if self.leader is not None and self.leader.roster.announced:
             self._propose(
                 self.leader.record.incarnation,
                 self.leader.roster.announced,
             )
 
-    def feed(self, rank: str, event: object) -> None:
+    def notify_rank(self, rank: str, event: object) -> None:
         if rank in self.frozen:
             return
         guard = self.guards[rank]
         before = (guard.fence, guard.promise.newest)
         for action in guard.step(event, self.now, self.rng):
-            self.act_rank(rank, action)
-        if isinstance(event, OrderArrived) and event.order.fence < before[0]:
+            self.apply_rank_action(rank, action)
+        if isinstance(event, OrderReceived) and event.order.fence < before[0]:
             if before != (guard.fence, guard.promise.newest):
-                raise BrokenPromiseError('old fence', rank, event)
+                raise InvariantError('old fence', rank, event)
 
-    def act_rank(self, rank: str, action: object) -> None:
+    def apply_rank_action(self, rank: str, action: object) -> None:
         match action:
             case SendReport(report):
                 for fence in tuple(self.coordinators):
                     self.post(ToCoordinator(fence, RankReported(report)))
-            case AskDecision():
-                self.post(Question(rank))
+            case QueryDecision():
+                self.post(RecordQuery(rank))
             case FetchWeights(digest):
                 self.work_left[rank].append(WeightsFetched(digest))
             case EnterBarrier(peer, entry):
                 self.checker.enter(rank, entry.step, entry.stamp)
-                self.post(ToRank(peer, BarrierSeen(entry)))
+                self.post(ToRank(peer, BarrierEntryReceived(entry)))
             case RefuseEntry(peer, incarnation):
                 self.post(ToRank(peer, EntryRefused(incarnation)))
             case RunStep(step, stamp):
@@ -386,17 +392,17 @@
             case StepStopped():
                 self.checker.stopped += 1
 
-    def tell(self, fence: int, event: object) -> None:
+    def notify_coordinator(self, fence: int, event: object) -> None:
         coordinator = self.coordinators.get(fence)
         if coordinator is None:
             return
         for action in coordinator.step(event, self.now, self.rng):
-            self.act_coordinator(fence, action)
+            self.apply_coordinator_action(fence, action)
 
-    def act_coordinator(self, fence: int, action: object) -> None:
+    def apply_coordinator_action(self, fence: int, action: object) -> None:
         match action:
             case SendOrder(rank, order):
-                self.post(ToRank(rank, OrderArrived(order)))
+                self.post(ToRank(rank, OrderReceived(order)))
             case PersistDecision(change):
                 self.post(ToStore(fence, change))
             case NeedMap(incarnation, members):
@@ -418,6 +424,6 @@
         )
         self.post(ToCoordinator(self.fence, proposal))
 
-    def _moves_on(self, floor: int) -> bool:
+    def _makes_progress(self, floor: int) -> bool:
         stamps = {guard.runner.stamp for guard in self.guards.values()}
         return len(stamps) == 1 and self.checker.steps > floor + 10
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from snipebend.experts.group_pace import WINDOW_S, GroupPaces
+from snipebend.experts.group_pass_times import SAMPLE_TTL_S, GroupPassTimes
 from snipebend.experts.reading_plan import (
     RECHECK_AFTER_S,
     NO_REPORT_INTERVAL_S,
@@ -142,22 +142,22 @@
     """Pass times that several entries reported recently."""
 
     def test_entries_are_weighted_by_their_events(self):
-        paces = GroupPaces()
-        paces.note('g', 3, 0.3, 1.0)
-        paces.note('g', 1, 0.5, 1.1)
-        paces.note('h', 1, 9.0, 1.1)
-        self.assertAlmostEqual(paces.of_group('g', 1.1), 0.2)
+        paces = GroupPassTimes()
+        paces.record('g', 3, 0.3, 1.0)
+        paces.record('g', 1, 0.5, 1.1)
+        paces.record('h', 1, 9.0, 1.1)
+        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1), 0.2)
 
     def test_old_reports_are_ignored(self):
-        paces = GroupPaces()
-        paces.note('g', 2, 0.1, 1.0)
-        paces.note('g', 1, 0.2, 1.2)
-        self.assertAlmostEqual(paces.of_group('g', 1.1 + WINDOW_S), 0.2)
-        self.assertIsNone(paces.of_group('g', 1.3 + WINDOW_S))
-        self.assertIsNone(paces.of_group('unknown', 1.0))
+        paces = GroupPassTimes()
+        paces.record('g', 2, 0.1, 1.0)
+        paces.record('g', 1, 0.2, 1.2)
+        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1 + SAMPLE_TTL_S), 0.2)
+        self.assertIsNone(paces.mean_pass_s('g', 1.3 + SAMPLE_TTL_S))
+        self.assertIsNone(paces.mean_pass_s('unknown', 1.0))
 
     def test_invalid_reports_are_ignored(self):
-        paces = GroupPaces()
-        paces.note('g', 0, 1.0, 1.0)
-        paces.note('g', 1, -1.0, 1.0)
-        self.assertIsNone(paces.of_group('g', 1.0))
+        paces = GroupPassTimes()
+        paces.record('g', 0, 1.0, 1.0)
+        paces.record('g', 1, -1.0, 1.0)
+        self.assertIsNone(paces.mean_pass_s('g', 1.0))
--- a/tests/experts/test_switch_search.py
+++ b/tests/experts/test_switch_search.py
@@ -1,4 +1,4 @@
-"""A seeded search over schedules of the expert map switch."""
+"""Randomized search over seeded schedules of the expert map switch."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_runner import StepRunner
 from snipebend.experts.switch_states import Activating, Idle
-from tests.experts.switch_world import GROUP, BrokenPromiseError, World
+from tests.experts.switch_simulation import GROUP, InvariantError, Simulation
 
 SCHEDULES = 250
 EVENTS = 4000
 SETTLING_ROUNDS = 120
 
-#: A planted fault must be found within this many schedules.
+#: Number of schedules within which an injected fault must be detected.
 FAULT_SCHEDULES = 400
 
 
 class EagerCoordinator(SwitchCoordinator):
-    """Activates without a durable decision."""
+    """Fault: activates without a durable decision."""
 
     def decide(self, decision):
         self.record = change_record(self.record, Decide(decision))
@@ -34,32 +34,32 @@
 
 
 class SameIncarnationCoordinator(SwitchCoordinator):
-    """Goes on in the incarnation of a lost rank."""
+    """Fault: continues in the incarnation of a lost rank."""
 
-    def bump(self):
+    def start_incarnation(self):
         if self.record.incarnation == 0:
-            return super().bump()
+            return super().start_incarnation()
         self.state = Idle()
         return [NeedMap(self.record.incarnation, self.roster.announced)]
 
 
 class HoldlessRunner(StepRunner):
-    """Enters steps beyond the hold."""
+    """Fault: enters steps beyond the hold."""
 
-    def may_enter(self, step):
+    def can_enter(self, step):
         return True
 
 
-class CarelessRunner(StepRunner):
-    """Compares nobody's stamps at the barrier."""
+class UncheckedRunner(StepRunner):
+    """Fault: does not compare the stamps at the barrier."""
 
     def note_entry(self, entry):
-        self._barrier.note(entry)
+        self._barrier.record(entry)
         return []
 
-    def judge_barrier(self):
-        seen = None not in self._barrier.stamps()
-        return Verdict.AGREED if seen else Verdict.WAITING
+    def barrier_verdict(self):
+        is_complete = None not in self._barrier.stamps()
+        return Verdict.AGREED if is_complete else Verdict.WAITING
 
 
 def with_runner(runner):
@@ -69,17 +69,17 @@
     return make
 
 
-class ForgetfulGuard(RankGuard):
-    """Takes orders under old fences."""
+class UnfencedGuard(RankGuard):
+    """Fault: accepts orders with old fences."""
 
     def is_stale(self, fence):
         return False
 
 
-class HastyGuard(RankGuard):
-    """Promises before the weights are there."""
+class EagerGuard(RankGuard):
+    """Fault: promises before the weights are fetched."""
 
-    def may_promise(self):
+    def can_promise(self):
         return self.promise.fetching is not None
 
 
@@ -87,16 +87,18 @@
     {
         'activate without durable decision': {'coordinator': EagerCoordinator},
         'no hold': {'guard': with_runner(HoldlessRunner)},
-        'barrier without version check': {'guard': with_runner(CarelessRunner)},
+        'barrier without version check': {
+            'guard': with_runner(UncheckedRunner)
+        },
         'incarnation not bumped': {'coordinator': SameIncarnationCoordinator},
-        'old fence accepted': {'guard': ForgetfulGuard},
-        'ack before weights fetched': {'guard': HastyGuard},
+        'old fence accepted': {'guard': UnfencedGuard},
+        'ack before weights fetched': {'guard': EagerGuard},
     }
 )
 
 
 def search(**machines: object) -> str:
-    """Return the first broken promise of all schedules, or nothing."""
+    """Return the first violation in all schedules, or an empty string."""
     for seed in range(FAULT_SCHEDULES):
         found = run_schedule(seed, **machines)
         if found:
@@ -105,12 +107,12 @@
 
 
 def run_schedule(seed: int, **machines: object) -> str:
-    """Run one schedule; name what it broke, or return nothing."""
-    world = World(seed, **machines)
+    """Run one schedule; return the violation, or an empty string."""
+    simulation = Simulation(seed, **machines)
     try:
-        world.run(EVENTS)
-        progress = world.settle(SETTLING_ROUNDS)
-    except BrokenPromiseError as exc:
+        simulation.run(EVENTS)
+        progress = simulation.settle(SETTLING_ROUNDS)
+    except InvariantError as exc:
         return str(exc.args)
     return '' if progress else 'no progress'
 
@@ -121,11 +123,13 @@
         switches = 0
         for seed in range(SCHEDULES):
             with self.subTest(seed=seed):
-                world = World(seed)
-                world.run(EVENTS)
-                self.assertTrue(world.settle(SETTLING_ROUNDS), world.record)
-                steps += world.checker.steps
-                switches += world.activated
+                simulation = Simulation(seed)
+                simulation.run(EVENTS)
+                self.assertTrue(
+                    simulation.settle(SETTLING_ROUNDS), simulation.record
+                )
+                steps += simulation.checker.steps
+                switches += simulation.activated
         sys.stdout.write(
             f'switch search: {SCHEDULES} schedules of {EVENTS} events, '
             f'{steps} steps run, {switches} switches\n',
@@ -133,7 +137,7 @@
         self.assertGreater(steps, SCHEDULES * 10)
         self.assertGreater(switches, SCHEDULES * 2)
 
-    def test_planted_faults_are_found(self) -> None:
+    def test_injected_faults_are_detected(self) -> None:
         for name, machines in FAULTS.items():
             with self.subTest(fault=name):
                 found = search(**machines)
