--- a/bench/entry_load.py
+++ b/bench/entry_load.py
@@ -24,9 +24,9 @@
 from typing import TYPE_CHECKING, NamedTuple
 from unittest import mock
 
-from snipebend.relay import choosing
-from snipebend.relay.choosing import Wish, choose
-from snipebend.relay.returning import when_full
+from snipebend.relay import upstream_selection
+from snipebend.relay.retry_after import busy_retry_after_s
+from snipebend.relay.upstream_selection import CallRequirements, select_upstream
 from snipebend.relay.upstreams import UpstreamTable
 from snipebend.state.roster import UpstreamRecord
 
@@ -78,15 +78,15 @@
 
 
 POLICIES = (
-    Policy('as built', choosing.WAITING_SHARE),
+    Policy('as built', upstream_selection.QUEUE_SHARE),
     Policy('none wait', 0),
-    Policy('calls known at once', choosing.WAITING_SHARE, 0),
-    Policy('calls known 0.2 s late', choosing.WAITING_SHARE, 0.2),
-    Policy('of 64 drawn', choosing.WAITING_SHARE, drawn=64),
-    Policy('of 16 drawn', choosing.WAITING_SHARE, drawn=16),
-    Policy('of 8 drawn', choosing.WAITING_SHARE, drawn=8),
-    Policy('of 4 drawn', choosing.WAITING_SHARE, drawn=4),
-    Policy('of 2 drawn', choosing.WAITING_SHARE, drawn=2),
+    Policy('calls known at once', upstream_selection.QUEUE_SHARE, 0),
+    Policy('calls known 0.2 s late', upstream_selection.QUEUE_SHARE, 0.2),
+    Policy('of 64 drawn', upstream_selection.QUEUE_SHARE, drawn=64),
+    Policy('of 16 drawn', upstream_selection.QUEUE_SHARE, drawn=16),
+    Policy('of 8 drawn', upstream_selection.QUEUE_SHARE, drawn=8),
+    Policy('of 4 drawn', upstream_selection.QUEUE_SHARE, drawn=4),
+    Policy('of 2 drawn', upstream_selection.QUEUE_SHARE, drawn=2),
 )
 
 
@@ -149,7 +149,7 @@
         self._ranks = [Rank() for _ in range(RANKS)]
         self._tables = [UpstreamTable() for _ in range(ENTRIES)]
         for table in self._tables:
-            table.take(
+            table.apply_records(
                 UpstreamRecord(str(rank), 's', '10.0.0.1:80', 'dc', SLOTS)
                 for rank in range(RANKS)
             )
@@ -180,11 +180,13 @@
         stream.tried.clear()
         table = self._tables[stream.entry]
         while len(stream.tried) < MOST_SENDS and not stream.over:
-            wish = Wish('dc', PAUSE_S, stream.tried)
-            members = table.of_service('s')
+            requirements = CallRequirements('dc', PAUSE_S, stream.tried)
+            members = table.list_service('s')
             if self._policy.drawn is not None:
                 members = tuple(self._rng.sample(members, self._policy.drawn))
-            upstream = choose(members, wish, self._now, self._rng)
+            upstream = select_upstream(
+                members, requirements, self._now, self._rng
+            )
             if upstream is None:
                 break
             identity = upstream.record.identity
@@ -201,7 +203,7 @@
             self._end(stream, 'refused')
         elif not stream.over:
             stream.has_returned = True
-            wait_s = when_full(self._rng.random())
+            wait_s = busy_retry_after_s(self._rng.random())
             self._at(wait_s, lambda: self._ask(stream))
 
     def _count(self, stream: Stream, change: int) -> None:
@@ -219,7 +221,7 @@
         for number, table in enumerate(self._tables):
             upstream = table.find(identity)
             if number != entry and upstream is not None:
-                others = upstream.others_calls
+                others = upstream.other_entries_calls
                 others[str(entry)] = others.get(str(entry), 0) + change
 
     def _lose_patience(self, stream: Stream) -> None:
@@ -267,7 +269,9 @@
 def play(policy: Policy, load: float) -> dict[str, float]:
     """Return shares of requests by how they ended, over all seeds."""
     ended: Counter[str] = Counter()
-    with mock.patch.object(choosing, 'WAITING_SHARE', policy.waiting_share):
+    with mock.patch.object(
+        upstream_selection, 'QUEUE_SHARE', policy.waiting_share
+    ):
         for seed in SEEDS:
             ended.update(Play(policy, load, seed).run())
     total = sum(ended.values())
--- a/src/snipebend/balancing/direct_http.py
+++ b/src/snipebend/balancing/direct_http.py
@@ -13,7 +13,7 @@
 
 from snipebend.balancing.engine_rests import EngineRests
 from snipebend.balancing.order_desk import OrderDesk
-from snipebend.relay.statement_reading import read_rest
+from snipebend.relay.backpressure_headers import parse_backoff
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -126,7 +126,9 @@
     def _note_rest(
         self, upstream: UpstreamRecord, resp: ClientResponse
     ) -> None:
-        rest = read_rest(resp.status, resp.headers.getall('Retry-After', ()))
+        rest = parse_backoff(
+            resp.status, resp.headers.getall('Retry-After', ())
+        )
         if rest is None:
             return
         logger.info(
--- a/src/snipebend/daemons/relay_entry.py
+++ b/src/snipebend/daemons/relay_entry.py
@@ -52,7 +52,7 @@
         gossip,
         HostFollower('hosts', cfg, clients, read_table),
         desk,
-        PaceTeller('paces', cfg.process.name, desk.paces.take),
+        PaceTeller('paces', cfg.process.name, desk.paces.drain),
         RelayServer('callers', cfg, listener),
         ready,
         admin,
--- a/src/snipebend/edge/answer_parser.py
+++ b/src/snipebend/edge/answer_parser.py
@@ -17,7 +17,7 @@
     connection_options,
     find_all,
 )
-from snipebend.relay.facts import AnswerHead
+from snipebend.relay.facts import ResponseHead
 
 if TYPE_CHECKING:
     from snipebend.edge.exchange import Exchange
@@ -91,8 +91,8 @@
         if status < _FIRST_FINAL_STATUS or self.exchange is None:
             self._skipping = self.exchange is None
             return
-        head = AnswerHead(status, self._reason, tuple(self._headers))
-        facts = self._dialect.read_answer(head)
+        head = ResponseHead(status, self._reason, tuple(self._headers))
+        facts = self._dialect.read_response(head)
         self._note_framing(head)
         # A late copy of an earlier answer is passed over; the own one follows.
         own = {'', self.exchange.request_id}
@@ -115,7 +115,7 @@
         elif self._answered and not self._until_close:
             self._end()
 
-    def _note_framing(self, head: AnswerHead) -> None:
+    def _note_framing(self, head: ResponseHead) -> None:
         framed = find_all(head.headers, CONTENT_LENGTH) or find_all(
             head.headers, TRANSFER_ENCODING
         )
@@ -131,7 +131,7 @@
             exchange.tell(Whole())
 
 
-def _keep_alive(head: AnswerHead) -> float | None:
+def _keep_alive(head: ResponseHead) -> float | None:
     for line in find_all(head.headers, b'keep-alive'):
         for part in line.split(b','):
             name, _, seconds = part.strip().partition(b'=')
--- a/src/snipebend/edge/call.py
+++ b/src/snipebend/edge/call.py
@@ -17,7 +17,7 @@
     from snipebend.edge.exchange import Exchange, Message
     from snipebend.edge.upstream_connection import UpstreamConnection
     from snipebend.edge.upstream_pool import UpstreamPool
-    from snipebend.relay.facts import AnswerFacts, Dialect, UpstreamCall
+    from snipebend.relay.facts import Dialect, ResponseFacts, UpstreamCall
     from snipebend.relay.upstreams import Upstream
 
 #: Bytes of an answer that is kept whole before it is passed on.
@@ -39,8 +39,8 @@
         pool: UpstreamPool,
         upstream: Upstream,
         conn: UpstreamConnection,
-        begun_at: float,
-        hear: Callable[[Upstream, AnswerFacts, float], None],
+        call_started_at: float,
+        hear: Callable[[Upstream, ResponseFacts, float], None],
     ) -> None:
         """Keep an acquired connection; ``begun_at`` in monotonic seconds.
 
@@ -48,7 +48,7 @@
         the caller has left.
         """
         self.upstream = upstream
-        self.begun_at = begun_at
+        self.started_at = call_started_at
         self._hear = hear
         self._pool = pool
         self._conn = conn
@@ -83,7 +83,7 @@
         self._conn.resume()
         match message:
             case Begun(facts=facts):
-                self._hear(self.upstream, facts, self.begun_at)
+                self._hear(self.upstream, facts, self.started_at)
             case Whole():
                 self.over = True
                 self._pool.release(self.upstream.record.identity, self._conn)
--- a/src/snipebend/edge/exchange.py
+++ b/src/snipebend/edge/exchange.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import NamedTuple
 
-from snipebend.relay.facts import AnswerFacts, AnswerHead
+from snipebend.relay.facts import ResponseFacts, ResponseHead
 
 
 class Begun(NamedTuple):
     """The head of the answer, and what it says."""
 
-    head: AnswerHead
-    facts: AnswerFacts
+    head: ResponseHead
+    facts: ResponseFacts
 
 
 class Piece(NamedTuple):
--- a/src/snipebend/edge/final_answer.py
+++ b/src/snipebend/edge/final_answer.py
@@ -7,7 +7,7 @@
 from snipebend.delivery.outcomes import Outcome
 from snipebend.edge.http_headers import end_to_end
 from snipebend.relay import problems
-from snipebend.relay.endings import Next
+from snipebend.relay.call_outcomes import NextAction
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -15,9 +15,9 @@
     from snipebend.edge.answer_writer import AnswerWriter
     from snipebend.edge.call import WholeAnswer
     from snipebend.edge.refuser import Refuser
-    from snipebend.relay.choosing import NoRoom
     from snipebend.relay.facts import CallerFacts
     from snipebend.relay.problems import Refusal
+    from snipebend.relay.upstream_selection import NoCapacity
 
 
 class FinalAnswer:
@@ -50,41 +50,43 @@
 
     def finish(
         self,
-        step: Next,
+        step: NextAction,
         reason: str,
         failure: WholeAnswer | None,
         *,
-        no_room: NoRoom | None,
+        no_capacity: NoCapacity | None,
     ) -> None:
         """Answer after the last call; ``failure`` is the upstream's own."""
         match step:
-            case Next.PASS_ON if failure is not None and not self._begun:
+            case NextAction.FORWARD if failure is not None and not self._begun:
                 self.pass_on(failure)
-            case Next.REFUSE if no_room is not None:
-                self._refuse_until(no_room)
-            case Next.REFUSE:
+            case NextAction.REFUSE if no_capacity is not None:
+                self._refuse_until(no_capacity)
+            case NextAction.REFUSE:
                 self._refuse_for_outage(reason)
             case _:
-                self._refuse(problems.lost(reason))
+                self._refuse(problems.upstream_lost(reason))
 
     def refuse_full(
-        self, *, may_have_run: bool, tried: bool, no_room: NoRoom | None
+        self, *, may_have_run: bool, tried: bool, no_capacity: NoCapacity | None
     ) -> None:
         """Answer that no upstream can take it now."""
         if may_have_run:
-            self._refuse(problems.lost('the call broke, and none is free'))
-        elif no_room is not None:
-            self._refuse_until(no_room)
+            self._refuse(
+                problems.upstream_lost('the call broke, and none is free')
+            )
+        elif no_capacity is not None:
+            self._refuse_until(no_capacity)
         elif tried:
             self._refuse_for_outage('no other upstream is free')
         else:
-            wait_s = self._refuser.wait_for_place_s()
-            self._refuse(problems.busy(wait_s, 'no upstream is free'))
+            retry_after_s = self._refuser.wait_for_place_s()
+            self._refuse(problems.busy(retry_after_s, 'no upstream is free'))
 
     def time_out(self, *, may_have_run: bool) -> None:
         """Answer that the time is over."""
         if may_have_run:
-            self._refuse(problems.too_late(Outcome.UNKNOWN))
+            self._refuse(problems.deadline_exceeded(Outcome.UNKNOWN))
             return
         self._refuse_for_outage('no upstream in time')
 
@@ -92,13 +94,13 @@
     def _begun(self) -> bool:
         return self._answer.begun
 
-    def _refuse_until(self, no_room: NoRoom) -> None:
-        wait_s = self._refuser.wait_for_room_s(no_room.after_s)
-        self._refuse(problems.busy(wait_s, no_room.detail))
+    def _refuse_until(self, no_capacity: NoCapacity) -> None:
+        retry_after_s = self._refuser.wait_for_room_s(no_capacity.retry_after_s)
+        self._refuse(problems.busy(retry_after_s, no_capacity.detail))
 
     def _refuse_for_outage(self, reason: str) -> None:
-        wait_s = self._refuser.wait_for_outage_s(self._time_left_s())
-        self._refuse(problems.busy(wait_s, reason))
+        retry_after_s = self._refuser.wait_for_outage_s(self._time_left_s())
+        self._refuse(problems.busy(retry_after_s, reason))
 
     def _refuse(self, refusal: Refusal) -> None:
         if self._answer.ended:
--- a/src/snipebend/edge/gossip.py
+++ b/src/snipebend/edge/gossip.py
@@ -17,9 +17,9 @@
 
 from snipebend.edge.host_follower import HostFollower
 from snipebend.kernel.service import Service
-from snipebend.relay.limit_book import LimitTold
-from snipebend.relay.refusals import RefusalsTold
-from snipebend.relay.spreading import Receivers, spread
+from snipebend.relay.fan_out import Recipients, choose_recipients
+from snipebend.relay.rate_limit_table import LimitReport
+from snipebend.relay.refusals import RefusalReport
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -48,9 +48,9 @@
     #: Whether the receiver is to tell it on in its data centre.
     onward: bool = False
     #: What it heard of upstreams' limits and began under them.
-    limits: dict[str, LimitTold] = field(default_factory=dict)
+    limits: dict[str, LimitReport] = field(default_factory=dict)
     #: What upstreams refused to it lately.
-    refusals: dict[str, RefusalsTold] = field(default_factory=dict)
+    refusals: dict[str, RefusalReport] = field(default_factory=dict)
 
 
 class CallBooks(Protocol):
@@ -59,26 +59,26 @@
     def own_calls(self) -> dict[str, int]:
         """Return the calls under way, by the upstream's identity."""
 
-    def own_limits(self) -> dict[str, LimitTold]:
+    def own_limits(self) -> dict[str, LimitReport]:
         """Return what to tell of limits, by the upstream's identity."""
 
-    def own_refusals(self) -> dict[str, RefusalsTold]:
+    def own_refusals(self) -> dict[str, RefusalReport]:
         """Return what to tell of refusals, by the upstream's identity."""
 
-    def take_calls(self, entry: str, calls: dict[str, int]) -> None:
+    def apply_calls(self, entry: str, calls: dict[str, int]) -> None:
         """Take over what another entry has under way."""
 
-    def take_limits(
-        self, entry: str, started_at: float, limits: dict[str, LimitTold]
+    def apply_limits(
+        self, entry: str, started_at: float, limits: dict[str, LimitReport]
     ) -> None:
         """Take over what another entry tells of limits."""
 
-    def take_refusals(
-        self, entry: str, refusals: dict[str, RefusalsTold]
+    def apply_refusals(
+        self, entry: str, refusals: dict[str, RefusalReport]
     ) -> None:
         """Take over what another entry tells of refusals."""
 
-    def note_heard(self, share: float) -> None:
+    def record_reachable_share(self, share: float) -> None:
         """Take note of the part of all entries that is heard."""
 
 
@@ -87,7 +87,7 @@
 
     calls: dict[str, int]
     #: Without their ages.
-    limits: dict[str, LimitTold]
+    limits: dict[str, LimitReport]
     #: Numbers by upstream.
     refusals: dict[str, int]
 
@@ -150,11 +150,11 @@
             return
         self._last[told.entry] = stamp
         self._heard_at[told.entry] = self._clock.now()
-        self._books.take_calls(told.entry, told.calls)
+        self._books.apply_calls(told.entry, told.calls)
         if told.limits:
-            self._books.take_limits(told.entry, told.started_at, told.limits)
+            self._books.apply_limits(told.entry, told.started_at, told.limits)
         if told.refusals:
-            self._books.take_refusals(told.entry, told.refusals)
+            self._books.apply_refusals(told.entry, told.refusals)
         if told.onward:
             self._tell_on(told)
 
@@ -192,18 +192,21 @@
 
     def _tell(self, message: CallsTold) -> None:
         receivers = self._receivers(message.number)
-        self.send_to(receivers.near, msgpack.encode(message))
+        self.send_to(receivers.local, msgpack.encode(message))
         onward = replace(message, onward=True)
-        self.send_to(receivers.far, msgpack.encode(onward))
+        self.send_to(receivers.remote, msgpack.encode(onward))
 
     def _tell_on(self, told: CallsTold) -> None:
-        near = self._receivers(told.number).near
-        self.send_to(near, msgpack.encode(replace(told, onward=False)))
+        local = self._receivers(told.number).local
+        self.send_to(local, msgpack.encode(replace(told, onward=False)))
 
-    def _receivers(self, number: int) -> Receivers:
+    def _receivers(self, number: int) -> Recipients:
         follower = self._follower
-        return spread(
-            follower.entries, follower.places, follower.data_center, number
+        return choose_recipients(
+            follower.entries,
+            follower.data_centers,
+            follower.data_center,
+            number,
         )
 
     def send_to(self, addresses: Iterable[str], data: bytes) -> None:
@@ -218,19 +221,19 @@
         for entry, heard_at in tuple(self._heard_at.items()):
             if heard_at < oldest:
                 self._heard_at.pop(entry)
-                self._books.take_calls(entry, {})
+                self._books.apply_calls(entry, {})
                 logger.info('event=entry_silent peer={}', entry)
         known = len(self._follower.entries)
         heard = min(known, len(self._heard_at))
-        self._books.note_heard((heard + 1) / (known + 1))
+        self._books.record_reachable_share((heard + 1) / (known + 1))
 
 
-def _without_ages(limits: Mapping[str, LimitTold]) -> dict[str, LimitTold]:
+def _without_ages(limits: Mapping[str, LimitReport]) -> dict[str, LimitReport]:
     """Return what is news if it changes."""
     return {
         upstream: replace(told, age_s=None) for upstream, told in limits.items()
     }
 
 
-def _numbers_of(refusals: Mapping[str, RefusalsTold]) -> dict[str, int]:
-    return {upstream: told.number for upstream, told in refusals.items()}
+def _numbers_of(refusals: Mapping[str, RefusalReport]) -> dict[str, int]:
+    return {upstream: told.consecutive for upstream, told in refusals.items()}
--- a/src/snipebend/edge/host_follower.py
+++ b/src/snipebend/edge/host_follower.py
@@ -21,7 +21,7 @@
 from snipebend.hosts.lookup import HostIndex
 from snipebend.hosts.model import HostTable
 from snipebend.kernel.service import Service
-from snipebend.relay.entry_lists import EntryLists
+from snipebend.relay.entry_directory import EntryDirectory
 from snipebend.settings.relay import RelaySettings
 from snipebend.state.host_news import HostWatch
 from snipebend.transport.methods import WATCH_HOSTS
@@ -82,8 +82,8 @@
         #: Gossip addresses of the other entries.
         self.entries: frozenset[str] = frozenset()
         #: The data centre of each, as far as told.
-        self.places: dict[str, str] = {}
-        self._lists = EntryLists()
+        self.data_centers: dict[str, str] = {}
+        self._lists = EntryDirectory()
         #: Called after each batch of news.
         self.on_news: Callable[[], None] = _nobody
         #: Told of groups of upstreams, and of none while nobody tells.
@@ -196,7 +196,7 @@
             except (UnavailableError, TimeoutError) as exc:
                 self._clients.retire(address)
                 self._take_groups(address, ())
-                self._lists.drop(address)
+                self._lists.remove_daemon(address)
                 self._fetcher.note_lost(address)
                 # One that refuses all the while is told once.
                 if tally.news or not told_lost:
@@ -259,7 +259,7 @@
         if not news.groups_hold:
             self._take_groups(address, news.groups)
         if news.entries:
-            self._lists.take(address, news.entries, news.entry_places)
+            self._lists.update(address, news.entries, news.entry_places)
             self._note_entries()
         if news.members and self._members != frozenset(news.members):
             self._members = frozenset(news.members)
@@ -267,8 +267,8 @@
         self.on_news()
 
     def _note_entries(self) -> None:
-        self.places = self._lists.places()
-        self.entries = frozenset(self.places) - {self.gossip_address}
+        self.data_centers = self._lists.data_centers()
+        self.entries = frozenset(self.data_centers) - {self.gossip_address}
 
     def _take_groups(
         self, address: str, groups: tuple[GroupStanding, ...]
--- a/src/snipebend/edge/limit_keeper.py
+++ b/src/snipebend/edge/limit_keeper.py
@@ -6,14 +6,14 @@
 
 from loguru import logger
 
-from snipebend.relay.limit_book import LimitBook
+from snipebend.relay.rate_limit_table import RateLimitTable
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
     from snipebend.edge.relay_meters import RelayMeters
-    from snipebend.relay.facts import AnswerFacts
-    from snipebend.relay.limit_book import LimitChange, LimitTold
+    from snipebend.relay.facts import ResponseFacts
+    from snipebend.relay.rate_limit_table import LimitChange, LimitReport
     from snipebend.relay.upstreams import Upstream
 
 
@@ -22,30 +22,32 @@
 
     def __init__(self, now: Callable[[], float], meters: RelayMeters) -> None:
         """Start without limits."""
-        self.book = LimitBook()
+        self.book = RateLimitTable()
         self._now = now
         self._meters = meters
 
-    def note_answer(
-        self, upstream: Upstream, facts: AnswerFacts, begun_at: float
+    def record_response(
+        self, upstream: Upstream, facts: ResponseFacts, call_started_at: float
     ) -> None:
         """Take note of what an answer says of its upstream's limit."""
         identity = upstream.record.identity
-        change = self.book.note_answer(identity, facts, begun_at, self._now())
+        change = self.book.record_response(
+            identity, facts, call_started_at, self._now()
+        )
         if change is not None:
             self._note_change(change)
 
-    def take_told(
-        self, entry: str, started_at: float, told: dict[str, LimitTold]
+    def apply_report(
+        self, entry: str, started_at: float, told: dict[str, LimitReport]
     ) -> None:
         """Take over what another entry tells."""
-        changes = self.book.take_told(entry, started_at, told, self._now())
+        changes = self.book.apply_report(entry, started_at, told, self._now())
         for change in changes:
             self._note_change(change)
 
-    def note_call(self, upstream: Upstream) -> None:
+    def record_call(self, upstream: Upstream) -> None:
         """Take note of a call that begins."""
-        self.book.note_call(upstream.record.identity, self._now())
+        self.book.record_call(upstream.record.identity, self._now())
 
     def with_room(self, upstreams: Sequence[Upstream]) -> Sequence[Upstream]:
         """Return those whose limits leave room for a call now."""
@@ -58,11 +60,11 @@
             if self.book.has_room(one.record.identity, now)
         ]
 
-    def room_after_s(self, upstream: Upstream | None) -> float:
+    def wait_for_room_s(self, upstream: Upstream | None) -> float:
         """Return seconds until an upstream's limit leaves room; 0: now."""
         if upstream is None:
             return 0
-        return self.book.room_after_s(upstream.record.identity, self._now())
+        return self.book.wait_for_room_s(upstream.record.identity, self._now())
 
     def note_diverted(
         self, request: str, service: str, upstream: Upstream
@@ -75,7 +77,7 @@
             request,
             service,
             upstream.record.identity,
-            1000 * self.room_after_s(upstream),
+            1000 * self.wait_for_room_s(upstream),
             self.book.share,
         )
 
--- a/src/snipebend/edge/refuser.py
+++ b/src/snipebend/edge/refuser.py
@@ -7,7 +7,11 @@
 
 from loguru import logger
 
-from snipebend.relay.returning import when_full, when_known, when_out
+from snipebend.relay.retry_after import (
+    busy_retry_after_s,
+    capacity_retry_after_s,
+    outage_retry_after_s,
+)
 from snipebend.transport.problems import Problem
 
 if TYPE_CHECKING:
@@ -39,15 +43,15 @@
 
     def wait_for_place_s(self) -> float:
         """Return when a caller that found all places taken comes back."""
-        return when_full(self._rng.random())
+        return busy_retry_after_s(self._rng.random())
 
-    def wait_for_room_s(self, after_s: float) -> float:
+    def wait_for_room_s(self, retry_after_s: float) -> float:
         """Return when a caller comes back that upstreams had no room for."""
-        return when_known(after_s, self._rng.random())
+        return capacity_retry_after_s(retry_after_s, self._rng.random())
 
     def wait_for_outage_s(self, time_left_s: float) -> float:
         """Return when a caller that nobody can serve now comes back."""
-        return when_out(time_left_s, self._rng.random())
+        return outage_retry_after_s(time_left_s, self._rng.random())
 
     def refuse(
         self, answer: AnswerWriter, refusal: Refusal, facts: CallerFacts
@@ -61,7 +65,7 @@
             refusal.status.value,
             refusal.outcome.value,
             refusal.detail,
-            refusal.wait_s,
+            refusal.retry_after_s,
             self.knowledge(),
         )
         problem = Problem(
@@ -72,5 +76,7 @@
         )
         answer.refuse(
             problem,
-            self._dialect.refusal_headers(facts.request_id, refusal.wait_s),
+            self._dialect.refusal_headers(
+                facts.request_id, refusal.retry_after_s
+            ),
         )
--- a/src/snipebend/edge/relay_desk.py
+++ b/src/snipebend/edge/relay_desk.py
@@ -18,16 +18,16 @@
 from snipebend.edge.upstream_statements import UpstreamStatements
 from snipebend.kernel.service import Service
 from snipebend.relay import problems
-from snipebend.relay.admitting import USUAL_PATIENCE_S, Admitted, admit
-from snipebend.relay.choosing import (
-    NoRoom,
-    Wish,
-    choose,
-    first_end_of_rest,
-)
+from snipebend.relay.admission import DEFAULT_TIMEOUT_S, Admitted, admit
 from snipebend.relay.facts import CallerFacts
-from snipebend.relay.returning import wait_until
-from snipebend.relay.pace import PaceMeter
+from snipebend.relay.retry_after import document_wait_deadline
+from snipebend.relay.step_times import StepTimeMeter
+from snipebend.relay.upstream_selection import (
+    CallRequirements,
+    NoCapacity,
+    earliest_backoff_end,
+    select_upstream,
+)
 from snipebend.relay.upstreams import UpstreamTable
 from snipebend.routing.retry_budget import RetryBudget, savings_of_one
 
@@ -40,8 +40,8 @@
     from snipebend.hosts.lookup import HostIndex
     from snipebend.kernel.registry import Registry
     from snipebend.relay.facts import Dialect
-    from snipebend.relay.limit_book import LimitTold
-    from snipebend.relay.refusals import RefusalsTold
+    from snipebend.relay.rate_limit_table import LimitReport
+    from snipebend.relay.refusals import RefusalReport
     from snipebend.relay.upstreams import Upstream
     from snipebend.settings.relay import RelaySettings
     from snipebend.state.roster import UpstreamRecord
@@ -59,7 +59,7 @@
         self.dialect = dialect
         self._cfg = cfg
         self._upstreams = UpstreamTable()
-        self.paces = PaceMeter()
+        self.paces = StepTimeMeter()
         self._budgets: dict[str, RetryBudget] = {}
         # Spreads entries' choices only; nobody gains by guessing it.
         self._rng = random.Random()
@@ -72,7 +72,7 @@
         self.pool = UpstreamPool(self._cfg.relay, self.dialect, self._clock)
         self._follower = registry.find('hosts', HostFollower)
         self._follower.on_upstreams = self._take_upstreams
-        self._follower.on_groups = self._upstreams.take_groups
+        self._follower.on_groups = self._upstreams.apply_group_statuses
         self.outage = OutageWait(self.now)
         self._follower.on_news = self.outage.wake
         self.meters = RelayMeters(
@@ -81,7 +81,7 @@
                 lambda: self._follower.number,
                 lambda: self._follower.age_s,
                 self._retries_left,
-                lambda: self._upstreams.standings(self.now()),
+                lambda: self._upstreams.count_statuses(self.now()),
             )
         )
         self.refuser = Refuser(self.dialect, self._follower, self.meters)
@@ -139,37 +139,39 @@
         """Return monotonic seconds."""
         return self._clock.now()
 
-    def choose(
+    def select_upstream(
         self, admitted: Admitted, tried: Sequence[str]
     ) -> Upstream | None:
         """Return an upstream for a call; none: all are full or away."""
         if not self.limits.book:
-            return self._choose(admitted, tried)
-        wanted = self._choose(admitted, tried)
-        if wanted is None or not self.limits.room_after_s(wanted):
+            return self._select_upstream(admitted, tried)
+        wanted = self._select_upstream(admitted, tried)
+        if wanted is None or not self.limits.wait_for_room_s(wanted):
             return wanted
         self.limits.note_diverted(
             admitted.facts.request_id, admitted.service, wanted
         )
-        return self._choose(admitted, tried, within_limits=True)
+        return self._select_upstream(admitted, tried, within_limits=True)
 
     def has_other(self, admitted: Admitted, tried: Sequence[str]) -> bool:
         """Tell whether an upstream could take one more call now."""
-        found = self._choose(admitted, tried, within_limits=True)
+        found = self._select_upstream(admitted, tried, within_limits=True)
         return found is not None
 
-    def no_room(
+    def no_capacity(
         self, admitted: Admitted, tried: Sequence[str]
-    ) -> NoRoom | None:
+    ) -> NoCapacity | None:
         """Return what upstreams said that leaves no room; none: nothing."""
         now = self.now()
-        members = self._upstreams.of_service(admitted.service)
-        rested_at = first_end_of_rest(members, now)
+        members = self._upstreams.list_service(admitted.service)
+        rested_at = earliest_backoff_end(members, now)
         if rested_at is not None:
-            return NoRoom('all upstreams asked for a rest', rested_at - now)
-        limited_s = self.limits.room_after_s(self._choose(admitted, tried))
+            return NoCapacity('all upstreams asked for a rest', rested_at - now)
+        limited_s = self.limits.wait_for_room_s(
+            self._select_upstream(admitted, tried)
+        )
         if limited_s:
-            return NoRoom('limits leave no room', limited_s)
+            return NoCapacity('limits leave no room', limited_s)
         return None
 
     def note_pause(
@@ -179,8 +181,8 @@
         self.meters.paused(seconds)
         group = upstream.group
         if group is not None and events:
-            group.note_pass(events, seconds, self.now())
-            self.paces.note(group.name, events, seconds)
+            group.record_steps(events, seconds, self.now())
+            self.paces.record(group.name, events, seconds)
 
     def take_retry(self, service: str) -> bool:
         """Take one retry of a service's budget, if it has any."""
@@ -198,39 +200,39 @@
             if upstream.own_calls
         }
 
-    def own_limits(self) -> dict[str, LimitTold]:
+    def own_limits(self) -> dict[str, LimitReport]:
         """Return what to tell of limits, by the upstream's identity."""
-        return self.limits.book.tell(self.now())
+        return self.limits.book.make_report(self.now())
 
-    def take_calls(self, entry: str, calls: dict[str, int]) -> None:
+    def apply_calls(self, entry: str, calls: dict[str, int]) -> None:
         """Take over what another entry has under way."""
-        self._upstreams.take_calls(entry, calls)
+        self._upstreams.apply_calls(entry, calls)
 
-    def take_limits(
-        self, entry: str, started_at: float, limits: dict[str, LimitTold]
+    def apply_limits(
+        self, entry: str, started_at: float, limits: dict[str, LimitReport]
     ) -> None:
         """Take over what another entry tells of limits."""
-        self.limits.take_told(entry, started_at, limits)
+        self.limits.apply_report(entry, started_at, limits)
 
-    def own_refusals(self) -> dict[str, RefusalsTold]:
+    def own_refusals(self) -> dict[str, RefusalReport]:
         """Return what to tell of refusals, by the upstream's identity."""
-        return self._upstreams.tell_refusals(self.now())
+        return self._upstreams.report_refusals(self.now())
 
-    def take_refusals(
-        self, entry: str, refusals: dict[str, RefusalsTold]
+    def apply_refusals(
+        self, entry: str, refusals: dict[str, RefusalReport]
     ) -> None:
         """Take over what another entry tells of refusals."""
-        for upstream in self._upstreams.take_refusals(refusals, self.now()):
+        for upstream in self._upstreams.apply_refusals(refusals, self.now()):
             logger.info(
                 'event=upstream_avoided upstream={} service={} refusals={} '
                 + 'heard_by={}',
                 upstream.record.identity,
                 upstream.record.service,
-                upstream.refusals.number,
+                upstream.refusals.consecutive,
                 entry,
             )
 
-    def note_heard(self, share: float) -> None:
+    def record_reachable_share(self, share: float) -> None:
         """Take note of the part of all entries that is heard."""
         self.limits.book.share = share
 
@@ -240,20 +242,22 @@
             span_s = deadline - self.now()
             self._tasks.once('finish-behind', lambda: call.read_out(span_s))
 
-    def _choose(
+    def _select_upstream(
         self,
         admitted: Admitted,
         tried: Sequence[str],
         *,
         within_limits: bool = False,
     ) -> Upstream | None:
-        wish = Wish(self._cfg.process.data_center, admitted.route.gap_s, tried)
-        members: Sequence[Upstream] = self._upstreams.of_service(
+        requirements = CallRequirements(
+            self._cfg.process.data_center, admitted.route.gap_s, tried
+        )
+        members: Sequence[Upstream] = self._upstreams.list_service(
             admitted.service
         )
         if within_limits:
             members = self.limits.with_room(members)
-        return choose(members, wish, self.now(), self._rng)
+        return select_upstream(members, requirements, self.now(), self._rng)
 
     def _retries_left(self) -> dict[str, float]:
         return {name: one.left for name, one in self._budgets.items()}
@@ -261,8 +265,8 @@
     async def _wait_for_document(self, facts: CallerFacts) -> None:
         """Let a request wait a little that came before the first news."""
         began_at = self.now()
-        patience_s = facts.patience_s or USUAL_PATIENCE_S
-        until = wait_until(began_at, began_at + patience_s)
+        timeout_s = facts.timeout_s or DEFAULT_TIMEOUT_S
+        until = document_wait_deadline(began_at, began_at + timeout_s)
         known = await self.outage.until(lambda: self.index is not None, until)
         logger.info(
             'event=waited request={} for=document known={} waited_ms={:.0f} '
@@ -308,9 +312,9 @@
                 record.address,
                 record.revision,
             )
-        for gone in self._upstreams.take(records):
+        for gone in self._upstreams.apply_records(records):
             self.pool.drop(gone.record.identity)
-            self.limits.book.drop(gone.record.identity)
+            self.limits.book.remove(gone.record.identity)
 
     async def _sweep_for_ever(self) -> None:
         while True:
--- a/src/snipebend/edge/relay_meters.py
+++ b/src/snipebend/edge/relay_meters.py
@@ -15,7 +15,7 @@
     from opentelemetry.metrics import CallbackOptions, Meter
 
     from snipebend.edge.answer_writer import AnswerWriter
-    from snipebend.relay.admitting import Admitted
+    from snipebend.relay.admission import Admitted
 
 
 class Standing(NamedTuple):
--- a/src/snipebend/edge/relayed_request.py
+++ b/src/snipebend/edge/relayed_request.py
@@ -14,21 +14,27 @@
 from snipebend.edge.stream_relay import StreamRelay
 from snipebend.errors.hierarchy import UnavailableError
 from snipebend.hosts.model import Kind
-from snipebend.relay.endings import Chances, Ending, Next, decide, when_over
+from snipebend.relay.call_outcomes import (
+    CallOutcome,
+    NextAction,
+    RetryConditions,
+    decide_next_action,
+    final_action,
+)
 from snipebend.relay.facts import UpstreamCall
 
 if TYPE_CHECKING:
     from snipebend.edge.answer_writer import AnswerWriter
     from snipebend.edge.caller_parser import WholeRequest
     from snipebend.edge.relay_desk import RelayDesk
-    from snipebend.relay.admitting import Admitted
-    from snipebend.relay.choosing import NoRoom
-    from snipebend.relay.facts import AnswerFacts, AnswerHead
+    from snipebend.relay.admission import Admitted
+    from snipebend.relay.facts import ResponseFacts, ResponseHead
+    from snipebend.relay.upstream_selection import NoCapacity
     from snipebend.relay.upstreams import Upstream
 
 #: Upstreams that one request is offered to at most, while each proves that it
 #: didn't run it: a bound on the time that goes by, not a limit of the route.
-MAX_SENDS = 4
+MAX_CALLS = 4
 
 _STATUS_FAILED = 500
 
@@ -36,7 +42,7 @@
 class Ended(NamedTuple):
     """How a call ended, and the upstream's failure if it gave a whole one."""
 
-    ending: Ending
+    ending: CallOutcome
     reason: str
     answer: WholeAnswer | None = None
     #: Whether the upstream itself failed, rather than being full.
@@ -88,12 +94,12 @@
 
     async def _call_until_answered(self) -> None:
         while True:
-            upstream = self._desk.choose(self._admitted, self._tried)
+            upstream = self._desk.select_upstream(self._admitted, self._tried)
             if upstream is None:
                 self._end.refuse_full(
                     may_have_run=self._may_have_run,
                     tried=bool(self._tried),
-                    no_room=self._no_room(),
+                    no_capacity=self._no_room(),
                 )
                 return
             ended = await self._call(upstream)
@@ -102,30 +108,30 @@
             if not self._goes_on(ended):
                 return
 
-    def _no_room(self) -> NoRoom | None:
-        return self._desk.no_room(self._admitted, self._tried)
+    def _no_room(self) -> NoCapacity | None:
+        return self._desk.no_capacity(self._admitted, self._tried)
 
     async def _call(self, upstream: Upstream) -> Ended | None:
         """Call one upstream; nothing when the caller has its answer."""
         self._tried.append(upstream.record.identity)
         self._upstream = upstream
-        begun_at = self._desk.now()
+        call_started_at = self._desk.now()
         self._note_begin(upstream)
         upstream.own_calls += 1
-        self._desk.limits.note_call(upstream)
+        self._desk.limits.record_call(upstream)
         if upstream.group is not None:
-            upstream.group.note_call(self._desk.now())
+            upstream.group.record_probe(self._desk.now())
         call: Call | None = None
         try:
             call = await self._open(upstream)
             ended = self._decline(call) or await self._exchange(call)
         except UnavailableError as exc:
-            ended = Ended(Ending.UNSENT, str(exc), faulty=True)
+            ended = Ended(CallOutcome.UNSENT, str(exc), faulty=True)
         finally:
             upstream.own_calls -= 1
             if call is not None:
                 self._give_up(call)
-        self._note(upstream, ended, begun_at)
+        self._note(upstream, ended, call_started_at)
         return ended
 
     async def _open(self, upstream: Upstream) -> Call:
@@ -146,11 +152,11 @@
 
         Opening the connection may have taken a while.
         """
-        if not call.upstream.declines(self._desk.now()):
+        if not call.upstream.declines_work(self._desk.now()):
             return None
         call.give_back()
         reason = 'the upstream asked for no more work'
-        return Ended(Ending.UNSENT, reason, declined=True)
+        return Ended(CallOutcome.UNSENT, reason, declined=True)
 
     async def _exchange(self, call: Call) -> Ended | None:
         self._send(call)
@@ -182,35 +188,35 @@
 
     async def _read_answer(self, call: Call, begun: Begun) -> Ended | None:
         head, facts = begun
-        if facts.not_run or facts.other_identity:
+        if facts.not_run or facts.identity_mismatch:
             self._runs -= 1
             self._note_refusal(call, facts)
-            reason = f'refused with {head.status} for {facts.at_fault}'
-            return Ended(Ending.NOT_RUN, reason)
-        if head.status >= _STATUS_FAILED or not facts.proved:
+            reason = f'refused with {head.status} for {facts.faulty_address}'
+            return Ended(CallOutcome.NOT_RUN, reason)
+        if head.status >= _STATUS_FAILED or not facts.authenticated:
             return await self._read_failure(call, begun)
         if self._route.kind is Kind.STREAM and head.status == HTTPStatus.OK:
             return await self._relay_stream(call, head)
         return await self._relay_whole(call, begun)
 
-    def _note_refusal(self, call: Call, facts: AnswerFacts) -> None:
+    def _note_refusal(self, call: Call, facts: ResponseFacts) -> None:
         """Avoid an upstream that refuses, or the group that waits for a rank.
 
         One that is full names itself, and says nothing of the others.
         """
         now = self._desk.now()
         upstream = call.upstream
-        if facts.at_fault in {'', upstream.record.address}:
-            upstream.refusals.note(call.begun_at, now)
+        if facts.faulty_address in {'', upstream.record.address}:
+            upstream.refusals.record_refusal(call.started_at, now)
         elif upstream.group is not None:
-            upstream.group.note_lost_rank(now)
+            upstream.group.record_lost_rank(now)
 
     async def _read_failure(self, call: Call, begun: Begun) -> Ended:
         answer = await call.receive_whole(begun)
         reason = f'failed with {begun.head.status}'
-        if isinstance(answer, Broken) or not begun.facts.proved:
+        if isinstance(answer, Broken) or not begun.facts.authenticated:
             return self._unknown(reason)
-        return Ended(Ending.FAILED, reason, answer, faulty=True)
+        return Ended(CallOutcome.FAILED, reason, answer, faulty=True)
 
     async def _relay_whole(self, call: Call, begun: Begun) -> Ended | None:
         answer = await call.receive_whole(begun)
@@ -219,7 +225,9 @@
         self._end.pass_on(answer)
         return None
 
-    async def _relay_stream(self, call: Call, head: AnswerHead) -> Ended | None:
+    async def _relay_stream(
+        self, call: Call, head: ResponseHead
+    ) -> Ended | None:
         self._stream.begin(head)
         message = await call.receive()
         while isinstance(message, Piece):
@@ -238,7 +246,7 @@
             self._desk.note_pause(self._upstream, events, seconds)
 
     def _unknown(self, reason: str) -> Ended:
-        return Ended(Ending.UNKNOWN, reason, faulty=True)
+        return Ended(CallOutcome.UNKNOWN, reason, faulty=True)
 
     def _note_begin(self, upstream: Upstream) -> None:
         admitted = self._admitted
@@ -258,22 +266,22 @@
             upstream.own_calls,
             upstream.calls,
             upstream.record.slots,
-            1000 * upstream.rest_left_s(self._desk.now()),
+            1000 * upstream.backoff_left_s(self._desk.now()),
             self._stream.resume_after,
             self._desk.refuser.knowledge(),
         )
 
     def _note(
-        self, upstream: Upstream, ended: Ended | None, begun_at: float
+        self, upstream: Upstream, ended: Ended | None, call_started_at: float
     ) -> None:
         service = self._admitted.service
         if ended is None:
-            upstream.note_answer(begun_at)
+            upstream.record_response(call_started_at)
             self._desk.meters.call_ended(service, 'answered')
             return
         self._desk.meters.call_ended(service, ended.ending.value)
         if ended.faulty:
-            upstream.note_failure(self._desk.now())
+            upstream.record_failure(self._desk.now())
         logger.info(
             'event=call_ended request={} upstream={} ending={} reason={!r} '
             + 'failures={} refusals={} {}',
@@ -282,7 +290,7 @@
             ended.ending.value,
             ended.reason,
             upstream.failures,
-            upstream.refusals.number,
+            upstream.refusals.consecutive,
             self._desk.refuser.knowledge(),
         )
 
@@ -291,23 +299,25 @@
         if ended.declined:
             # Nothing reached an upstream, so there is nothing to pay for.
             return True
-        step = decide(ended.ending, self._chances())
-        if step is Next.RETRY and self._desk.take_retry(self._admitted.service):
+        step = decide_next_action(ended.ending, self._retry_conditions())
+        if step is NextAction.RETRY and self._desk.take_retry(
+            self._admitted.service
+        ):
             return True
-        final = when_over(ended.ending, may_have_run=self._may_have_run)
+        final = final_action(ended.ending, may_have_run=self._may_have_run)
         self._end.finish(
-            final, ended.reason, ended.answer, no_room=self._no_room()
+            final, ended.reason, ended.answer, no_capacity=self._no_room()
         )
         return False
 
-    def _chances(self) -> Chances:
+    def _retry_conditions(self) -> RetryConditions:
         admitted = self._admitted
-        return Chances(
+        return RetryConditions(
             idempotent=self._route.idempotent,
             runs_left=self._route.max_attempts - self._runs,
-            sends_left=MAX_SENDS - len(self._tried),
+            attempts_left=MAX_CALLS - len(self._tried),
             time_left_s=self._time_left_s(),
-            other_upstream=self._desk.has_other(admitted, self._tried),
+            other_available=self._desk.has_other(admitted, self._tried),
             may_have_run=self._may_have_run,
         )
 
--- a/src/snipebend/edge/stream_relay.py
+++ b/src/snipebend/edge/stream_relay.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable
 
     from snipebend.edge.answer_writer import AnswerWriter
-    from snipebend.relay.facts import AnswerHead
+    from snipebend.relay.facts import ResponseHead
 
 _EVENT_ID = re.compile(rb'^id: ?(\d+)\r?$', re.MULTILINE)
 
@@ -43,10 +43,10 @@
         self.resume_after: int | None = None
         self.events = 0
         self._answer = answer
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._buffer = EventBuffer()
 
-    def begin(self, head: AnswerHead) -> None:
+    def begin(self, head: ResponseHead) -> None:
         """Begin a call; what an earlier one left unfinished is dropped."""
         self._buffer = EventBuffer()
         self._is_first = True
--- a/src/snipebend/edge/upstream_statements.py
+++ b/src/snipebend/edge/upstream_statements.py
@@ -11,7 +11,7 @@
 
     from snipebend.edge.limit_keeper import LimitKeeper
     from snipebend.edge.relay_meters import RelayMeters
-    from snipebend.relay.facts import AnswerFacts, RestAsked
+    from snipebend.relay.facts import BackoffRequest, ResponseFacts
     from snipebend.relay.upstreams import Upstream
 
 
@@ -30,27 +30,27 @@
         self._limits = limits
 
     def take(
-        self, upstream: Upstream, facts: AnswerFacts, begun_at: float
+        self, upstream: Upstream, facts: ResponseFacts, call_started_at: float
     ) -> None:
         """Take over what the answer to a call says, unless another life spoke.
 
         ``begun_at`` is when the call began, in monotonic seconds.
         """
-        if facts.other_identity:
+        if facts.identity_mismatch:
             upstream.displaced = True
             return
-        self._limits.note_answer(upstream, facts, begun_at)
-        if facts.rest is not None:
-            self._take_rest(upstream, facts.rest)
+        self._limits.record_response(upstream, facts, call_started_at)
+        if facts.backoff is not None:
+            self._take_rest(upstream, facts.backoff)
         if facts.leaving and not upstream.leaving:
             self._take_leaving(upstream)
 
-    def _take_rest(self, upstream: Upstream, rest: RestAsked) -> None:
+    def _take_rest(self, upstream: Upstream, rest: BackoffRequest) -> None:
         record = upstream.record
         if rest.seconds is None:
             logger.warning('event=rest_unreadable upstream={}', record.identity)
             return
-        upstream.note_rest(self._now() + rest.seconds)
+        upstream.record_backoff(self._now() + rest.seconds)
         self._meters.declined(record.service, 'resting')
         logger.info(
             'event=upstream_rests upstream={} service={} rest_ms={:.0f}',
--- a/src/snipebend/hosts/lookup.py
+++ b/src/snipebend/hosts/lookup.py
@@ -53,9 +53,9 @@
         return self._owners.get(key)
 
 
-def pick_service(route: HostRoute, draw: float) -> str:
+def pick_service(route: HostRoute, sample: float) -> str:
     """Return the service for a number drawn evenly from [0, 1)."""
-    left = draw * sum(split.weight for split in route.splits)
+    left = sample * sum(split.weight for split in route.splits)
     for split in route.splits:
         left -= split.weight
         if left < 0:
--- a/src/snipebend/relay/__init__.py
+++ b/src/snipebend/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on requests that go straight to upstreams without an agent."""
+"""Decisions of an entry that proxies requests to upstreams without agents."""
--- a/src/snipebend/relay/admitting.py
+++ b/src/snipebend/relay/admission.py
@@ -1,4 +1,7 @@
-"""What an entry decides of a request before its first call (pure)."""
+"""Admission of a request before its first upstream call.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 from snipebend.hosts.lookup import pick_service
 from snipebend.relay import problems
-from snipebend.relay.returning import when_out
+from snipebend.relay.retry_after import outage_retry_after_s
 
 if TYPE_CHECKING:
     from snipebend.hosts.lookup import HostIndex
@@ -15,17 +18,17 @@
     from snipebend.relay.problems import Refusal
 
 
-#: Seconds that a caller is taken to wait that doesn't tell.
-USUAL_PATIENCE_S = 3.0
+#: Timeout of a caller that sends none.
+DEFAULT_TIMEOUT_S = 3.0
 
 
 class Admitted(NamedTuple):
-    """A request that may be passed on."""
+    """A request that may be forwarded to an upstream."""
 
     facts: CallerFacts
     route: HostRoute
     service: str
-    #: Empty: the route takes requests without a key.
+    #: Empty when the route admits requests without a key.
     workspace: str
     #: 0 is the most urgent.
     priority: int
@@ -39,12 +42,12 @@
     facts: CallerFacts,
     target: str,
     now: float,
-    draw: float,
+    sample: float,
 ) -> Admitted | Refusal:
-    """Admit a request or refuse it; ``draw`` is even over [0, 1)."""
+    """Admit or refuse a request; ``sample`` is uniform over [0, 1)."""
     if index is None:
-        patience_s = facts.patience_s or USUAL_PATIENCE_S
-        return problems.no_document(when_out(patience_s, draw))
+        timeout_s = facts.timeout_s or DEFAULT_TIMEOUT_S
+        return problems.no_document(outage_retry_after_s(timeout_s, sample))
     route = index.find_route(facts.host, target)
     if route is None:
         return problems.no_route()
@@ -54,15 +57,15 @@
     priority = route.priority
     if workspace is not None and workspace.priority is not None:
         priority = workspace.priority
-    patience_s = route.timeout_s
-    if facts.patience_s is not None:
-        patience_s = min(patience_s, facts.patience_s)
+    timeout_s = route.timeout_s
+    if facts.timeout_s is not None:
+        timeout_s = min(timeout_s, facts.timeout_s)
     return Admitted(
         facts,
         route,
-        pick_service(route, draw),
+        pick_service(route, sample),
         workspace.name if workspace else '',
         priority,
         now,
-        now + patience_s,
+        now + timeout_s,
     )
--- /dev/null
+++ b/src/snipebend/relay/entry_directory.py
@@ -0,0 +1,43 @@
+"""The other entries, as listed by the control daemons they watch.
+
+Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+
+class EntryDirectory:
+    """Gossip addresses of entries and their data centres.
+
+    An entry that any daemon lists counts as present: a daemon may be cut off
+    from entries that are connected to other daemons.
+    """
+
+    def __init__(self) -> None:
+        """Start without entries."""
+        self._by_daemon: dict[str, dict[str, str]] = {}
+
+    def update(
+        self, daemon: str, entries: Sequence[str], data_centers: Sequence[str]
+    ) -> None:
+        """Replace a daemon's list; earlier versions send no data centres."""
+        data_center_by_entry = dict.fromkeys(entries, '')
+        data_center_by_entry.update(zip(entries, data_centers, strict=False))
+        self._by_daemon[daemon] = data_center_by_entry
+
+    def remove_daemon(self, daemon: str) -> None:
+        """Remove the list of a daemon that is unreachable."""
+        self._by_daemon.pop(daemon, None)
+
+    def data_centers(self) -> dict[str, str]:
+        """Return the data centre of each entry; empty if unknown."""
+        data_centers: dict[str, str] = {}
+        for data_center_by_entry in self._by_daemon.values():
+            for entry, data_center in data_center_by_entry.items():
+                data_centers[entry] = data_center or data_centers.get(entry, '')
+        return data_centers
--- a/src/snipebend/relay/facts.py
+++ b/src/snipebend/relay/facts.py
@@ -1,15 +1,15 @@
-"""What is known of a request, of one call of an upstream and of its answer."""
+"""Platform-neutral records of requests, upstream calls and responses."""
 
 from __future__ import annotations
 
 from typing import NamedTuple, Protocol
 
-#: Header lines as they were sent, names in the sender's spelling.
+#: Header lines as received, names in the sender's spelling.
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
-def texts_of(headers: Headers, name: bytes) -> list[str]:
-    """Return what each line of a header says, in their order."""
+def header_values(headers: Headers, name: bytes) -> list[str]:
+    """Return the values of a header, in the order of its lines."""
     return [
         sent.decode('latin-1')
         for each, sent in headers
@@ -33,16 +33,16 @@
 
 
 class CallerFacts(NamedTuple):
-    """What a request's head says, in the project's terms."""
+    """The content of a request's head, independent of header names."""
 
-    #: The caller's own id of this sending.
+    #: The caller's ID of this attempt to send the request.
     request_id: str = ''
     host: str = ''
-    #: The workspace's key; empty: none was sent.
+    #: The API key of the workspace; empty if none was sent.
     key: str = ''
-    #: Seconds that the caller will wait; absent: not told.
-    patience_s: float | None = None
-    #: The last event that the caller has, for streams that it resumes.
+    #: Seconds that the caller will wait; None if not stated.
+    timeout_s: float | None = None
+    #: The last event that the caller received, for resumed streams.
     last_event: int = 0
     prompt_tokens: int = 0
     answer_tokens: int = 0
@@ -52,76 +52,76 @@
 class UpstreamCall(NamedTuple):
     """What an entry adds to a request for one upstream."""
 
-    #: The life of the upstream that shall run it, and no other.
+    #: The incarnation of the upstream that may run the request; others refuse.
     identity: str
-    #: The workspace whose key the caller proved; empty: none.
+    #: The workspace that the caller's API key belongs to; empty if none.
     workspace: str
-    #: Seconds that are left; absent: unlimited.
+    #: Seconds left until the deadline; None if unlimited.
     time_left_s: float | None
     #: 0 is the most urgent.
     priority: int
-    #: The event after which a stream goes on; absent: as the caller asked.
+    #: The event after which a stream resumes; None keeps the caller's value.
     resume_after: int | None = None
 
 
-class AnswerHead(NamedTuple):
-    """An answer's line and headers as the upstream sent them."""
+class ResponseHead(NamedTuple):
+    """A response's line and headers as the upstream sent them."""
 
     status: int
     reason: bytes
     headers: Headers
 
 
-class NamedLimit(NamedTuple):
-    """How many requests an upstream in need takes, from all entries."""
+class AnnouncedLimit(NamedTuple):
+    """The request rate that an overloaded upstream accepts from all entries."""
 
-    #: Requests a second; absent: what it says can't be read.
+    #: Requests per second; None if the header can't be parsed.
     per_s: float | None
 
 
-class RestAsked(NamedTuple):
-    """For how long an upstream wants nothing more from this entry."""
+class BackoffRequest(NamedTuple):
+    """For how long an upstream wants no further requests from this entry."""
 
-    #: From its answer on; absent: what it says can't be read.
+    #: Counted from the response; None if the header can't be parsed.
     seconds: float | None
 
 
-class AnswerFacts(NamedTuple):
-    """What an answer's head says, in the project's terms."""
+class ResponseFacts(NamedTuple):
+    """The content of a response's head, independent of header names."""
 
-    #: The id of the request that it answers; empty: not told.
+    #: The ID of the request that it responds to; empty if not stated.
     request_id: str = ''
-    #: Whether it bears the upstream's proof of authorship.
-    proved: bool = False
-    #: Whether the upstream states that it didn't and won't run the request.
+    #: Whether it carries the upstream's proof of authorship.
+    authenticated: bool = False
+    #: Whether the upstream states that it did not and will not run the request.
     not_run: bool = False
-    #: Whether another life of an upstream answered at this address.
-    other_identity: bool = False
-    #: Address of the upstream that is to blame; empty: none is named.
-    at_fault: str = ''
-    #: The limit that it names; absent: none.
-    limit: NamedLimit | None = None
-    #: The rest that it asks for as it refuses the request; absent: none.
-    rest: RestAsked | None = None
-    #: Whether it says that it is leaving, and takes no new work.
+    #: Whether another incarnation of an upstream responded at this address.
+    identity_mismatch: bool = False
+    #: Address of the upstream that caused the refusal; empty if not stated.
+    faulty_address: str = ''
+    #: The announced rate limit, if any.
+    limit: AnnouncedLimit | None = None
+    #: The backoff requested together with a refusal, if any.
+    backoff: BackoffRequest | None = None
+    #: Whether the upstream is shutting down and accepts no new work.
     leaving: bool = False
 
 
 class Dialect(Protocol):
-    """The names under which a platform's callers and upstreams speak."""
+    """The headers by which a platform's callers and upstreams communicate."""
 
     def read_caller(self, head: RequestHead) -> CallerFacts | None:
-        """Return a request's facts; nothing when they can't be read."""
+        """Parse a request's head; return None if it is malformed."""
 
     def upstream_headers(
         self, headers: Headers, call: UpstreamCall
     ) -> list[tuple[bytes, bytes]]:
         """Return a request's headers for an upstream."""
 
-    def read_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Return an answer's facts."""
+    def read_response(self, head: ResponseHead) -> ResponseFacts:
+        """Parse a response's head."""
 
     def refusal_headers(
-        self, request_id: str, wait_s: float
+        self, request_id: str, retry_after_s: float
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an own refusal; 0: no time to come back."""
+        """Return the headers of a refusal by the entry; 0: no retry time."""
--- a/src/snipebend/relay/problems.py
+++ b/src/snipebend/relay/problems.py
@@ -1,4 +1,4 @@
-"""The answers that an entry gives of its own."""
+"""Error responses that an entry generates itself."""
 
 from __future__ import annotations
 
@@ -9,62 +9,65 @@
 
 
 class Refusal(NamedTuple):
-    """An own answer; ``wait_s`` is when to come back, 0: not told."""
+    """An error response; a ``retry_after_s`` of 0 states no retry time."""
 
     status: HTTPStatus
     title: str
     detail: str
     outcome: Outcome = Outcome.NOT_RUN
-    wait_s: float = 0
+    retry_after_s: float = 0
 
 
-def no_document(wait_s: float) -> Refusal:
-    """Nobody told this entry yet what to serve."""
+def no_document(retry_after_s: float) -> Refusal:
+    """Return the refusal of an entry that has not received a document yet."""
     return Refusal(
         HTTPStatus.SERVICE_UNAVAILABLE,
         'Starting',
         'no document is known here yet',
-        wait_s=wait_s,
+        retry_after_s=retry_after_s,
     )
 
 
 def malformed() -> Refusal:
-    """The request's head makes no sense."""
+    """Return the refusal of a request whose head can't be parsed."""
     return Refusal(
         HTTPStatus.BAD_REQUEST, 'Malformed', 'a header can not be read'
     )
 
 
 def no_route() -> Refusal:
-    """No route has this host and path."""
+    """Return the refusal of a host and path without a route."""
     return Refusal(
         HTTPStatus.NOT_FOUND, 'No route', 'no route has this host and path'
     )
 
 
 def unknown_key() -> Refusal:
-    """The key belongs to no workspace."""
+    """Return the refusal of a key that belongs to no workspace."""
     return Refusal(
         HTTPStatus.UNAUTHORIZED, 'Unknown key', 'no workspace has this key'
     )
 
 
-def busy(wait_s: float, detail: str) -> Refusal:
-    """Nobody can take it now, and nobody has run it."""
+def busy(retry_after_s: float, detail: str) -> Refusal:
+    """Return the refusal of a request that did not run for lack of capacity."""
     return Refusal(
-        HTTPStatus.SERVICE_UNAVAILABLE, 'Busy', detail, wait_s=wait_s
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        'Busy',
+        detail,
+        retry_after_s=retry_after_s,
     )
 
 
-def lost(detail: str) -> Refusal:
-    """A call broke, and nobody knows whether it ran."""
+def upstream_lost(detail: str) -> Refusal:
+    """Return the error for a broken call that may have run."""
     return Refusal(
         HTTPStatus.BAD_GATEWAY, 'Upstream lost', detail, Outcome.UNKNOWN
     )
 
 
-def too_late(outcome: Outcome) -> Refusal:
-    """The time is over."""
+def deadline_exceeded(outcome: Outcome) -> Refusal:
+    """Return the error for a request whose deadline has expired."""
     return Refusal(
         HTTPStatus.GATEWAY_TIMEOUT,
         'Too late',
--- a/src/snipebend/relay/rate_limit.py
+++ b/src/snipebend/relay/rate_limit.py
@@ -1,11 +1,14 @@
-"""An upstream's limit of requests a second, kept by all entries (pure).
-
-The load: an upstream in need names how many requests a second it takes from all
-entries together, and each entry hears of the others' calls some hundredths of
-a second late. Each entry keeps the same account of it: the account grows by
-the limit, and each call of any entry is paid from it as soon as it is known.
-What several entries spend before they hear of each other leaves a debt, and
-nobody calls until it is paid: the rate holds in the mean, whatever the delay.
+"""A rate limit of one upstream, shared by all entries.
+
+Performs no I/O.
+
+An overloaded upstream announces how many requests per second it accepts from
+all entries together, and each entry receives the call counts of the others some
+hundredths of a second late. Each entry keeps the same token bucket: it fills at
+the announced rate, and each call of any entry is deducted as soon as it is
+known. Calls that several entries begin before they receive each other's counts
+make the balance negative, and no entry calls until it has recovered: the
+average rate holds, whatever the delay.
 """
 
 from __future__ import annotations
@@ -13,82 +16,82 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-#: Calls that may be saved up while nobody asks for any.
-MOST_SAVED = 2.0
+#: Calls that may accumulate in the bucket while there is no demand.
+MAX_SAVED_CALLS = 2.0
 
-#: Seconds of the limit's calls that may be saved up, for limits of hundreds.
-MOST_SAVED_S = 0.1
+#: Seconds' worth of calls that may accumulate, for limits of hundreds.
+MAX_SAVED_S = 0.1
 
-#: Least calls a second: only an answer tells that a limit has ended, so one of
-#: zero is tried now and then.
-LEAST_PER_S = 0.25
+#: Lowest rate, in calls per second: only a response reports that a limit was
+#: lifted, so an upstream with a limit of zero still gets a call now and then.
+MIN_PER_S = 0.25
 
 
-class LimitWord(NamedTuple):
-    """What an upstream said last of its limit, as one entry heard it."""
+class LimitNotice(NamedTuple):
+    """The limit that an upstream last announced."""
 
-    #: Requests a second from all entries together; none: no limit any more.
+    #: Requests per second from all entries together; None: limit lifted.
     per_s: float | None
     #: Monotonic seconds.
-    heard_at: float
+    received_at: float
 
 
-class Spent(NamedTuple):
-    """Calls of one upstream that an entry has begun under its limit."""
+class CallCount(NamedTuple):
+    """Calls that an entry has begun under an upstream's limit."""
 
-    #: Wall seconds: the life of the entry that counts.
+    #: Wall-clock start time of the entry, which identifies its incarnation.
     started_at: float
     calls: int
 
 
 @dataclass(slots=True)
 class RateLimit:
-    """The account of one upstream that has named a limit."""
+    """The token bucket of one upstream that has announced a limit."""
 
-    word: LimitWord
-    #: Until when the account has grown; monotonic seconds.
-    settled_at: float
-    #: Calls that may begin now; below 0: a debt.
+    notice: LimitNotice
+    #: When the bucket was last refilled; monotonic seconds.
+    refilled_at: float
+    #: Calls that may begin now; negative after too many calls.
     balance: float = 0
-    #: Own calls since the account was opened.
+    #: Calls of this entry since the bucket was created.
     own_calls: int = 0
-    _others: dict[str, Spent] = field(default_factory=dict)
+    _others: dict[str, CallCount] = field(default_factory=dict)
 
     @property
     def per_s(self) -> float:
-        """Return the calls a second that all entries may begin together."""
-        return max(LEAST_PER_S, self.word.per_s or 0)
+        """Return the rate of calls that all entries may begin together."""
+        return max(MIN_PER_S, self.notice.per_s or 0)
 
-    def settle(self, now: float, share: float) -> None:
-        """Let the account grow until now.
+    def refill(self, now: float, share: float) -> None:
+        """Refill the bucket up to the current time.
 
-        ``share`` is the part of all entries that this one hears, itself
-        included: entries that are cut off from each other each spend no more
-        than their part of the limit.
+        ``share`` is the part of all entries that can be received here, this
+        entry included: entries that are cut off from each other each use no
+        more than their part of the limit.
         """
-        grown = self.balance + share * self.per_s * (now - self.settled_at)
-        most = MOST_SAVED + MOST_SAVED_S * self.per_s
-        self.balance = min(most, grown)
-        self.settled_at = now
+        filled = self.balance + share * self.per_s * (now - self.refilled_at)
+        max_balance = MAX_SAVED_CALLS + MAX_SAVED_S * self.per_s
+        self.balance = min(max_balance, filled)
+        self.refilled_at = now
 
     def has_room(self) -> bool:
-        """Tell whether a call may begin, as of the last settlement."""
+        """Return whether a call may begin, as of the last refill."""
         return self.balance >= 1
 
-    def room_after_s(self, share: float) -> float:
-        """Return seconds until a call may begin if nobody else begins one."""
+    def wait_for_room_s(self, share: float) -> float:
+        """Return seconds until a call may begin if other entries begin none."""
         return max(0, 1 - self.balance) / (share * self.per_s)
 
-    def note_call(self) -> None:
-        """Pay for an own call."""
+    def record_call(self) -> None:
+        """Deduct a call of this entry."""
         self.own_calls += 1
         self.balance -= 1
 
-    def take_spent(self, entry: str, spent: Spent) -> None:
-        """Pay for what another entry has begun since it told last."""
+    def apply_call_count(self, entry: str, spent: CallCount) -> None:
+        """Deduct the calls that another entry began since its report."""
         known = self._others.get(entry)
         self._others[entry] = spent
         if known is None or known.started_at != spent.started_at:
-            # What it began before then is not known by its time.
+            # It is unknown when the calls counted so far began.
             return
         self.balance -= max(0, spent.calls - known.calls)
--- a/src/snipebend/relay/refusals.py
+++ b/src/snipebend/relay/refusals.py
@@ -1,11 +1,14 @@
-"""What an upstream's refusals tell the choice of the next call (pure).
-
-An upstream that refuses answers within milliseconds: it has few calls under
-way, and would draw the next call as the one with the least work. After a
-refusal it gets work last for a while, the longer the more it has refused in a
-row. Closing it instead would leave callers without an upstream where all of
-them refuse a part of their requests. Entries tell each other what they hear:
-alone, each would have to be refused by every such upstream.
+"""Deprioritizes upstreams that refuse requests.
+
+Performs no I/O.
+
+An upstream that refuses responds within milliseconds: it has few calls in
+progress and would attract the next call as the least loaded one. After a
+refusal it is chosen last for a while, which grows with the number of
+consecutive refusals. Excluding it instead would leave callers without an
+upstream where all upstreams refuse a part of their requests. Entries report
+refusals to each other: otherwise each entry would have to be refused by every
+such upstream.
 """
 
 from __future__ import annotations
@@ -15,67 +18,72 @@
 
 from msgspec import Struct
 
-#: Seconds for which an upstream gets work last after a refusal, doubled with
-#: each further one in a row.
-FIRST_AVOIDED_S = 0.1
-LONGEST_AVOIDED_S = 4.0
+#: Seconds for which an upstream is chosen last after a refusal, doubled with
+#: each consecutive one.
+INITIAL_AVOIDANCE_S = 0.1
+MAX_AVOIDANCE_S = 4.0
 
-_MOST_DOUBLED = 8
+_MAX_DOUBLINGS = 8
 
 
-class RefusalsTold(Struct, frozen=True, array_like=True):
-    """What an entry tells the others of one upstream's refusals."""
+class RefusalReport(Struct, frozen=True, array_like=True):
+    """An entry's report to the others about one upstream's refusals."""
 
-    number: int
-    #: Seconds since it heard the last one.
+    consecutive: int
+    #: Seconds since this entry last received a refusal.
     age_s: float
 
 
 @dataclass(slots=True)
-class Refusals:
-    """The refusals of one upstream since it last took a request."""
-
-    #: Those in a row; of calls that were under way at once, one counts.
-    number: int = 0
-    #: When any entry heard the last one; monotonic seconds.
-    heard_at: float = -math.inf
-    #: When this entry heard the last one of an own call.
-    own_at: float = -math.inf
-    #: When the last own call began that it took.
-    taken_at: float = -math.inf
-
-    def note(self, begun_at: float, now: float) -> None:
-        """Take note of a refusal of a call that began then."""
-        if not self.number or begun_at >= self.heard_at:
-            self.number += 1
-        self.heard_at = now
-        self.own_at = now
-
-    def note_answer(self, begun_at: float) -> None:
-        """Take note that it took a call that began then."""
-        self.taken_at = max(self.taken_at, begun_at)
-        if begun_at > self.heard_at:
-            self.number = 0
-
-    def take_told(self, told: RefusalsTold, now: float) -> None:
-        """Take over what another entry heard, unless it took a call since."""
-        told_at = now - told.age_s
-        if told_at <= self.taken_at:
+class RefusalHistory:
+    """The refusals of one upstream since it last accepted a request."""
+
+    #: Consecutive refusals; refusals of concurrent calls count as one.
+    consecutive: int = 0
+    #: When any entry last received a refusal; monotonic seconds.
+    received_at: float = -math.inf
+    #: When a call of this entry was last refused.
+    own_received_at: float = -math.inf
+    #: When the last accepted call of this entry began.
+    accepted_call_at: float = -math.inf
+
+    def record_refusal(self, call_started_at: float, now: float) -> None:
+        """Record the refusal of a call that began at the given time."""
+        if not self.consecutive or call_started_at >= self.received_at:
+            self.consecutive += 1
+        self.received_at = now
+        self.own_received_at = now
+
+    def record_response(self, call_started_at: float) -> None:
+        """Record that a call that began at the given time was accepted."""
+        self.accepted_call_at = max(self.accepted_call_at, call_started_at)
+        if call_started_at > self.received_at:
+            self.consecutive = 0
+
+    def apply_report(self, report: RefusalReport, now: float) -> None:
+        """Apply another entry's report unless a later call was accepted."""
+        refused_at = now - report.age_s
+        if refused_at <= self.accepted_call_at:
             return
-        self.number = max(self.number, told.number)
-        self.heard_at = max(self.heard_at, told_at)
-
-    def tell(self, now: float) -> RefusalsTold | None:
-        """Return what to tell the others; none: nothing that lasts."""
-        if not self.number or now >= self.own_at + self._span_s:
+        self.consecutive = max(self.consecutive, report.consecutive)
+        self.received_at = max(self.received_at, refused_at)
+
+    def make_report(self, now: float) -> RefusalReport | None:
+        """Return the report for other entries, or None if it has expired."""
+        if (
+            not self.consecutive
+            or now >= self.own_received_at + self._avoidance_s
+        ):
             return None
-        return RefusalsTold(self.number, now - self.own_at)
+        return RefusalReport(self.consecutive, now - self.own_received_at)
 
     def is_avoided(self, now: float) -> bool:
-        """Tell whether it gets work last."""
-        return self.number > 0 and now < self.heard_at + self._span_s
+        """Return whether the upstream is to be chosen last."""
+        return (
+            self.consecutive > 0 and now < self.received_at + self._avoidance_s
+        )
 
     @property
-    def _span_s(self) -> float:
-        doublings = min(self.number - 1, _MOST_DOUBLED)
-        return min(LONGEST_AVOIDED_S, math.ldexp(FIRST_AVOIDED_S, doublings))
+    def _avoidance_s(self) -> float:
+        doublings = min(self.consecutive - 1, _MAX_DOUBLINGS)
+        return min(MAX_AVOIDANCE_S, math.ldexp(INITIAL_AVOIDANCE_S, doublings))
--- a/src/snipebend/relay/upstream_groups.py
+++ b/src/snipebend/relay/upstream_groups.py
@@ -1,4 +1,7 @@
-"""Groups of upstreams in lock-step as one entry sees them (pure)."""
+"""Groups of upstreams that run in lock-step, as observed by one entry.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,76 +14,79 @@
 if TYPE_CHECKING:
     from snipebend.state.host_news import GroupStanding
 
-#: Seconds for which a group counts as down after a call named a rank of it as
-#: lost: control sees it within 0.3 s, and a group forms anew in 0.6 s and more.
-LEFT_FOR_S = 1.0
+#: Seconds for which a group is treated as down after a response named one of
+#: its ranks as lost: control detects it within 0.3 s, and a group re-forms in
+#: 0.6 s or more.
+LOST_RANK_AVOIDANCE_S = 1.0
 
-#: Seconds after which an event counts half: some passes of 50 ms.
-HALF_LIFE_S = 0.2
+#: Seconds after which an event has half its weight: some steps of 50 ms.
+STEP_TIME_HALF_LIFE_S = 0.2
 
-#: Seconds for which the length of passes is known after the last event, and for
-#: which one call to a group that shows none is waited for: its map may have
-#: taken the work off the slow rank meanwhile, and nobody else would see it.
-REMEMBERED_S = 3.0
+#: Seconds for which a step time is valid after the last event, and for which a
+#: call to a group without a valid one is awaited as a probe: the group's expert
+#: map may have moved work off the slow rank meanwhile, and without a call no
+#: entry would observe it.
+STEP_TIME_MAX_AGE_S = 3.0
 
 
 @dataclass(slots=True)
 class UpstreamGroup:
-    """One group: all of it works, or none."""
+    """One group; its ranks can only work together."""
 
     name: str
     phase: GroupPhase = GroupPhase.OPEN
-    #: One of its ranks holds the others back, as control sees it.
-    has_slow: bool = False
-    #: Own calls saw it down; until then it gets work last.
-    left_until: float = 0
-    #: A call was given to it that will show its passes by then.
-    tried_until: float = 0
+    #: Whether control reports a rank that slows down the others.
+    has_slow_rank: bool = False
+    #: Chosen last until then, after a call of this entry found a rank lost.
+    avoided_until: float = 0
+    #: Until then, a call in progress is expected to show the step time.
+    probed_until: float = 0
     _events: float = 0
     _seconds: float = 0
     _event_at: float = 0
 
-    def take(self, standing: GroupStanding) -> None:
-        """Take over what control tells."""
-        self.phase = standing.phase
-        self.has_slow = bool(standing.slow)
+    def apply_status(self, status: GroupStanding) -> None:
+        """Apply a status reported by control."""
+        self.phase = status.phase
+        self.has_slow_rank = bool(status.slow)
 
-    def note_lost_rank(self, now: float) -> None:
-        """Leave it: one of its ranks is lost, and the others wait for it."""
-        self.left_until = now + LEFT_FOR_S
+    def record_lost_rank(self, now: float) -> None:
+        """Avoid the group: the other ranks are waiting for a lost one."""
+        self.avoided_until = now + LOST_RANK_AVOIDANCE_S
 
-    def note_pass(self, events: int, seconds: float, now: float) -> None:
-        """Take note of events of a stream, and the time before them."""
-        kept = math.exp2((self._event_at - now) / HALF_LIFE_S)
+    def record_steps(self, events: int, seconds: float, now: float) -> None:
+        """Record events of a stream and the seconds that preceded them."""
+        kept = math.exp2((self._event_at - now) / STEP_TIME_HALF_LIFE_S)
         self._events = kept * self._events + events
         self._seconds = kept * self._seconds + seconds
         self._event_at = now
 
-    def pass_s(self, now: float) -> float | None:
-        """Return the seconds of a pass; none: no stream showed any lately."""
-        if not self._events or now > self._event_at + REMEMBERED_S:
+    def step_time_s(self, now: float) -> float | None:
+        """Return seconds per step, or None without recent events."""
+        if not self._events or now > self._event_at + STEP_TIME_MAX_AGE_S:
             return None
         return self._seconds / self._events
 
-    def is_late(self, now: float, allowed_s: float) -> bool:
-        """Tell whether a slow rank makes every stream late.
+    def is_too_slow(self, now: float, allowed_pause_s: float) -> bool:
+        """Return whether a slow rank makes every stream late.
 
-        ``allowed_s`` is what a stream may pause; 0: any. Passes that are long
-        for another reason, since demand has turned, are so for all groups, and
-        soon over: leaving such a group for the other one filled that and made
-        streams late by turns (worth 0.72 to 1.0 in the 2 s of a turn).
+        ``allowed_pause_s`` is the longest pause allowed between two events; 0:
+        any. Steps that are long for another reason, after a shift in demand,
+        are so in all groups and only for a short time: avoiding such a group
+        overloaded the other one and made the streams of both late in turn (the
+        streams' value fell from 1.0 to 0.72 for the 2 s of a shift).
         """
-        if not self.has_slow or not allowed_s:
+        if not self.has_slow_rank or not allowed_pause_s:
             return False
-        pass_s = self.pass_s(now)
-        if pass_s is None:
-            return now < self.tried_until
-        return pass_s > allowed_s
+        step_time_s = self.step_time_s(now)
+        if step_time_s is None:
+            return now < self.probed_until
+        return step_time_s > allowed_pause_s
 
-    def note_call(self, now: float) -> None:
-        """Take note of a call that will show its passes."""
-        self.tried_until = now + REMEMBERED_S
+    def record_probe(self, now: float) -> None:
+        """Record a call that will show the group's step time."""
+        self.probed_until = now + STEP_TIME_MAX_AGE_S
 
     def is_down(self, now: float) -> bool:
-        """Tell whether it is known to stand still."""
-        return self.phase is GroupPhase.DOWN or now < self.left_until
+        """Return whether the group is known to have stopped."""
+        return self.phase is GroupPhase.DOWN or now < self.avoided_until
--- /dev/null
+++ b/src/snipebend/relay/upstream_selection.py
@@ -0,0 +1,114 @@
+"""Selects the upstream for one call.
+
+Performs no I/O.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Collection, Iterable
+    from random import Random
+
+    from snipebend.relay.upstreams import Upstream
+
+#: Calls that may queue at an upstream, as a share of its slots: it starts a
+#: queued call without the round trip that an entry would need.
+QUEUE_SHARE = 1.0
+
+
+class CallRequirements(NamedTuple):
+    """What one call requires of its upstream."""
+
+    data_center: str
+    #: Longest pause in its stream that is still on time, in seconds; 0: any.
+    allowed_pause_s: float = 0
+    #: Identities of the upstreams that were called before.
+    tried: Collection[str] = ()
+
+
+class NoCapacity(NamedTuple):
+    """Why no upstream accepts a call, when the end of it is known."""
+
+    #: For the caller and the log.
+    detail: str
+    #: Seconds until the first upstream may accept calls.
+    retry_after_s: float
+
+
+class _SortKey(NamedTuple):
+    """Reasons against an upstream, the most important first."""
+
+    is_down: bool
+    is_too_slow: bool
+    is_avoided: bool
+    is_slow: bool
+    load: float
+    is_far: bool
+    sample: float
+
+
+def select_upstream(
+    candidates: Iterable[Upstream],
+    requirements: CallRequirements,
+    now: float,
+    rng: Random,
+) -> Upstream | None:
+    """Return the least loaded open upstream, or None if all are full.
+
+    An upstream whose group is down comes last, and before it those whose group
+    is too slow for any stream to be on time: with one slow rank of eight, steps
+    took 0.4 s instead of 0.06 s, and a stream there ends after its caller's
+    timeout. Next come upstreams that have refused lately, since their few calls
+    do not show that. Load is the number of calls relative to the slots. Among
+    equals the same data centre is preferred, then the choice is random: entries
+    that all picked the first one would overload it.
+    """
+    ranked = [
+        (_sort_key(upstream, requirements, now, rng), upstream)
+        for upstream in candidates
+        if upstream.is_open(now)
+        and upstream.record.identity not in requirements.tried
+        and _has_room(upstream)
+    ]
+    if not ranked:
+        return None
+    return min(ranked, key=lambda pair: pair[0])[1]
+
+
+def earliest_backoff_end(
+    upstreams: Iterable[Upstream], now: float
+) -> float | None:
+    """Return when the first backoff ends, or None if an upstream is open.
+
+    Also returns None if no available upstream is backing off.
+    """
+    ends: list[float] = []
+    for upstream in upstreams:
+        if upstream.is_open(now):
+            return None
+        if upstream.is_backing_off(now):
+            ends.append(upstream.backoff_until)
+    return min(ends, default=None)
+
+
+def _has_room(upstream: Upstream) -> bool:
+    limit = upstream.record.slots * (1 + QUEUE_SHARE)
+    return upstream.calls < limit
+
+
+def _sort_key(
+    upstream: Upstream, requirements: CallRequirements, now: float, rng: Random
+) -> _SortKey:
+    group = upstream.group
+    return _SortKey(
+        group is not None and group.is_down(now),
+        group is not None
+        and group.is_too_slow(now, requirements.allowed_pause_s),
+        upstream.refusals.is_avoided(now),
+        upstream.slow,
+        upstream.calls / max(1, upstream.record.slots),
+        upstream.record.data_center != requirements.data_center,
+        rng.random(),
+    )
--- a/src/snipebend/relay/upstreams.py
+++ b/src/snipebend/relay/upstreams.py
@@ -1,4 +1,7 @@
-"""The upstreams of each service as one entry sees them (pure)."""
+"""The upstreams of each service, as observed by one entry.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -6,105 +9,105 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from snipebend.relay.refusals import Refusals
+from snipebend.relay.refusals import RefusalHistory
 from snipebend.relay.upstream_groups import UpstreamGroup
 from snipebend.state.roster import RosterPhase
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Mapping
 
-    from snipebend.relay.refusals import RefusalsTold
+    from snipebend.relay.refusals import RefusalReport
     from snipebend.state.host_news import GroupStanding
     from snipebend.state.roster import UpstreamRecord
 
-#: Seconds that an upstream is left alone after a failure, doubled with each
-#: further one in a row. The first is about a round trip and a retry; the last
-#: is the time in which a process restarts, so that its return is noticed.
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.0
+#: Seconds for which an upstream gets no calls after a failure, doubled with
+#: each consecutive one. The first is about a round trip and a retry; the last
+#: is the time that a process takes to restart, so that its return is noticed.
+INITIAL_PAUSE_S = 0.1
+MAX_PAUSE_S = 1.0
 
 
 @dataclass(slots=True)
 class Upstream:
-    """One life of an upstream, and what this entry has seen of it."""
+    """One incarnation of an upstream and its state at this entry."""
 
     record: UpstreamRecord
-    #: Calls of this entry that are under way.
+    #: Calls of this entry in progress.
     own_calls: int = 0
-    #: Calls of the other entries, as they last told, by entry.
-    others_calls: dict[str, int] = field(default_factory=dict)
+    #: Calls of the other entries in their latest reports, by entry.
+    other_entries_calls: dict[str, int] = field(default_factory=dict)
     failures: int = 0
     paused_until: float = 0
-    #: Another life answers at its address.
+    #: Whether another incarnation responds at its address.
     displaced: bool = False
-    #: The group that it works in lock-step with; none: it works alone.
+    #: The group that it runs in lock-step with; None if it works alone.
     group: UpstreamGroup | None = None
-    #: It holds its group back.
+    #: Whether it slows down its group.
     slow: bool = False
-    #: Until then it wants nothing from this entry; monotonic seconds.
-    rests_until: float = 0
-    #: It said in an answer that it is leaving.
+    #: Until then it wants no calls of this entry; monotonic seconds.
+    backoff_until: float = 0
+    #: Whether it stated in a response that it is shutting down.
     leaving: bool = False
-    refusals: Refusals = field(default_factory=Refusals)
+    refusals: RefusalHistory = field(default_factory=RefusalHistory)
 
     @property
     def calls(self) -> int:
-        """Return the calls of all entries, as far as known."""
-        return self.own_calls + sum(self.others_calls.values())
+        """Return the known calls of all entries."""
+        return self.own_calls + sum(self.other_entries_calls.values())
 
     @property
-    def _may_serve(self) -> bool:
+    def _is_available(self) -> bool:
         if self.displaced or self.leaving:
             return False
         return self.record.phase is RosterPhase.READY
 
     def is_open(self, now: float) -> bool:
-        """Tell whether it may be given work."""
-        return self._may_serve and now >= max(
-            self.paused_until, self.rests_until
+        """Return whether it may be given work."""
+        return self._is_available and now >= max(
+            self.paused_until, self.backoff_until
         )
 
-    def is_resting(self, now: float) -> bool:
-        """Tell whether only the rest that it asked for keeps work away."""
-        return self._may_serve and now < self.rests_until
+    def is_backing_off(self, now: float) -> bool:
+        """Return whether only a requested backoff prevents calls."""
+        return self._is_available and now < self.backoff_until
 
-    def declines(self, now: float) -> bool:
-        """Tell whether it has said itself that it wants no work now."""
-        return self.displaced or self.leaving or now < self.rests_until
+    def declines_work(self, now: float) -> bool:
+        """Return whether it has stated itself that it wants no work now."""
+        return self.displaced or self.leaving or now < self.backoff_until
 
-    def standing(self, now: float) -> str:
-        """Return in a word whether it may be given work, or why not."""
+    def status(self, now: float) -> str:
+        """Return a one-word status: why it may be given work or not."""
         if self.displaced:
             return 'displaced'
         if self.leaving:
             return 'leaving'
         if self.record.phase is not RosterPhase.READY:
             return self.record.phase.name.lower()
-        if self.is_resting(now):
+        if self.is_backing_off(now):
             return 'resting'
         if now < self.paused_until:
             return 'paused'
         return 'refusing' if self.refusals.is_avoided(now) else 'open'
 
-    def rest_left_s(self, now: float) -> float:
-        """Return seconds for which it wants nothing from this entry."""
-        return max(0, self.rests_until - now)
+    def backoff_left_s(self, now: float) -> float:
+        """Return seconds for which it wants no calls of this entry."""
+        return max(0, self.backoff_until - now)
 
-    def note_rest(self, until: float) -> None:
-        """Take note of a rest; a longer one that it asked for stays."""
-        self.rests_until = max(self.rests_until, until)
+    def record_backoff(self, until: float) -> None:
+        """Record a requested backoff; a longer one stays in force."""
+        self.backoff_until = max(self.backoff_until, until)
 
-    def note_failure(self, now: float) -> None:
-        """Leave it alone for a while."""
-        pause_s = FIRST_PAUSE_S * 2 ** min(self.failures, 8)
+    def record_failure(self, now: float) -> None:
+        """Pause calls, for longer after each consecutive failure."""
+        pause_s = INITIAL_PAUSE_S * 2 ** min(self.failures, 8)
         self.failures += 1
-        self.paused_until = now + min(LONGEST_PAUSE_S, pause_s)
+        self.paused_until = now + min(MAX_PAUSE_S, pause_s)
 
-    def note_answer(self, begun_at: float) -> None:
-        """Trust it again: it has answered a call that began then."""
+    def record_response(self, call_started_at: float) -> None:
+        """Clear failures after a response to a call begun at the given time."""
         self.failures = 0
         self.paused_until = 0
-        self.refusals.note_answer(begun_at)
+        self.refusals.record_response(call_started_at)
 
 
 class UpstreamTable:
@@ -112,97 +115,99 @@
 
     def __init__(self) -> None:
         """Start without upstreams."""
-        self._known: dict[str, Upstream] = {}
-        self._services: dict[str, dict[str, Upstream]] = {}
+        self._by_identity: dict[str, Upstream] = {}
+        self._by_service: dict[str, dict[str, Upstream]] = {}
         self._groups: dict[str, UpstreamGroup] = {}
-        #: The group of each rank; a rank may be told of before its record.
-        self._group_of: dict[str, UpstreamGroup] = {}
+        #: The group of each rank; it may be reported before the rank's record.
+        self._group_by_rank: dict[str, UpstreamGroup] = {}
 
     def __iter__(self) -> Iterator[Upstream]:
-        """Iterate over all that haven't ended."""
-        return iter(tuple(self._known.values()))
+        """Iterate over all upstreams that have not ended."""
+        return iter(tuple(self._by_identity.values()))
 
-    def take(self, records: Iterable[UpstreamRecord]) -> list[Upstream]:
-        """Take over records; return the upstreams whose lives have ended.
+    def apply_records(
+        self, records: Iterable[UpstreamRecord]
+    ) -> list[Upstream]:
+        """Apply roster records; return the upstreams that have ended.
 
-        A later life under a known identity begins with no calls, no failures
-        and no place in a group.
+        A later incarnation of a known identity starts without calls, failures
+        and group.
         """
         ended: list[Upstream] = []
         for record in records:
-            known = self._known.get(record.identity)
+            known = self._by_identity.get(record.identity)
             if known is not None and 0 < known.record.born < record.born:
                 ended.extend(self._drop(record.identity))
                 known = None
             if record.phase is RosterPhase.ENDED:
-                ended.extend(self._end(known, record))
+                ended.extend(self._apply_end(known, record))
             elif known is None:
                 self._add(record)
             elif record.is_news_after(known.record):
                 known.record = record
         return ended
 
-    def of_service(self, service: str) -> tuple[Upstream, ...]:
-        """Return a service's upstreams."""
-        return tuple(self._services.get(service, {}).values())
+    def list_service(self, service: str) -> tuple[Upstream, ...]:
+        """Return the upstreams of a service."""
+        return tuple(self._by_service.get(service, {}).values())
 
     def find(self, identity: str) -> Upstream | None:
-        """Return the upstream of that identity."""
-        return self._known.get(identity)
+        """Return the upstream with this identity."""
+        return self._by_identity.get(identity)
 
-    def take_groups(self, told: Iterable[GroupStanding]) -> None:
-        """Take over what control tells of groups; what it doesn't stays."""
-        for standing in told:
+    def apply_group_statuses(self, statuses: Iterable[GroupStanding]) -> None:
+        """Apply statuses from control; groups without one are unchanged."""
+        for status in statuses:
             group = self._groups.setdefault(
-                standing.group, UpstreamGroup(standing.group)
+                status.group, UpstreamGroup(status.group)
             )
-            group.take(standing)
-            for identity in standing.members:
-                self._group_of[identity] = group
-                upstream = self._known.get(identity)
+            group.apply_status(status)
+            for identity in status.members:
+                self._group_by_rank[identity] = group
+                upstream = self._by_identity.get(identity)
                 if upstream is not None:
                     upstream.group = group
-                    upstream.slow = identity in standing.slow
+                    upstream.slow = identity in status.slow
 
-    def take_calls(self, entry: str, calls: dict[str, int]) -> None:
-        """Take over what another entry has under way."""
-        for upstream in self._known.values():
+    def apply_calls(self, entry: str, calls: dict[str, int]) -> None:
+        """Replace the calls that another entry has in progress."""
+        for upstream in self._by_identity.values():
             count = calls.get(upstream.record.identity, 0)
             if count:
-                upstream.others_calls[entry] = count
+                upstream.other_entries_calls[entry] = count
             else:
-                upstream.others_calls.pop(entry, None)
+                upstream.other_entries_calls.pop(entry, None)
 
-    def tell_refusals(self, now: float) -> dict[str, RefusalsTold]:
-        """Return what to tell of refusals, by the upstream's identity."""
+    def report_refusals(self, now: float) -> dict[str, RefusalReport]:
+        """Return the refusal reports for other entries, by identity."""
         return {
-            identity: told
-            for identity, upstream in self._known.items()
-            if (told := upstream.refusals.tell(now)) is not None
+            identity: report
+            for identity, upstream in self._by_identity.items()
+            if (report := upstream.refusals.make_report(now)) is not None
         }
 
-    def take_refusals(
-        self, told: Mapping[str, RefusalsTold], now: float
+    def apply_refusals(
+        self, reports: Mapping[str, RefusalReport], now: float
     ) -> list[Upstream]:
-        """Take over what another entry heard; return those avoided by it."""
+        """Apply another entry's reports; return newly avoided upstreams."""
         avoided: list[Upstream] = []
-        for identity, one in told.items():
-            upstream = self._known.get(identity)
+        for identity, report in reports.items():
+            upstream = self._by_identity.get(identity)
             if upstream is None:
                 continue
             before = upstream.refusals.is_avoided(now)
-            upstream.refusals.take_told(one, now)
+            upstream.refusals.apply_report(report, now)
             if upstream.refusals.is_avoided(now) and not before:
                 avoided.append(upstream)
         return avoided
 
-    def standings(self, now: float) -> dict[str, int]:
-        """Return how many upstreams may be given work, and why others not."""
-        found = Counter(one.standing(now) for one in self._known.values())
+    def count_statuses(self, now: float) -> dict[str, int]:
+        """Return the number of upstreams by status."""
+        found = Counter(one.status(now) for one in self._by_identity.values())
         return dict(found)
 
     def dump(self) -> dict[str, object]:
-        """Return each upstream's standing."""
+        """Return the state of each upstream."""
         return {
             identity: {
                 'service': upstream.record.service,
@@ -213,21 +218,21 @@
                 'displaced': upstream.displaced,
                 'group': upstream.group.name if upstream.group else '',
                 'slow': upstream.slow,
-                'rests_until': upstream.rests_until,
+                'rests_until': upstream.backoff_until,
                 'leaving': upstream.leaving,
-                'refusals': upstream.refusals.number,
+                'refusals': upstream.refusals.consecutive,
             }
-            for identity, upstream in self._known.items()
+            for identity, upstream in self._by_identity.items()
         }
 
     def _add(self, record: UpstreamRecord) -> None:
         upstream = Upstream(record)
-        upstream.group = self._group_of.get(record.identity)
-        self._known[record.identity] = upstream
-        members = self._services.setdefault(record.service, {})
+        upstream.group = self._group_by_rank.get(record.identity)
+        self._by_identity[record.identity] = upstream
+        members = self._by_service.setdefault(record.service, {})
         members[record.identity] = upstream
 
-    def _end(
+    def _apply_end(
         self, known: Upstream | None, record: UpstreamRecord
     ) -> list[Upstream]:
         if known is None or not record.is_news_after(known.record):
@@ -235,10 +240,10 @@
         return self._drop(record.identity)
 
     def _drop(self, identity: str) -> list[Upstream]:
-        self._group_of.pop(identity, None)
-        gone = self._known.pop(identity, None)
-        if gone is None:
+        self._group_by_rank.pop(identity, None)
+        ended = self._by_identity.pop(identity, None)
+        if ended is None:
             return []
-        self._services[gone.record.service].pop(identity)
-        gone.displaced = True
-        return [gone]
+        self._by_service[ended.record.service].pop(identity)
+        ended.displaced = True
+        return [ended]
--- a/src/snipebend/routing/limits.py
+++ b/src/snipebend/routing/limits.py
@@ -47,7 +47,7 @@
             workspace = self._workspaces.get(name)
             if workspace is not None:
                 rate, burst = self._rate(workspace)
-                tenant.bucket.take_limits(rate, burst)
+                tenant.bucket.apply_limits(rate, burst)
                 tenant.max_in_hand = self._most(workspace)
             elif not tenant.in_hand:
                 self._tenants.pop(name)
--- a/src/snipebend/routing/rates.py
+++ b/src/snipebend/routing/rates.py
@@ -22,7 +22,7 @@
         self._tokens = burst
         self._filled_at: float | None = None
 
-    def take_limits(self, rate_per_s: float, burst: float) -> None:
+    def apply_limits(self, rate_per_s: float, burst: float) -> None:
         """Take over new limits; the tokens in hand stay."""
         self._rate = rate_per_s
         self._burst = burst
--- a/tests/edge/books.py
+++ b/tests/edge/books.py
@@ -26,14 +26,14 @@
     def own_refusals(self):
         return dict(self.refusals)
 
-    def take_refusals(self, entry, refusals):
+    def apply_refusals(self, entry, refusals):
         self.heard_refusals.put_nowait((entry, refusals))
 
-    def take_calls(self, entry, calls):
+    def apply_calls(self, entry, calls):
         self.heard.put_nowait((entry, calls))
 
-    def take_limits(self, entry, started_at, limits):
+    def apply_limits(self, entry, started_at, limits):
         self.heard_limits.put_nowait((entry, limits))
 
-    def note_heard(self, share):
+    def record_reachable_share(self, share):
         self.share = share
--- a/tests/edge/rig.py
+++ b/tests/edge/rig.py
@@ -23,10 +23,10 @@
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.relay.facts import (
-    AnswerFacts,
+    ResponseFacts,
     CallerFacts,
-    NamedLimit,
-    RestAsked,
+    AnnouncedLimit,
+    BackoffRequest,
 )
 from snipebend.settings.model import ProcessSection
 from snipebend.settings.relay import RelaySection, RelaySettings
@@ -52,7 +52,7 @@
             request_id=sent.get(b'x-id', ''),
             host=sent[b'host'],
             key=sent.get(b'x-key', ''),
-            patience_s=float(left) if left else None,
+            timeout_s=float(left) if left else None,
         )
 
     def upstream_headers(self, headers, call):
@@ -68,25 +68,25 @@
             lines.append((b'X-After', b'%d' % call.resume_after))
         return lines
 
-    def read_answer(self, head):
+    def read_response(self, head):
         sent = {name.lower(): line.decode() for name, line in head.headers}
         limit = sent.get(b'x-limit')
         rest = sent.get(b'x-rest')
-        return AnswerFacts(
+        return ResponseFacts(
             request_id=sent.get(b'x-id', ''),
-            proved=b'x-proof' in sent,
+            authenticated=b'x-proof' in sent,
             not_run=b'x-not-run' in sent,
-            other_identity=head.status == 421,
-            at_fault=sent.get(b'x-at-fault', ''),
-            limit=NamedLimit(float(limit)) if limit else None,
-            rest=RestAsked(float(rest)) if rest else None,
+            identity_mismatch=head.status == 421,
+            faulty_address=sent.get(b'x-at-fault', ''),
+            limit=AnnouncedLimit(float(limit)) if limit else None,
+            backoff=BackoffRequest(float(rest)) if rest else None,
             leaving=b'x-leaving' in sent,
         )
 
-    def refusal_headers(self, request_id, wait_s):
+    def refusal_headers(self, request_id, retry_after_s):
         lines = [(b'X-Id', request_id.encode())]
-        if wait_s:
-            lines.append((b'Retry-After', b'%.2f' % wait_s))
+        if retry_after_s:
+            lines.append((b'Retry-After', b'%.2f' % retry_after_s))
         return lines
 
 
@@ -288,7 +288,7 @@
     return f'{method} {path} HTTP/1.1\r\n{head}\r\n'.encode() + body
 
 
-async def read_answer(reader):
+async def read_response(reader):
     """Read one answer; ``whole`` tells whether it ended as it should."""
     try:
         head = (await reader.readuntil(b'\r\n\r\n')).decode()
@@ -336,6 +336,6 @@
     reader, writer = await relay.connect()
     writer.write(data)
     async with asyncio.timeout(PATIENCE_S):
-        got = await read_answer(reader)
+        got = await read_response(reader)
     writer.close()
     return got
--- a/tests/edge/test_caller_side.py
+++ b/tests/edge/test_caller_side.py
@@ -9,7 +9,7 @@
     HOST,
     answer,
     ask,
-    read_answer,
+    read_response,
     request,
     running,
 )
@@ -31,7 +31,7 @@
             reader, writer = await relay.connect()
             writer.write(data)
             async with asyncio.timeout(8):
-                got = await read_answer(reader)
+                got = await read_response(reader)
                 self.assertEqual(got.status, status)
                 self.assertEqual(got.headers['connection'], 'close')
                 self.assertEqual(await reader.read(), b'')
@@ -98,7 +98,7 @@
             reader, writer = await relay.connect()
             for _ in range(3):
                 writer.write(request('/safe/'))
-                got = await read_answer(reader)
+                got = await read_response(reader)
                 self.assertEqual(got.body, b'whole')
             writer.close()
 
@@ -111,7 +111,7 @@
             reader, writer = await relay.connect()
             ids = [f'p{number}' for number in range(9)]
             writer.write(b''.join(request('/safe/', x_id=one) for one in ids))
-            got = [(await read_answer(reader)).body for _ in ids]
+            got = [(await read_response(reader)).body for _ in ids]
             self.assertEqual(got, [one.encode() for one in ids])
             writer.close()
 
@@ -133,7 +133,7 @@
                 interim = await reader.readuntil(b'\r\n\r\n')
                 self.assertIn(b'100', interim)
                 writer.write(body)
-                got = await read_answer(reader)
+                got = await read_response(reader)
             self.assertEqual(got.status, 200)
             writer.close()
 
@@ -141,7 +141,7 @@
         async with running(whole) as relay:
             reader, writer = await relay.connect()
             writer.write(request('/safe/', Connection='close'))
-            got = await read_answer(reader)
+            got = await read_response(reader)
             self.assertEqual(got.headers['connection'], 'close')
             self.assertEqual(await reader.read(), b'')
             writer.close()
--- a/tests/edge/test_document_spread.py
+++ b/tests/edge/test_document_spread.py
@@ -39,18 +39,23 @@
     """Over connections on loopback, counted in bytes and not in time."""
 
     async def test_it_crosses_an_entrys_link_once(self):
-        async with Spread(DAEMONS) as spread:
-            await spread.all_told('before')
-            spread.put(7, document(7))
-            await spread.until(lambda: spread.follower.number == 7)
-            await spread.all_told('after')
-            self.assertLess(spread.carried, 1.2 * SIZE)
+        async with Spread(DAEMONS) as choose_recipients:
+            await choose_recipients.all_told('before')
+            choose_recipients.put(7, document(7))
+            await choose_recipients.until(
+                lambda: choose_recipients.follower.number == 7
+            )
+            await choose_recipients.all_told('after')
+            self.assertLess(choose_recipients.carried, 1.2 * SIZE)
 
     async def test_it_arrives_over_connections_that_end_before(self):
-        async with Spread(DAEMONS, ONE_LIFE) as spread:
-            spread.put(7, document(7))
-            await spread.until(
-                lambda: spread.follower.number == 7 or spread.carried > ENOUGH
+        async with Spread(DAEMONS, ONE_LIFE) as choose_recipients:
+            choose_recipients.put(7, document(7))
+            await choose_recipients.until(
+                lambda: (
+                    choose_recipients.follower.number == 7
+                    or choose_recipients.carried > ENOUGH
+                )
             )
-            self.assertEqual(spread.follower.number, 7)
-            self.assertLess(spread.carried, 2 * SIZE)
+            self.assertEqual(choose_recipients.follower.number, 7)
+            self.assertLess(choose_recipients.carried, 2 * SIZE)
--- a/tests/edge/test_early_listener.py
+++ b/tests/edge/test_early_listener.py
@@ -11,7 +11,7 @@
 from subprocess import run
 
 from snipebend.edge.early_listener import open_early
-from tests.edge.rig import read_answer, request, running
+from tests.edge.rig import read_response, request, running
 
 
 class TestEarlyListener(unittest.IsolatedAsyncioTestCase):
@@ -37,7 +37,7 @@
         async with running(answer, listener=listener):
             early.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=early)
-            got = await read_answer(reader)
+            got = await read_response(reader)
             writer.close()
         self.assertEqual((got.status, got.body), (200, b'ok'))
 
--- a/tests/edge/test_gossip.py
+++ b/tests/edge/test_gossip.py
@@ -12,8 +12,8 @@
 from snipebend.kernel.clock import SystemClock
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
-from snipebend.relay.limit_book import LimitTold
-from snipebend.relay.refusals import RefusalsTold
+from snipebend.relay.rate_limit_table import LimitReport
+from snipebend.relay.refusals import RefusalReport
 from snipebend.settings.model import ProcessSection
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
@@ -58,9 +58,9 @@
         _, sender, _ = await self.start('a', {})
         _, receiver, _ = await self.start('b', {})
         sender.entries = frozenset((receiver.gossip_address,))
-        self.books['a'].limits['i-1'] = LimitTold(3, 0.5, 2.0)
+        self.books['a'].limits['i-1'] = LimitReport(3, 0.5, 2.0)
         told = await asyncio.wait_for(self.books['b'].heard_limits.get(), 10)
-        self.assertEqual(told, ('a', {'i-1': LimitTold(3, 0.5, 2.0)}))
+        self.assertEqual(told, ('a', {'i-1': LimitReport(3, 0.5, 2.0)}))
         # It hears nobody of one other.
         self.assertEqual(self.books['a'].share, 0.5)
 
@@ -68,9 +68,9 @@
         _, sender, _ = await self.start('a', {})
         _, receiver, _ = await self.start('b', {})
         sender.entries = frozenset((receiver.gossip_address,))
-        self.books['a'].refusals['i-1'] = RefusalsTold(3, 0.5)
+        self.books['a'].refusals['i-1'] = RefusalReport(3, 0.5)
         told = await asyncio.wait_for(self.books['b'].heard_refusals.get(), 10)
-        self.assertEqual(told, ('a', {'i-1': RefusalsTold(3, 0.5)}))
+        self.assertEqual(told, ('a', {'i-1': RefusalReport(3, 0.5)}))
 
     async def test_an_entry_of_an_earlier_version_tells_no_limits(self):
         gossip, _, heard = await self.start('b', {})
@@ -85,10 +85,10 @@
         _, far, heard = await self.start('b', {}, 'dc-2')
         _, near_far, heard_on = await self.start('c', {}, 'dc-2')
         addresses = (far.gossip_address, near_far.gossip_address)
-        places = dict.fromkeys(addresses, 'dc-2')
-        places[sender.gossip_address] = 'dc'
+        data_centers = dict.fromkeys(addresses, 'dc-2')
+        data_centers[sender.gossip_address] = 'dc'
         for follower in (sender, far, near_far):
-            follower.places = places
+            follower.data_centers = data_centers
         sender.entries = frozenset(addresses)
         far.entries = frozenset((sender.gossip_address, addresses[1]))
         near_far.entries = frozenset((sender.gossip_address, addresses[0]))
--- a/tests/edge/test_limits.py
+++ b/tests/edge/test_limits.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from snipebend.relay.limit_book import LimitTold
+from snipebend.relay.rate_limit_table import LimitReport
 from tests.edge.rig import answering, ask, request, running, whole
 
 #: Of nothing: one call each four seconds, so none within a test.
@@ -46,8 +46,8 @@
 
     async def test_what_others_heard_counts_here(self):
         async with running(whole, in_need) as relay:
-            told = {'i-0': LimitTold(5, 0.1, 0.0)}
-            relay.desk.take_limits('e2', 1.0, told)
+            told = {'i-0': LimitReport(5, 0.1, 0.0)}
+            relay.desk.apply_limits('e2', 1.0, told)
             got = [await ask(relay, request('/unsafe/')) for _ in range(3)]
             seen = [len(one.seen) for one in relay.upstreams]
         self.assertEqual([one.status for one in got], [200, 503, 503])
--- a/tests/edge/test_paces.py
+++ b/tests/edge/test_paces.py
@@ -15,8 +15,8 @@
 from snipebend.kernel.clock import SystemClock
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
-from snipebend.relay.facts import AnswerHead
-from snipebend.relay.pace import PaceMeter
+from snipebend.relay.facts import ResponseHead
+from snipebend.relay.step_times import StepTimeMeter
 from snipebend.settings.model import ProcessSection
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
@@ -44,15 +44,15 @@
 
     def setUp(self):
         self.now = 0.0
-        self.meter = PaceMeter()
+        self.meter = StepTimeMeter()
         self.stream = StreamRelay(
             Answer(),
             lambda: self.now,
             lambda events, seconds: (
-                events and self.meter.note('g', events, seconds)
+                events and self.meter.record('g', events, seconds)
             ),
         )
-        self.stream.begin(AnswerHead(200, b'OK', ()))
+        self.stream.begin(ResponseHead(200, b'OK', ()))
 
     def take(self, number, events=1):
         data = b''.join(
@@ -66,17 +66,17 @@
         self.take(2, events=2)
         self.now += 0.5
         self.take(4)
-        self.assertEqual(self.meter.take(), {'g': (3, 0.75)})
-        self.assertEqual(self.meter.take(), {})
+        self.assertEqual(self.meter.drain(), {'g': (3, 0.75)})
+        self.assertEqual(self.meter.drain(), {})
 
     def test_the_pause_before_another_call_is_left_out(self):
         self.take(1)
         self.now += 9
-        self.stream.begin(AnswerHead(200, b'OK', ()))
+        self.stream.begin(ResponseHead(200, b'OK', ()))
         self.take(2)
         self.now += 0.5
         self.take(3)
-        self.assertEqual(self.meter.take(), {'g': (1, 0.5)})
+        self.assertEqual(self.meter.drain(), {'g': (1, 0.5)})
 
 
 class TestTelling(unittest.IsolatedAsyncioTestCase):
--- a/tests/edge/test_relay.py
+++ b/tests/edge/test_relay.py
@@ -15,7 +15,7 @@
     ask,
     chunk,
     event,
-    read_answer,
+    read_response,
     request,
     running,
     stream_head,
@@ -176,7 +176,7 @@
 
     async def test_proved_not_run_beyond_the_budget(self):
         """The fourth refusal of a new entry is the caller's answer."""
-        avoided_s = 'snipebend.relay.refusals.LONGEST_AVOIDED_S'
+        avoided_s = 'snipebend.relay.refusals.MAX_AVOIDANCE_S'
         async with running(refuses, whole) as relay:
             relay.desk._rng.random = lambda: 0.5
             with mock.patch(avoided_s, 0):
@@ -284,7 +284,7 @@
                 await asyncio.sleep(0)
             relay.follower.index = HostIndex(TABLE)
             relay.follower.on_news()
-            got = await read_answer(reader)
+            got = await read_response(reader)
             writer.close()
             self.assertEqual(got.status, 200)
             self.assertEqual(relay.desk.outage.waiting, 0)
@@ -382,7 +382,7 @@
                 drain = asyncio.create_task(relay.server.drain())
                 await asyncio.sleep(0)
                 go_on.set()
-                got = await read_answer(reader)
+                got = await read_response(reader)
                 self.assertEqual(got.body, b'whole')
                 self.assertEqual(got.headers['connection'], 'close')
                 await drain
--- a/tests/edge/test_rest.py
+++ b/tests/edge/test_rest.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from snipebend.relay.returning import FULL_MOST_S
+from snipebend.relay.retry_after import BUSY_MAX_S
 from tests.edge.rig import answering, ask, request, running, whole
 
 #: Seconds; longer than any of these tests.
@@ -40,7 +40,7 @@
         for one in got:
             told_s = float(one.headers['retry-after'])
             self.assertGreater(told_s, REST_S - 5)
-            self.assertLessEqual(told_s, REST_S + FULL_MOST_S)
+            self.assertLessEqual(told_s, REST_S + BUSY_MAX_S)
 
     async def test_a_rest_that_begins_while_a_call_waits_for_its_connection(
         self,
@@ -51,7 +51,7 @@
 
             async def told_meanwhile(*args, **kwargs):
                 conn = await acquire(*args, **kwargs)
-                upstream.note_rest(relay.desk.now() + REST_S)
+                upstream.record_backoff(relay.desk.now() + REST_S)
                 return conn
 
             relay.desk.pool.acquire = told_meanwhile
@@ -72,7 +72,7 @@
                 conn = await acquire(identity, *args, **kwargs)
                 if identity == 'i-0':
                     upstream = relay.desk._upstreams.find(identity)
-                    upstream.note_rest(relay.desk.now() + REST_S)
+                    upstream.record_backoff(relay.desk.now() + REST_S)
                 return conn
 
             relay.desk.pool.acquire = told_meanwhile
--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -13,7 +13,7 @@
 from aiohttp import ClientSession
 from msgspec import json, msgpack
 
-from tests.edge.rig import FakeUpstream, read_answer
+from tests.edge.rig import FakeUpstream, read_response
 from tests.programs import PATIENCE_S, start_module
 
 if TYPE_CHECKING:
@@ -179,7 +179,7 @@
             ).encode()
         )
         async with asyncio.timeout(PATIENCE_S):
-            got = await read_answer(reader)
+            got = await read_response(reader)
         writer.close()
         return got
 
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -5,11 +5,11 @@
 import unittest
 
 from snipebend.relay.facts import (
-    AnswerHead,
-    NamedLimit,
+    AnnouncedLimit,
+    BackoffRequest,
     PrefixPart,
     RequestHead,
-    RestAsked,
+    ResponseHead,
     UpstreamCall,
 )
 from snipebend_platform.dialect import PlatformDialect
@@ -44,7 +44,7 @@
         self.assertEqual(facts.request_id, '9c41')
         self.assertEqual(facts.host, 'ficu95.example')
         self.assertEqual(facts.key, 'secret')
-        self.assertEqual(facts.patience_s, 8.04)
+        self.assertEqual(facts.timeout_s, 8.04)
         self.assertEqual(facts.last_event, 12)
         self.assertEqual((facts.prompt_tokens, facts.answer_tokens), (1460, 80))
         self.assertEqual(
@@ -85,13 +85,15 @@
 
     def test_answers(self):
         def facts(status, *headers):
-            return self.dialect.read_answer(AnswerHead(status, b'', headers))
+            return self.dialect.read_response(
+                ResponseHead(status, b'', headers)
+            )
 
         self.assertTrue(facts(503, (b'Snipebend-Not-Executed', b'1')).not_run)
         self.assertFalse(facts(503).not_run)
-        self.assertTrue(facts(421).other_identity)
-        proved = facts(200, (b'snipebend-replica-signature', b'3e1b'))
-        self.assertTrue(proved.proved)
+        self.assertTrue(facts(421).identity_mismatch)
+        authenticated = facts(200, (b'snipebend-replica-signature', b'3e1b'))
+        self.assertTrue(authenticated.authenticated)
         self.assertEqual(
             facts(200, (b'Snipebend-Attempt-Id', b'9c41')).request_id, '9c41'
         )
@@ -99,38 +101,38 @@
     def test_limits_of_requests(self):
         def limit(*texts):
             headers = tuple((b'Server-Limit', text) for text in texts)
-            head = AnswerHead(200, b'', headers)
-            return self.dialect.read_answer(head).limit
+            head = ResponseHead(200, b'', headers)
+            return self.dialect.read_response(head).limit
 
         self.assertIsNone(limit())
-        self.assertEqual(limit(b'2.5'), NamedLimit(2.5))
-        self.assertEqual(limit(b'0'), NamedLimit(0.0))
+        self.assertEqual(limit(b'2.5'), AnnouncedLimit(2.5))
+        self.assertEqual(limit(b'0'), AnnouncedLimit(0.0))
         # The lowest of several that can be read.
-        self.assertEqual(limit(b'4', b'x', b'3, 9'), NamedLimit(3.0))
+        self.assertEqual(limit(b'4', b'x', b'3, 9'), AnnouncedLimit(3.0))
         for text in (b'', b'-1', b'nan', b'inf', b'few', b'1;2', b'\xff'):
             with self.subTest(text=text):
-                self.assertEqual(limit(text), NamedLimit(None))
+                self.assertEqual(limit(text), AnnouncedLimit(None))
 
     def test_rests(self):
-        def rest(*texts, status=503):
+        def backoff(*texts, status=503):
             headers = tuple((b'Retry-After', text) for text in texts)
-            head = AnswerHead(status, b'', headers)
-            return self.dialect.read_answer(head).rest
+            head = ResponseHead(status, b'', headers)
+            return self.dialect.read_response(head).backoff
 
-        self.assertIsNone(rest())
-        self.assertIsNone(rest(b'3', status=200))
-        self.assertEqual(rest(b'3'), RestAsked(3.0))
-        self.assertEqual(rest(b'2.5', status=429), RestAsked(2.5))
+        self.assertIsNone(backoff())
+        self.assertIsNone(backoff(b'3', status=200))
+        self.assertEqual(backoff(b'3'), BackoffRequest(3.0))
+        self.assertEqual(backoff(b'2.5', status=429), BackoffRequest(2.5))
         # The longest of several that can be read.
-        self.assertEqual(rest(b'1', b'x', b'3, 2'), RestAsked(3.0))
+        self.assertEqual(backoff(b'1', b'x', b'3, 2'), BackoffRequest(3.0))
         for text in (b'', b'-1', b'nan', b'inf', b'soon', b'\xff'):
             with self.subTest(text=text):
-                self.assertEqual(rest(text), RestAsked(None))
+                self.assertEqual(backoff(text), BackoffRequest(None))
 
     def test_leaving(self):
         def leaving(*headers):
-            head = AnswerHead(200, b'', headers)
-            return self.dialect.read_answer(head).leaving
+            head = ResponseHead(200, b'', headers)
+            return self.dialect.read_response(head).leaving
 
         self.assertFalse(leaving())
         self.assertTrue(leaving((b'server-leaving', b'1')))
--- /dev/null
+++ b/tests/relay/test_entry_directory.py
@@ -0,0 +1,45 @@
+"""The entry directory, merged from the lists of several daemons."""
+
+from __future__ import annotations
+
+import unittest
+
+from snipebend.relay.entry_directory import EntryDirectory
+
+
+class TestEntryDirectory(unittest.TestCase):
+    """An entry that one daemon doesn't list may be listed by another."""
+
+    def test_disconnected_daemon_hides_no_entry(self):
+        directory = EntryDirectory()
+        directory.update('a', ('e:1', 'e:2', 'e:3'), ('x', 'y', 'y'))
+        directory.update('b', ('e:1',), ('x',))
+        self.assertEqual(
+            directory.data_centers(), {'e:1': 'x', 'e:2': 'y', 'e:3': 'y'}
+        )
+
+    def test_entry_that_no_daemon_lists_is_removed(self):
+        directory = EntryDirectory()
+        for daemon in ('a', 'b'):
+            directory.update(daemon, ('e:1', 'e:2'), ('x', 'y'))
+        directory.update('a', ('e:1',), ('x',))
+        self.assertIn('e:2', directory.data_centers())
+        directory.update('b', ('e:1',), ('x',))
+        self.assertEqual(directory.data_centers(), {'e:1': 'x'})
+
+    def test_list_of_lost_daemon_is_removed(self):
+        directory = EntryDirectory()
+        directory.update('a', ('e:1',), ('x',))
+        directory.update('b', ('e:2',), ('y',))
+        directory.remove_daemon('a')
+        self.assertEqual(directory.data_centers(), {'e:2': 'y'})
+
+    def test_earlier_versions_send_no_data_centers(self):
+        directory = EntryDirectory()
+        directory.update('a', ('e:1',), ('x',))
+        directory.update('b', ('e:1', 'e:2'), ())
+        self.assertEqual(directory.data_centers(), {'e:1': 'x', 'e:2': ''})
+
+
+if __name__ == '__main__':
+    unittest.main()
