--- a/src/snipebend/daemons/relay_entry.py
+++ b/src/snipebend/daemons/relay_entry.py
@@ -7,9 +7,9 @@
 from snipebend.daemons.running import build_admin, connect_admin
 from snipebend.edge.gossip import Gossip
 from snipebend.edge.host_follower import HostFollower, ReadTable
-from snipebend.edge.pace_teller import PaceTeller
-from snipebend.edge.relay_desk import RelayDesk
 from snipebend.edge.relay_server import RelayServer
+from snipebend.edge.relay_service import RelayService
+from snipebend.edge.step_time_reporter import StepTimeReporter
 from snipebend.kernel.process import Process
 from snipebend.settings.seeds import split_address
 from snipebend.transport.http_server import HttpServer
@@ -38,12 +38,12 @@
     admin = build_admin(cfg.listen)
     ready = HttpServer('readiness', *split_address(cfg.readiness))
     clients = RpcClients(PING_S, PING_S)
-    desk = RelayDesk('relay', cfg, dialect)
+    relay_service = RelayService('relay', cfg, dialect)
     gossip = Gossip(
         'gossip',
         cfg.process.name,
         (cfg.listen.host, cfg.gossip_port),
-        desk,
+        relay_service,
     )
     services = [
         # First: a watch that the follower opens tells control where the others
@@ -51,8 +51,10 @@
         # and each saves retries as if it were alone.
         gossip,
         HostFollower('hosts', cfg, clients, read_table),
-        desk,
-        PaceTeller('paces', cfg.process.name, desk.paces.drain),
+        relay_service,
+        StepTimeReporter(
+            'paces', cfg.process.name, relay_service.step_times.drain
+        ),
         RelayServer('callers', cfg, listener),
         ready,
         admin,
--- a/src/snipebend/edge/call.py
+++ b/src/snipebend/edge/call.py
@@ -1,4 +1,4 @@
-"""One call of an upstream: opened, sent, and given back or broken off."""
+"""One call of an upstream on a pooled connection."""
 
 from __future__ import annotations
 
@@ -7,32 +7,37 @@
 
 from loguru import logger
 
-from snipebend.edge.exchange import Begun, Broken, Piece, Whole
 from snipebend.edge.http_headers import encode_head, end_to_end
+from snipebend.edge.response_channel import (
+    BodyChunk,
+    ResponseAborted,
+    ResponseCompleted,
+    ResponseStarted,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from snipebend.edge.caller_parser import WholeRequest
-    from snipebend.edge.exchange import Exchange, Message
+    from snipebend.edge.caller_parser import CompleteRequest
+    from snipebend.edge.response_channel import ResponseChannel, ResponseEvent
     from snipebend.edge.upstream_connection import UpstreamConnection
     from snipebend.edge.upstream_pool import UpstreamPool
-    from snipebend.relay.facts import Dialect, ResponseFacts, UpstreamCall
+    from snipebend.relay.facts import CallContext, Dialect, ResponseFacts
     from snipebend.relay.upstreams import Upstream
 
-#: Bytes of an answer that is kept whole before it is passed on.
-MAX_KEPT_BYTES = 16_777_216
+#: Largest response that is buffered completely before it is forwarded.
+MAX_BUFFERED_BYTES = 16_777_216
 
 
-class WholeAnswer(NamedTuple):
-    """An answer read to its end."""
+class CompleteResponse(NamedTuple):
+    """A response that was read to its end."""
 
-    begun: Begun
+    started: ResponseStarted
     body: bytes
 
 
 class Call:
-    """A request at one upstream."""
+    """One request to one upstream."""
 
     def __init__(
         self,
@@ -40,81 +45,83 @@
         upstream: Upstream,
         conn: UpstreamConnection,
         call_started_at: float,
-        hear: Callable[[Upstream, ResponseFacts, float], None],
+        on_facts: Callable[[Upstream, ResponseFacts, float], None],
     ) -> None:
-        """Keep an acquired connection; ``begun_at`` in monotonic seconds.
+        """Keep a connection; ``call_started_at`` is in monotonic seconds.
 
-        ``hear`` takes over what the answer says of the upstream, also where
-        the caller has left.
+        ``on_facts`` receives the facts in the head of the response, even if the
+        caller has disconnected.
         """
         self.upstream = upstream
         self.started_at = call_started_at
-        self._hear = hear
+        self._on_facts = on_facts
         self._pool = pool
         self._conn = conn
-        self._exchange: Exchange | None = None
-        self.over = False
+        self._channel: ResponseChannel | None = None
+        self.finished = False
 
     def send(
         self,
-        req: WholeRequest,
+        req: CompleteRequest,
         request_id: str,
-        facts: UpstreamCall,
+        context: CallContext,
         dialect: Dialect,
     ) -> None:
-        """Write the request with its whole body."""
+        """Write the request with its complete body."""
         head = req.head
-        headers = dialect.upstream_headers(end_to_end(head.headers), facts)
+        headers = dialect.upstream_headers(end_to_end(head.headers), context)
         if req.body or head.method not in {b'GET', b'HEAD', b'DELETE'}:
             headers.append((b'Content-Length', b'%d' % len(req.body)))
         line = b'%b %b HTTP/1.1' % (head.method, head.target)
         data = encode_head(line, headers) + req.body
-        self._exchange = self._conn.send(data, request_id)
+        self._channel = self._conn.send(data, request_id)
 
-    def give_back(self) -> None:
-        """Keep the connection for another call; nothing was sent on it."""
-        self.over = True
+    def release(self) -> None:
+        """Return the connection to the pool; nothing was sent on it."""
+        self.finished = True
         self._pool.release(self.upstream.record.identity, self._conn)
 
-    async def receive(self) -> Message:
-        """Wait for the next message about the answer."""
-        assert self._exchange is not None, 'send() comes first'
-        message = await self._exchange.receive()
+    async def receive(self) -> ResponseEvent:
+        """Wait for the next event of the response."""
+        assert self._channel is not None, 'send() must be called first'
+        event = await self._channel.receive()
         self._conn.resume()
-        match message:
-            case Begun(facts=facts):
-                self._hear(self.upstream, facts, self.started_at)
-            case Whole():
-                self.over = True
+        match event:
+            case ResponseStarted(facts=facts):
+                self._on_facts(self.upstream, facts, self.started_at)
+            case ResponseCompleted():
+                self.finished = True
                 self._pool.release(self.upstream.record.identity, self._conn)
-            case Broken():
-                self.over = True
+            case ResponseAborted():
+                self.finished = True
             case _:
                 pass
-        return message
+        return event
 
-    async def receive_whole(self, begun: Begun) -> WholeAnswer | Broken:
-        """Read the answer to its end."""
+    async def receive_complete(
+        self, started: ResponseStarted
+    ) -> CompleteResponse | ResponseAborted:
+        """Read the response to its end."""
         body = bytearray()
         while True:
-            message = await self.receive()
-            match message:
-                case Piece(data):
+            event = await self.receive()
+            match event:
+                case BodyChunk(data):
                     body += data
-                case Whole():
-                    return WholeAnswer(begun, bytes(body))
-                case Broken():
-                    return message
-                case Begun():
-                    return Broken('a second head')
-            if len(body) > MAX_KEPT_BYTES:
-                return Broken('the answer is too large')
-
-    async def read_out(self, span_s: float) -> None:
-        """Read an answer that nobody waits for, for so many seconds."""
+                case ResponseCompleted():
+                    return CompleteResponse(started, bytes(body))
+                case ResponseAborted():
+                    return event
+                case ResponseStarted():
+                    return ResponseAborted('a second head')
+            if len(body) > MAX_BUFFERED_BYTES:
+                return ResponseAborted('the answer is too large')
+
+    async def drain(self, timeout_s: float) -> None:
+        """Read and discard the response, for at most the given time."""
         try:
-            async with asyncio.timeout(span_s):
-                while not self.over:
+            async with asyncio.timeout(timeout_s):
+                while not self.finished:
                     await self.receive()
         except TimeoutError:
             logger.info(
@@ -122,10 +129,10 @@
                 self.upstream.record.identity,
             )
         finally:
-            self.break_off()
+            self.abort()
 
-    def break_off(self) -> None:
-        """Close the connection unless the answer has ended."""
-        if not self.over:
-            self.over = True
+    def abort(self) -> None:
+        """Close the connection unless the response has ended."""
+        if not self.finished:
+            self.finished = True
             self._conn.abandon()
--- a/src/snipebend/edge/caller_connection.py
+++ b/src/snipebend/edge/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reads requests, answers them one after another."""
+"""One caller's connection: parses requests and serves them in order."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from loguru import logger
 
-from snipebend.edge.answer_writer import AnswerWriter
-from snipebend.edge.caller_timer import CallerTimer, Due
-from snipebend.edge.caller_parser import CallerParser, WholeRequest
+from snipebend.edge.caller_parser import CallerParser, CompleteRequest
+from snipebend.edge.caller_timer import AwaitedInput, CallerTimer
 from snipebend.edge.framing import FramingFault
+from snipebend.edge.response_writer import ResponseWriter
 from snipebend.transport.problems import Problem
 
 if TYPE_CHECKING:
@@ -20,51 +20,52 @@
 
     from snipebend.hosts.model import CallerLimits
 
-#: Whole requests that may wait behind the one in work before the connection
-#: is read no further.
+#: Complete requests that may queue behind the current one before reading from
+#: the connection is paused.
 MAX_PIPELINED = 4
 
-#: Seconds for a caller to take the last answer before its connection is cut.
+#: Seconds for a caller to read the last response before the connection is
+#: aborted.
 CLOSE_TIMEOUT_S = 5.0
 
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
 class RequestServer(Protocol):
-    """What serves the requests of all connections."""
+    """The server behind all caller connections."""
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the bounds in force."""
+        """Return the limits in force."""
 
     @property
     def draining(self) -> bool:
-        """Tell whether connections are to end after their answer."""
+        """Return whether connections close after the current response."""
 
     def now(self) -> float:
         """Return monotonic seconds."""
 
     def serve(
-        self, req: WholeRequest, answer: AnswerWriter
+        self, req: CompleteRequest, response: ResponseWriter
     ) -> Coroutine[Any, Any, None]:
-        """Answer a request; cancelled when its caller leaves."""
+        """Serve a request; cancelled when the caller disconnects."""
 
-    def opened(self, conn: CallerConnection) -> None:
-        """Note a new connection."""
+    def connection_opened(self, conn: CallerConnection) -> None:
+        """Register a new connection."""
 
-    def closed(self, conn: CallerConnection) -> None:
-        """Note that a connection has ended."""
+    def connection_closed(self, conn: CallerConnection) -> None:
+        """Unregister a connection that has closed."""
 
 
 class CallerConnection(asyncio.Protocol):
-    """Owns the transport of one caller."""
+    """Protocol of one caller's connection."""
 
     def __init__(self, server: RequestServer) -> None:
         """Keep the server of the requests."""
         self._server = server
         self._loop = asyncio.get_running_loop()
-        self._parser = CallerParser(lambda: server.limits, self._continue)
-        self._timer = CallerTimer(lambda: server.limits, self._late)
+        self._parser = CallerParser(lambda: server.limits, self._send_continue)
+        self._timer = CallerTimer(lambda: server.limits, self._handle_timeout)
         self._writable = asyncio.Event()
         self._writable.set()
         self._task: asyncio.Task[None] | None = None
@@ -73,48 +74,48 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Wait for the first request."""
         self._transport = cast(asyncio.Transport, transport)
-        self._server.opened(self)
+        self._server.connection_opened(self)
         self._advance()
 
     def data_received(self, data: bytes) -> None:
-        """Read on, and begin what is whole."""
+        """Parse the bytes and start a request that is complete."""
         if self._closing:
             return
         self._parser.feed(data)
         self._advance()
 
     def eof_received(self) -> bool:
-        """Take the end of what a caller sends as its leaving."""
+        """Treat the end of the caller's input as a disconnect."""
         return False
 
     def pause_writing(self) -> None:
-        """Let answers wait: the caller takes too little."""
+        """Pause writing responses: the caller reads too slowly."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let answers go on."""
+        """Resume writing responses."""
         self._writable.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Break off what the caller waited for."""
+        """Cancel the request in progress."""
         self._closing = True
         self._timer.stop()
         if self._task is not None:
             self._task.cancel()
-        self._server.closed(self)
+        self._server.connection_closed(self)
 
     def close_if_idle(self) -> None:
-        """Close between two requests."""
-        if self._task is None and not self._parser.partial:
+        """Close the connection if no request is in progress or incomplete."""
+        if self._task is None and not self._parser.incomplete:
             self._close()
 
-    def cut(self) -> None:
-        """Close whatever is under way."""
+    def abort(self) -> None:
+        """Close the connection regardless of requests in progress."""
         self._closing = True
         self._transport.abort()
 
     def _advance(self) -> None:
-        """Begin the next request, if there is one and none is in work."""
+        """Start the next request, if there is one and none is in progress."""
         if self._task is None and not self._closing:
             if self._parser.requests:
                 self._begin(self._parser.requests.popleft())
@@ -124,34 +125,36 @@
             return
         if len(self._parser.requests) >= MAX_PIPELINED:
             self._transport.pause_reading()
-        self._timer.expect(self._due())
+        self._timer.expect(self._awaited_input())
 
-    def _begin(self, req: WholeRequest) -> None:
-        answer = AnswerWriter(
+    def _begin(self, req: CompleteRequest) -> None:
+        response = ResponseWriter(
             self._transport,
             self._writable,
             now=self._server.now,
-            chunks=req.chunks,
-            keeps_open=lambda: self._keeps_open(req),
-            on_end=self._ended,
+            supports_chunks=req.accepts_chunks,
+            can_keep_alive=lambda: self._can_keep_alive(req),
+            on_end=self._handle_response_end,
         )
-        self._task = self._loop.create_task(self._serve(req, answer))
+        self._task = self._loop.create_task(self._serve(req, response))
 
-    def _keeps_open(self, req: WholeRequest) -> bool:
+    def _can_keep_alive(self, req: CompleteRequest) -> bool:
         if self._server.draining or self._parser.fault is not None:
             return False
         return req.keep_alive
 
-    async def _serve(self, req: WholeRequest, answer: AnswerWriter) -> None:
+    async def _serve(
+        self, req: CompleteRequest, response: ResponseWriter
+    ) -> None:
         try:
-            await self._server.serve(req, answer)
+            await self._server.serve(req, response)
         except Exception as exc:
             logger.error('event=serve_failed error={!r}', exc)
         finally:
-            if not answer.ended:
-                answer.abort()
+            if not response.ended:
+                response.abort()
 
-    def _ended(self, keep: bool) -> None:
+    def _handle_response_end(self, keep: bool) -> None:
         self._task = None
         if not keep:
             self._close()
@@ -166,19 +169,19 @@
             fault.detail,
             self._transport.get_extra_info('peername'),
         )
-        answer = AnswerWriter(
+        response = ResponseWriter(
             self._transport,
             self._writable,
             now=self._server.now,
-            chunks=False,
-            keeps_open=lambda: False,  # noqa: WPS522  # `bool` reads worse
-            on_end=self._ended,
+            supports_chunks=False,
+            can_keep_alive=lambda: False,  # noqa: WPS522  # `bool` reads worse
+            on_end=self._handle_response_end,
         )
-        answer.refuse(
+        response.write_problem(
             Problem(fault.status, fault.status.phrase, fault.detail), []
         )
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         if self._task is None and not self._parser.requests:
             self._transport.write(_CONTINUE)
 
@@ -190,19 +193,23 @@
         self._transport.close()
         self._loop.call_later(CLOSE_TIMEOUT_S, self._transport.abort)
 
-    def _due(self) -> Due:
+    def _awaited_input(self) -> AwaitedInput:
         if self._task is not None:
-            return Due.NOTHING
-        if not self._parser.partial:
-            return Due.REQUEST
-        return Due.BODY if self._parser.head_read else Due.HEAD
+            return AwaitedInput.NOTHING
+        if not self._parser.incomplete:
+            return AwaitedInput.REQUEST
+        return (
+            AwaitedInput.BODY
+            if self._parser.head_complete
+            else AwaitedInput.HEAD
+        )
 
-    def _late(self, due: Due) -> None:
-        if due is Due.REQUEST:
+    def _handle_timeout(self, awaited: AwaitedInput) -> None:
+        if awaited is AwaitedInput.REQUEST:
             self._close()
             return
         self._refuse(
             FramingFault(
-                HTTPStatus.REQUEST_TIMEOUT, f'the {due.value} took too long'
+                HTTPStatus.REQUEST_TIMEOUT, f'the {awaited.value} took too long'
             )
         )
--- a/src/snipebend/edge/caller_parser.py
+++ b/src/snipebend/edge/caller_parser.py
@@ -1,8 +1,9 @@
-"""Cuts a caller's bytes into whole requests.
+"""Splits a caller's bytes into complete requests.
 
-``httptools`` parses; ``uvicorn`` stands on the same parser, but hides from its
-application what the rules of this path need: whether a request was read whole,
-whether its framing was ambiguous, and whether the caller has left.
+``httptools`` parses. ``uvicorn`` is based on the same parser, but hides from
+its application what an entry needs to know: whether a request was read
+completely, whether its framing was ambiguous, and whether the caller has
+disconnected.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 import httptools
 
-from snipebend.edge.framing import FramingFault, check_request, too_large
+from snipebend.edge.framing import FramingFault, body_too_large, check_request
 from snipebend.edge.http_headers import find_all
 from snipebend.relay.facts import RequestHead
 
@@ -23,31 +24,31 @@
     from snipebend.hosts.model import CallerLimits
 
 
-class WholeRequest(NamedTuple):
-    """A request whose last byte has been read."""
+class CompleteRequest(NamedTuple):
+    """A request that was read to its last byte."""
 
     head: RequestHead
     body: bytes
     keep_alive: bool
-    #: Whether its caller reads answers in chunks.
-    chunks: bool
+    #: Whether the caller accepts chunked responses.
+    accepts_chunks: bool
 
 
 class CallerParser:
-    """The requests of one connection, in their order."""
+    """The requests of one connection, in order."""
 
     def __init__(
         self,
         limits: Callable[[], CallerLimits],
         on_continue: Callable[[], None],
     ) -> None:
-        """Start a connection; ``on_continue`` sends an interim answer."""
-        self.requests: deque[WholeRequest] = deque()
+        """Start a connection; ``on_continue`` sends an interim response."""
+        self.requests: deque[CompleteRequest] = deque()
         self.fault: FramingFault | None = None
-        #: Whether a request has begun and isn't whole yet.
-        self.partial = False
+        #: Whether a request has begun and is not complete yet.
+        self.incomplete = False
         #: Whether the head of that request has been read.
-        self.head_read = False
+        self.head_complete = False
         self._limits = limits
         self._on_continue = on_continue
         self._parser = httptools.HttpRequestParser(self)
@@ -59,10 +60,10 @@
         self._body = bytearray()
 
     def feed(self, received: bytes) -> None:
-        """Take in bytes; nothing more is read after a fault."""
+        """Parse received bytes; ignored after a fault."""
         if self.fault is not None:
             return
-        if not self.head_read:
+        if not self.head_complete:
             self._head_bytes += len(received)
         try:
             self._parser.feed_data(received)
@@ -70,28 +71,28 @@
             self._fail('protocol upgrades are not known here')
         except httptools.HttpParserError as exc:
             self._fail(f'not HTTP/1.1: {exc}')
-        if self._head_is_too_long():
+        if self._is_head_too_large():
             self.fault = self.fault or FramingFault(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
                 'the head is too large',
             )
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
-        self.partial = True
+        """Reset the state for a new request."""
+        self.incomplete = True
         self._reset()
 
     def on_url(self, url: bytes) -> None:
-        """Take in a piece of the target."""
+        """Append a piece of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, header_value: bytes) -> None:
-        """Take in a header."""
+        """Append a header."""
         self._headers.append((name, header_value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
-        self.head_read = True
+        """Validate the head."""
+        self.head_complete = True
         self._head_bytes = 0
         headers = tuple(self._headers)
         self._head = RequestHead(
@@ -106,21 +107,21 @@
             self._on_continue()
 
     def on_body(self, body: bytes) -> None:
-        """Take in a piece of the body."""
+        """Append a piece of the body."""
         if self.fault is not None:
             return
         self._body += body
         if len(self._body) > self._limits().body_bytes:
-            self.fault = too_large()
+            self.fault = body_too_large()
 
     def on_message_complete(self) -> None:
-        """Queue the request."""
-        self.partial = False
-        self.head_read = False
+        """Queue the complete request."""
+        self.incomplete = False
+        self.head_complete = False
         if self.fault is not None:
             return
         self.requests.append(
-            WholeRequest(
+            CompleteRequest(
                 self._head,
                 bytes(self._body),
                 self._parser.should_keep_alive(),
@@ -129,13 +130,13 @@
         )
 
     def _reset(self) -> None:
-        self.head_read = False
+        self.head_complete = False
         self._target = b''
         self._headers = []
         self._body = bytearray()
 
-    def _head_is_too_long(self) -> bool:
-        if self.head_read or not self.partial:
+    def _is_head_too_large(self) -> bool:
+        if self.head_complete or not self.incomplete:
             self._head_bytes = 0
             return False
         return self._head_bytes > self._limits().header_bytes
--- a/src/snipebend/edge/caller_timer.py
+++ b/src/snipebend/edge/caller_timer.py
@@ -1,4 +1,4 @@
-"""Bounds how long a caller takes for what is due next from it."""
+"""Limits how long a caller may take to send its next input."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from snipebend.hosts.model import CallerLimits
 
 
-class Due(Enum):
+class AwaitedInput(Enum):
     """What a caller has to send next."""
 
     NOTHING = 'nothing'
@@ -22,39 +22,41 @@
 
 
 class CallerTimer:
-    """One timer, set anew whenever something else is due."""
+    """One timer, restarted whenever other input is awaited."""
 
     def __init__(
         self,
         limits: Callable[[], CallerLimits],
-        on_late: Callable[[Due], None],
+        on_timeout: Callable[[AwaitedInput], None],
     ) -> None:
-        """Keep whom to tell; nothing is due yet."""
+        """Keep the callback for a timeout; no input is awaited yet."""
         self._loop = asyncio.get_running_loop()
         self._limits = limits
-        self._on_late = on_late
-        self._due = Due.NOTHING
-        self._running: asyncio.TimerHandle | None = None
+        self._on_timeout = on_timeout
+        self._awaited = AwaitedInput.NOTHING
+        self._timer_handle: asyncio.TimerHandle | None = None
 
-    def expect(self, due: Due) -> None:
-        """Wait for this from now on; what is due already keeps its time."""
-        if due is self._due:
+    def expect(self, awaited: AwaitedInput) -> None:
+        """Await this input; input that is already awaited keeps its timeout."""
+        if awaited is self._awaited:
             return
         self.stop()
-        self._due = due
+        self._awaited = awaited
         limits = self._limits()
-        match due:
-            case Due.NOTHING:
+        match awaited:
+            case AwaitedInput.NOTHING:
                 return
-            case Due.HEAD:
-                span_s = limits.header_timeout_s
-            case Due.BODY | Due.REQUEST:
-                span_s = limits.idle_timeout_s
-        self._running = self._loop.call_later(span_s, self._on_late, due)
+            case AwaitedInput.HEAD:
+                timeout_s = limits.header_timeout_s
+            case AwaitedInput.BODY | AwaitedInput.REQUEST:
+                timeout_s = limits.idle_timeout_s
+        self._timer_handle = self._loop.call_later(
+            timeout_s, self._on_timeout, awaited
+        )
 
     def stop(self) -> None:
-        """Wait for nothing."""
-        self._due = Due.NOTHING
-        if self._running is not None:
-            self._running.cancel()
-            self._running = None
+        """Await nothing."""
+        self._awaited = AwaitedInput.NOTHING
+        if self._timer_handle is not None:
+            self._timer_handle.cancel()
+            self._timer_handle = None
--- a/src/snipebend/edge/document_fetcher.py
+++ b/src/snipebend/edge/document_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches documents that control daemons tell of, part by part."""
+"""Fetches documents announced by control daemons, part by part."""
 
 from __future__ import annotations
 
@@ -16,93 +16,93 @@
     from snipebend.kernel.clock import Clock
     from snipebend.transport.rpc_clients import RpcClients
 
-#: Takes over a document: its number, its bytes, and who told the last part.
-TakeDocument = Callable[[int, bytes, str], None]
+#: Receives a document: its number, its bytes, and the source of its last part.
+DocumentHandler = Callable[[int, bytes, str], None]
 
-#: Seconds for a part, a connection for it included, before another daemon is
-#: asked: three tries fit into the 2 s for a change.
-PART_WITHIN_S = 0.6
+#: Seconds for a part, including its connection, before another daemon is asked:
+#: three attempts fit into the 2 s in which a change must be in force.
+PART_TIMEOUT_S = 0.6
 
-#: Seconds before the next try after a failed one.
+#: Seconds before the retry of a failed request.
 RETRY_S = 0.05
 
 #: Seconds before a damaged document is fetched again, from another daemon if
-#: there is one: all of it crosses the link once more.
+#: there is one; the complete document crosses the link once more.
 DAMAGED_RETRY_S = 0.5
 
 
 class DocumentFetcher:
-    """Asks one daemon at a time, over connections of its own.
+    """Asks one daemon at a time, over connections separate from watches.
 
-    A part that is late says nothing of the watch, and news don't wait behind
+    A late part does not affect a watch, and updates do not queue behind
     documents.
     """
 
     def __init__(
-        self, process: str, clients: RpcClients, take: TakeDocument
+        self, process: str, clients: RpcClients, on_document: DocumentHandler
     ) -> None:
-        """Hand whole documents to ``take``."""
+        """Pass complete documents to ``on_document``."""
         self._sources = DocumentSources(process)
         self._clients = clients
-        self._take = take
-        self._told = asyncio.Event()
-        #: Number of the newest document that was fetched or taken.
-        self._done = 0
+        self._on_document = on_document
+        self._newer_available = asyncio.Event()
+        #: Number of the newest document that was fetched or received otherwise.
+        self._latest = 0
 
-    def note_told(self, address: str, number: int) -> None:
-        """Note which document a daemon has."""
-        self._sources.note_told(address, number)
-        if number > self._done:
-            self._told.set()
+    def record_document(self, address: str, number: int) -> None:
+        """Record which document a daemon has."""
+        self._sources.record_document(address, number)
+        if number > self._latest:
+            self._newer_available.set()
 
-    def note_lost(self, address: str) -> None:
-        """Ask a daemon no more until it tells of a document again."""
-        self._sources.note_lost(address)
+    def remove_daemon(self, address: str) -> None:
+        """Skip a daemon until it announces a document again."""
+        self._sources.remove_daemon(address)
 
-    def note_taken(self, number: int) -> None:
-        """Note a document that came another way."""
-        self._done = max(self._done, number)
+    def record_received(self, number: int) -> None:
+        """Record a document that was received in another way."""
+        self._latest = max(self._latest, number)
 
     def close(self) -> None:
         """Close the connections."""
         self._clients.close()
 
     async def run(self, clock: Clock) -> None:
-        """Fetch for ever."""
+        """Fetch documents until cancelled."""
         while True:
-            await self._told.wait()
-            self._told.clear()
+            await self._newer_available.wait()
+            self._newer_available.clear()
             assembly = Assembly()
-            began_at = clock.now()
-            while self._sources.newest > self._done:
+            started_at = clock.now()
+            while self._sources.newest > self._latest:
                 await self._fetch_part(assembly, clock)
                 if assembly.whole:
-                    await self._finish(assembly, began_at, clock)
+                    await self._finish(assembly, started_at, clock)
                     assembly = Assembly()
-                    began_at = clock.now()
+                    started_at = clock.now()
 
     async def _fetch_part(self, assembly: Assembly, clock: Clock) -> None:
-        source = self._sources.choose(self._done, clock.now())
-        asked = await self._clients.call(
-            source, FETCH_PART, assembly.request(), timeout=PART_WITHIN_S
+        source = self._sources.select(self._latest, clock.now())
+        reply = await self._clients.call(
+            source, FETCH_PART, assembly.request(), timeout=PART_TIMEOUT_S
         )
-        if asked.is_ok():
-            part = asked.unwrap()
-            if part.number <= self._done:
-                # It restarted, and has less than it told of.
-                self._sources.note_told(source, part.number)
+        if reply.is_ok():
+            part = reply.unwrap()
+            if part.number <= self._latest:
+                # The daemon restarted and has an older document than announced.
+                self._sources.record_document(source, part.number)
                 return
             if assembly.take(part):
                 return
-        reason = str(asked.err() or 'a part that is of no use')
-        self._note_failure(source, assembly, reason)
-        self._sources.note_failure(source, clock.now())
+        reason = str(reply.err() or 'the part does not continue the document')
+        self._log_failure(source, assembly, reason)
+        self._sources.record_failure(source, clock.now())
         await asyncio.sleep(RETRY_S)
 
     async def _finish(
-        self, assembly: Assembly, began_at: float, clock: Clock
+        self, assembly: Assembly, started_at: float, clock: Clock
     ) -> None:
-        """Hand the document on, or fetch it again if it is damaged."""
+        """Pass the document on, or have it fetched again if it is damaged."""
         source = self._sources.current
         logger.info(
             'event=document_fetched number={} packed_bytes={} parts={} '
@@ -110,13 +110,13 @@
             assembly.number,
             assembly.arrived,
             assembly.parts,
-            1000 * (clock.now() - began_at),
+            1000 * (clock.now() - started_at),
             source,
         )
         unpacked = assembly.unpack()
         if unpacked.is_ok():
-            self._done = assembly.number
-            self._take(assembly.number, unpacked.unwrap(), source)
+            self._latest = assembly.number
+            self._on_document(assembly.number, unpacked.unwrap(), source)
             return
         logger.error(
             'event=document_damaged number={} peer={} error={!r}',
@@ -124,10 +124,10 @@
             source,
             str(unpacked.unwrap_err()),
         )
-        self._sources.note_failure(source, clock.now())
+        self._sources.record_failure(source, clock.now())
         await asyncio.sleep(DAMAGED_RETRY_S)
 
-    def _note_failure(
+    def _log_failure(
         self, source: str, assembly: Assembly, reason: str
     ) -> None:
         req = assembly.request()
@@ -140,4 +140,4 @@
             req.size,
             reason,
         )
-        assembly.note_failure()
+        assembly.record_failure()
--- a/src/snipebend/edge/document_sources.py
+++ b/src/snipebend/edge/document_sources.py
@@ -1,19 +1,22 @@
-"""Which control daemon to ask for the next part of a document (pure)."""
+"""Selects the control daemon for the next part of a document.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
 from snipebend.hashing.rendezvous import weigh
 
-#: Seconds for which a daemon that failed goes behind the others.
-PAUSE_S = 2.0
+#: Seconds for which a daemon that failed is asked only after the others.
+FAILURE_PAUSE_S = 2.0
 
 
 class DocumentSources:
-    """What control daemons have told of their documents."""
+    """The documents announced by control daemons."""
 
     def __init__(self, process: str) -> None:
-        """Spread processes over daemons by the name of each."""
-        #: The one that was asked last.
+        """Distribute processes over daemons by hashing the process name."""
+        #: The daemon that was asked last.
         self.current = ''
         self._process = process
         self._numbers: dict[str, int] = {}
@@ -21,36 +24,38 @@
 
     @property
     def newest(self) -> int:
-        """Return the highest number that was told of."""
+        """Return the highest announced number."""
         return max(self._numbers.values(), default=0)
 
-    def note_told(self, address: str, number: int) -> None:
-        """Note the number of a daemon's document."""
+    def record_document(self, address: str, number: int) -> None:
+        """Record the number of a daemon's document."""
         self._numbers[address] = number
 
-    def note_lost(self, address: str) -> None:
-        """Forget what a daemon told."""
+    def remove_daemon(self, address: str) -> None:
+        """Remove a daemon until it announces a document again."""
         self._numbers.pop(address, None)
 
-    def note_failure(self, address: str, now: float) -> None:
-        """Note that a daemon didn't answer in time."""
-        self._paused_until[address] = now + PAUSE_S
+    def record_failure(self, address: str, now: float) -> None:
+        """Record that a daemon did not respond in time."""
+        self._paused_until[address] = now + FAILURE_PAUSE_S
 
-    def choose(self, above: int, now: float) -> str:
-        """Return whom to ask; some daemon has told of a number above.
+    def select(self, newer_than: int, now: float) -> str:
+        """Return the daemon to ask; at least one has a newer document.
 
-        The one that was asked last is asked on while it answers, so that parts
-        of one document come from one daemon.
+        The daemon that was asked last is preferred while it responds, so that
+        the parts of one document come from one daemon.
         """
-        able = [
+        candidates = [
             address
             for address, number in self._numbers.items()
-            if number > above
+            if number > newer_than
         ]
-        self.current = min(able, key=lambda address: self._rank(address, now))
+        self.current = min(
+            candidates, key=lambda address: self._sort_key(address, now)
+        )
         return self.current
 
-    def _rank(self, address: str, now: float) -> tuple[float, bool, int]:
+    def _sort_key(self, address: str, now: float) -> tuple[float, bool, int]:
         paused_until = self._paused_until.get(address, now)
         return (
             max(now, paused_until),
--- a/src/snipebend/edge/early_listener.py
+++ b/src/snipebend/edge/early_listener.py
@@ -1,9 +1,9 @@
 """Listens for callers before the rest of an entry is loaded.
 
 Loading takes 0.45 s. When all entries were killed, callers found no listener
-for as long, came back once and found none again; now the kernel takes their
-connections, and they are served as soon as the entry is there. It imports next
-to nothing for that.
+for that time, retried once and found none again; now the kernel accepts their
+connections, which are served as soon as the entry has loaded. Therefore this
+module imports next to nothing.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 def open_early(path: Path) -> socket.socket | None:
-    """Listen where a settings file says that callers connect.
+    """Listen on the callers' address in a settings file.
 
-    Nothing if that can't be read or listened at: the entry itself will tell
-    what is wrong, with all else that is.
+    Return None if the file can't be read or the address not be listened on: the
+    entry itself reports this, together with all other faults of its settings.
     """
     try:
         table = tomllib.loads(path.read_text(encoding='utf-8'))
--- a/src/snipebend/edge/final_answer.py
+++ b/src/snipebend/edge/final_response.py
@@ -1,4 +1,4 @@
-"""The end of a request whose answer didn't come by itself."""
+"""Ends a request with a buffered response, a refusal or an error."""
 
 from __future__ import annotations
 
@@ -12,54 +12,56 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from snipebend.edge.answer_writer import AnswerWriter
-    from snipebend.edge.call import WholeAnswer
-    from snipebend.edge.refuser import Refuser
+    from snipebend.edge.call import CompleteResponse
+    from snipebend.edge.refusal_writer import RefusalWriter
+    from snipebend.edge.response_writer import ResponseWriter
     from snipebend.relay.facts import CallerFacts
     from snipebend.relay.problems import Refusal
     from snipebend.relay.upstream_selection import NoCapacity
 
 
-class FinalAnswer:
-    """Ends one answer, once."""
+class FinalResponse:
+    """Writes the end of one response, at most once."""
 
     def __init__(
         self,
-        answer: AnswerWriter,
-        refuser: Refuser,
+        response: ResponseWriter,
+        refusal_writer: RefusalWriter,
         facts: CallerFacts,
         time_left_s: Callable[[], float],
     ) -> None:
-        """Keep the answer, the request's facts and the way to its time."""
-        self._answer = answer
-        self._refuser = refuser
+        """Keep the response and the facts of its request."""
+        self._response = response
+        self._refusal_writer = refusal_writer
         self._facts = facts
         self._time_left_s = time_left_s
 
-    def pass_on(self, whole: WholeAnswer) -> None:
-        """Give the caller an upstream's whole answer."""
-        head = whole.begun.head
-        self._answer.begin(
+    def forward(self, upstream_response: CompleteResponse) -> None:
+        """Write an upstream's complete response."""
+        head = upstream_response.started.head
+        self._response.begin(
             head.status,
             head.reason,
             list(end_to_end(head.headers)),
-            len(whole.body),
+            len(upstream_response.body),
         )
-        self._answer.write(whole.body)
-        self._answer.end()
+        self._response.write(upstream_response.body)
+        self._response.end()
 
     def finish(
         self,
-        step: NextAction,
+        action: NextAction,
         reason: str,
-        failure: WholeAnswer | None,
+        failure: CompleteResponse | None,
         *,
         no_capacity: NoCapacity | None,
     ) -> None:
-        """Answer after the last call; ``failure`` is the upstream's own."""
-        match step:
-            case NextAction.FORWARD if failure is not None and not self._begun:
-                self.pass_on(failure)
+        """Respond after the last call; ``failure`` is the upstream's one."""
+        match action:
+            case NextAction.FORWARD if (
+                failure is not None and not self._started
+            ):
+                self.forward(failure)
             case NextAction.REFUSE if no_capacity is not None:
                 self._refuse_until(no_capacity)
             case NextAction.REFUSE:
@@ -67,10 +69,10 @@
             case _:
                 self._refuse(problems.upstream_lost(reason))
 
-    def refuse_full(
+    def refuse_no_capacity(
         self, *, may_have_run: bool, tried: bool, no_capacity: NoCapacity | None
     ) -> None:
-        """Answer that no upstream can take it now."""
+        """Respond that no upstream has capacity."""
         if may_have_run:
             self._refuse(
                 problems.upstream_lost('the call broke, and none is free')
@@ -80,33 +82,35 @@
         elif tried:
             self._refuse_for_outage('no other upstream is free')
         else:
-            retry_after_s = self._refuser.wait_for_place_s()
+            retry_after_s = self._refusal_writer.busy_wait_s()
             self._refuse(problems.busy(retry_after_s, 'no upstream is free'))
 
     def time_out(self, *, may_have_run: bool) -> None:
-        """Answer that the time is over."""
+        """Respond that the deadline has expired."""
         if may_have_run:
             self._refuse(problems.deadline_exceeded(Outcome.UNKNOWN))
             return
         self._refuse_for_outage('no upstream in time')
 
     @property
-    def _begun(self) -> bool:
-        return self._answer.begun
+    def _started(self) -> bool:
+        return self._response.started
 
     def _refuse_until(self, no_capacity: NoCapacity) -> None:
-        retry_after_s = self._refuser.wait_for_room_s(no_capacity.retry_after_s)
+        retry_after_s = self._refusal_writer.capacity_wait_s(
+            no_capacity.retry_after_s
+        )
         self._refuse(problems.busy(retry_after_s, no_capacity.detail))
 
     def _refuse_for_outage(self, reason: str) -> None:
-        retry_after_s = self._refuser.wait_for_outage_s(self._time_left_s())
+        retry_after_s = self._refusal_writer.outage_wait_s(self._time_left_s())
         self._refuse(problems.busy(retry_after_s, reason))
 
     def _refuse(self, refusal: Refusal) -> None:
-        if self._answer.ended:
+        if self._response.ended:
             return
-        if self._begun:
-            # A broken answer must not look like a whole one.
-            self._answer.abort()
+        if self._started:
+            # A response that was cut off must not look complete.
+            self._response.abort()
             return
-        self._refuser.refuse(self._answer, refusal, self._facts)
+        self._refusal_writer.refuse(self._response, refusal, self._facts)
--- a/src/snipebend/edge/framing.py
+++ b/src/snipebend/edge/framing.py
@@ -1,7 +1,7 @@
-"""Which requests are refused for how they are framed (RFC 9112).
+"""Refuses requests whose framing is ambiguous (RFC 9112).
 
-Two readers of one connection must never disagree about where a request ends:
-what could be read in two ways is refused, and its connection closed.
+Two parsers of one connection must never disagree about where a request ends: a
+request that can be parsed in two ways is refused, and its connection closed.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class FramingFault(NamedTuple):
-    """Why a request is refused; the connection can't be used further."""
+    """Why a request is refused; its connection can't be used any further."""
 
     status: HTTPStatus
     detail: str
@@ -37,7 +37,7 @@
 def check_request(
     headers: Headers, target: bytes, version: str, limits: CallerLimits
 ) -> FramingFault | None:
-    """Return what is wrong with a request's head; nothing if it is sound."""
+    """Return what is wrong with a request's head, or None."""
     size = len(target) + sum(
         len(name) + len(header_value) + _LINE_BYTES
         for name, header_value in headers
@@ -46,12 +46,12 @@
         return FramingFault(
             HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, 'the head is too large'
         )
-    if not all(_is_sound(*header) for header in headers):
-        return _bad('a header is malformed')
+    if not all(_is_valid(*header) for header in headers):
+        return _bad_request('a header is malformed')
     if not target.startswith(b'/'):
-        return _bad('the target must be a path')
+        return _bad_request('the target must be a path')
     if version == '1.1' and len(find_all(headers, b'host')) != 1:
-        return _bad('exactly one Host header is needed')
+        return _bad_request('exactly one Host header is needed')
     return _check_body(headers, version, limits)
 
 
@@ -61,32 +61,32 @@
     lengths = find_all(headers, CONTENT_LENGTH)
     codings = find_all(headers, TRANSFER_ENCODING)
     if codings and (lengths or version != '1.1'):
-        return _bad('both a length and a transfer coding, or HTTP/1.0')
+        return _bad_request('both a length and a transfer coding, or HTTP/1.0')
     if len(lengths) > 1 or len(codings) > 1:
-        return _bad('the length of the body is ambiguous')
+        return _bad_request('the length of the body is ambiguous')
     if codings and codings[0].strip().lower() != b'chunked':
-        return _bad('the transfer coding must be chunked')
+        return _bad_request('the transfer coding must be chunked')
     if not lengths:
         return None
     if not _DIGITS.fullmatch(lengths[0]):
-        return _bad('the length of the body is malformed')
+        return _bad_request('the length of the body is malformed')
     if int(lengths[0]) > limits.body_bytes:
-        return too_large()
+        return body_too_large()
     return None
 
 
-def too_large() -> FramingFault:
+def body_too_large() -> FramingFault:
     """Return the fault of a body over the limit."""
     return FramingFault(
         HTTPStatus.REQUEST_ENTITY_TOO_LARGE, 'the body is too large'
     )
 
 
-def _bad(detail: str) -> FramingFault:
+def _bad_request(detail: str) -> FramingFault:
     return FramingFault(HTTPStatus.BAD_REQUEST, detail)
 
 
-def _is_sound(name: bytes, header_value: bytes) -> bool:
+def _is_valid(name: bytes, header_value: bytes) -> bool:
     if not _TOKEN.fullmatch(name):
         return False
     return _VALUE.fullmatch(header_value) is not None
--- a/src/snipebend/edge/gossip.py
+++ b/src/snipebend/edge/gossip.py
@@ -1,8 +1,8 @@
-"""Entries tell each other what they have under way, by datagrams.
+"""Entries report their calls in progress to each other by datagrams.
 
-Each entry sees its own calls only. Without the others' it would give work to
-an upstream that is busy with theirs, and in a group of ranks that advance in
-lock-step the fullest rank sets the pace of all.
+Each entry observes its own calls only. Without the others' it would select
+upstreams that are busy with their calls, and in a group of ranks that run in
+lock-step the fullest rank determines the step time of all.
 """
 
 from __future__ import annotations
@@ -26,94 +26,94 @@
 
     from snipebend.kernel.registry import Registry
 
-#: Seconds between two datagrams while calls change: about the time between
-#: two requests of the whole fleet at 40 a second.
-TELL_EVERY_S = 0.025
+#: Seconds between two datagrams while calls change: about the time between two
+#: requests of a fleet that serves 40 per second.
+SEND_INTERVAL_S = 0.025
 
 #: Seconds between two datagrams while nothing changes.
-REPEAT_EVERY_S = 0.4
+REPEAT_INTERVAL_S = 0.4
 
-#: Seconds after which an entry that says nothing is taken to have no calls:
+#: Seconds after which an entry that sends nothing is assumed to have no calls:
 #: three repeats may be lost.
-SILENT_AFTER_S = 1.3
+ENTRY_TIMEOUT_S = 1.3
 
 
-class CallsTold(Struct, frozen=True, array_like=True):
-    """One entry's calls by the upstream's identity, with a growing number."""
+class GossipMessage(Struct, frozen=True, array_like=True):
+    """One entry's calls by upstream identity, with an increasing number."""
 
     entry: str
     started_at: float
     number: int
     calls: dict[str, int]
-    #: Whether the receiver is to tell it on in its data centre.
-    onward: bool = False
-    #: What it heard of upstreams' limits and began under them.
+    #: Whether the receiver forwards the message in its data centre.
+    forward: bool = False
+    #: Notices of upstreams' limits, and the calls begun under them.
     limits: dict[str, LimitReport] = field(default_factory=dict)
-    #: What upstreams refused to it lately.
+    #: Recent refusals by upstreams.
     refusals: dict[str, RefusalReport] = field(default_factory=dict)
 
 
-class CallBooks(Protocol):
-    """What an entry has under way, and what it makes of the others'."""
+class GossipState(Protocol):
+    """The state that entries exchange by gossip."""
 
     def own_calls(self) -> dict[str, int]:
-        """Return the calls under way, by the upstream's identity."""
+        """Return this entry's calls in progress, by upstream identity."""
 
-    def own_limits(self) -> dict[str, LimitReport]:
-        """Return what to tell of limits, by the upstream's identity."""
+    def make_limit_reports(self) -> dict[str, LimitReport]:
+        """Return the rate limit reports for others, by upstream identity."""
 
-    def own_refusals(self) -> dict[str, RefusalReport]:
-        """Return what to tell of refusals, by the upstream's identity."""
+    def make_refusal_reports(self) -> dict[str, RefusalReport]:
+        """Return the refusal reports for others, by upstream identity."""
 
     def apply_calls(self, entry: str, calls: dict[str, int]) -> None:
-        """Take over what another entry has under way."""
+        """Apply the calls that another entry has in progress."""
 
     def apply_limits(
         self, entry: str, started_at: float, limits: dict[str, LimitReport]
     ) -> None:
-        """Take over what another entry tells of limits."""
+        """Apply another entry's rate limit reports."""
 
     def apply_refusals(
         self, entry: str, refusals: dict[str, RefusalReport]
     ) -> None:
-        """Take over what another entry tells of refusals."""
+        """Apply another entry's refusal reports."""
 
     def record_reachable_share(self, share: float) -> None:
-        """Take note of the part of all entries that is heard."""
+        """Record the part of all entries that can be received here."""
 
 
-class _Known(NamedTuple):
-    """What is news to the others if it changes."""
+class _Digest(NamedTuple):
+    """The content of a message that is sent at once when it changes."""
 
     calls: dict[str, int]
-    #: Without their ages.
+    #: Without ages.
     limits: dict[str, LimitReport]
-    #: Numbers by upstream.
+    #: Consecutive refusals by upstream.
     refusals: dict[str, int]
 
 
 class Gossip(Service, asyncio.DatagramProtocol):
-    """Sends the own calls to all entries, and hands theirs on."""
+    """Sends this entry's state to all entries, and applies theirs."""
 
     def __init__(
         self,
         name: str,
         process: str,
         address: tuple[str, int],
-        books: CallBooks,
+        state: GossipState,
     ) -> None:
-        """Keep where to listen, and what is told and heard."""
+        """Keep the address to listen on and the state to exchange."""
         super().__init__(name)
         self._process = process
         self._address = address
-        self._books = books
-        self._decoder = msgpack.Decoder(CallsTold)
-        self._last: dict[str, tuple[float, int]] = {}
-        self._heard_at: dict[str, float] = {}
+        self._state = state
+        self._decoder = msgpack.Decoder(GossipMessage)
+        self._last_stamps: dict[str, tuple[float, int]] = {}
+        self._received_at: dict[str, float] = {}
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, registry: Registry) -> None:
-        """Open the socket, and tell the follower its address."""
+        """Open the socket, and set the gossip address of the follower."""
         self._clock = registry.clock
         self._follower = registry.find('hosts', HostFollower)
         self._started_at = self._clock.wall()
@@ -124,7 +124,7 @@
         self._transport = transport
         host, port = transport.get_extra_info('sockname')[:2]
         self._follower.gossip_address = f'{host}:{port}'
-        registry.tasks.start('gossip', self._tell_for_ever)
+        registry.tasks.start('gossip', self._send_forever)
 
     async def stop(self) -> None:
         """Close the socket."""
@@ -132,55 +132,57 @@
             self._transport.close()
 
     def dump(self) -> Mapping[str, object]:
-        """Return when each entry was heard last."""
+        """Return seconds since the last message of each entry."""
         now = self._clock.now()
-        return {entry: now - at for entry, at in self._heard_at.items()}
+        return {entry: now - at for entry, at in self._received_at.items()}
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take over what another entry has under way."""
+        """Apply the message of another entry."""
         try:
-            told = self._decoder.decode(data)
+            message = self._decoder.decode(data)
         except msgspec.DecodeError as exc:
             logger.warning(
                 'event=gossip_unreadable peer={} error={!r}', addr, str(exc)
             )
             return
-        stamp = (told.started_at, told.number)
-        if stamp <= self._last.get(told.entry, (0, 0)):
+        stamp = (message.started_at, message.number)
+        if stamp <= self._last_stamps.get(message.entry, (0, 0)):
             return
-        self._last[told.entry] = stamp
-        self._heard_at[told.entry] = self._clock.now()
-        self._books.apply_calls(told.entry, told.calls)
-        if told.limits:
-            self._books.apply_limits(told.entry, told.started_at, told.limits)
-        if told.refusals:
-            self._books.apply_refusals(told.entry, told.refusals)
-        if told.onward:
-            self._tell_on(told)
+        self._last_stamps[message.entry] = stamp
+        self._received_at[message.entry] = self._clock.now()
+        self._state.apply_calls(message.entry, message.calls)
+        if message.limits:
+            self._state.apply_limits(
+                message.entry, message.started_at, message.limits
+            )
+        if message.refusals:
+            self._state.apply_refusals(message.entry, message.refusals)
+        if message.forward:
+            self._forward(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Note that a peer's port is closed; it restarts or is gone."""
+        """Log that a peer's port is closed: it is restarting or has stopped."""
         logger.debug('event=gossip_unsent error={!r}', exc)
 
-    async def _tell_for_ever(self) -> None:
+    async def _send_forever(self) -> None:
         number = 0
-        told = _Known({}, {}, {})
+        sent = _Digest({}, {}, {})
         repeat_at: float = 0
         while True:
-            await asyncio.sleep(TELL_EVERY_S)
-            self._forget_silent()
-            calls = self._books.own_calls()
-            limits = self._books.own_limits()
-            refusals = self._books.own_refusals()
-            known = _Known(calls, _without_ages(limits), _numbers_of(refusals))
+            await asyncio.sleep(SEND_INTERVAL_S)
+            self._remove_expired()
+            calls = self._state.own_calls()
+            limits = self._state.make_limit_reports()
+            refusals = self._state.make_refusal_reports()
+            digest = _Digest(calls, _without_ages(limits), _counts_of(refusals))
             now = self._clock.now()
-            if known == told and now < repeat_at:
+            if digest == sent and now < repeat_at:
                 continue
             number += 1
-            told = known
-            repeat_at = now + REPEAT_EVERY_S
-            self._tell(
-                CallsTold(
+            sent = digest
+            repeat_at = now + REPEAT_INTERVAL_S
+            self._broadcast(
+                GossipMessage(
                     self._process,
                     self._started_at,
                     number,
@@ -190,17 +192,17 @@
                 )
             )
 
-    def _tell(self, message: CallsTold) -> None:
-        receivers = self._receivers(message.number)
-        self.send_to(receivers.local, msgpack.encode(message))
-        onward = replace(message, onward=True)
-        self.send_to(receivers.remote, msgpack.encode(onward))
+    def _broadcast(self, message: GossipMessage) -> None:
+        recipients = self._recipients(message.number)
+        self.send_to(recipients.local, msgpack.encode(message))
+        forwarded = replace(message, forward=True)
+        self.send_to(recipients.remote, msgpack.encode(forwarded))
 
-    def _tell_on(self, told: CallsTold) -> None:
-        local = self._receivers(told.number).local
-        self.send_to(local, msgpack.encode(replace(told, onward=False)))
+    def _forward(self, message: GossipMessage) -> None:
+        local = self._recipients(message.number).local
+        self.send_to(local, msgpack.encode(replace(message, forward=False)))
 
-    def _receivers(self, number: int) -> Recipients:
+    def _recipients(self, number: int) -> Recipients:
         follower = self._follower
         return choose_recipients(
             follower.entries,
@@ -216,24 +218,27 @@
             if self._transport is not None:
                 self._transport.sendto(data, (host, int(port)))
 
-    def _forget_silent(self) -> None:
-        oldest = self._clock.now() - SILENT_AFTER_S
-        for entry, heard_at in tuple(self._heard_at.items()):
-            if heard_at < oldest:
-                self._heard_at.pop(entry)
-                self._books.apply_calls(entry, {})
+    def _remove_expired(self) -> None:
+        oldest = self._clock.now() - ENTRY_TIMEOUT_S
+        for entry, received_at in tuple(self._received_at.items()):
+            if received_at < oldest:
+                self._received_at.pop(entry)
+                self._state.apply_calls(entry, {})
                 logger.info('event=entry_silent peer={}', entry)
         known = len(self._follower.entries)
-        heard = min(known, len(self._heard_at))
-        self._books.record_reachable_share((heard + 1) / (known + 1))
+        received = min(known, len(self._received_at))
+        self._state.record_reachable_share((received + 1) / (known + 1))
 
 
 def _without_ages(limits: Mapping[str, LimitReport]) -> dict[str, LimitReport]:
-    """Return what is news if it changes."""
+    """Return the reports without what changes all the time."""
     return {
-        upstream: replace(told, age_s=None) for upstream, told in limits.items()
+        upstream: replace(report, age_s=None)
+        for upstream, report in limits.items()
     }
 
 
-def _numbers_of(refusals: Mapping[str, RefusalReport]) -> dict[str, int]:
-    return {upstream: told.consecutive for upstream, told in refusals.items()}
+def _counts_of(refusals: Mapping[str, RefusalReport]) -> dict[str, int]:
+    return {
+        upstream: report.consecutive for upstream, report in refusals.items()
+    }
--- a/src/snipebend/edge/host_follower.py
+++ b/src/snipebend/edge/host_follower.py
@@ -1,7 +1,8 @@
-"""An entry's copy of the document and the roster, told by control daemons.
+"""An entry's copy of the document and the roster, from control daemons.
 
-It watches every control daemon that it knows, so that the death of one delays
-no news. What it has never goes back: numbers and phases only grow.
+It watches every known control daemon, so that the failure of one delays no
+update. The copy never goes back: document numbers and roster phases only
+increase.
 """
 
 from __future__ import annotations
@@ -34,37 +35,38 @@
     from snipebend.state.host_news import GroupStanding, HostNews
     from snipebend.state.roster import UpstreamRecord
 
-#: Reads the body of a document.
+#: Parses the body of a document.
 ReadTable = Callable[[bytes], Result[HostTable, InvalidInputError]]
 
-#: Seconds without news, sent every half second, after which a watch is opened
-#: anew: with the way back it stays within the 2 s for a change.
-SILENT_S = 1.2
+#: Seconds without an update, of which one is sent every half second, after
+#: which a watch is reopened: including the reconnect, this stays within the 2 s
+#: in which a change must be in force.
+WATCH_TIMEOUT_S = 1.2
 
-#: Seconds before a lost daemon is tried again.
+#: Seconds before reconnecting to a lost daemon.
 RETRY_S = 0.1
 
-#: News confirmed by a quorum within so many seconds is current.
-CONFIRMED_S = 2.0
+#: An update confirmed by a quorum within this many seconds is current.
+CONFIRMATION_MAX_AGE_S = 2.0
 
-#: A process that gets news, but none that a quorum confirmed, begins to serve
-#: after so many seconds: serving by what may be an older document is better
-#: than refusing all while control has no quorum.
-UNCONFIRMED_PATIENCE_S = 3.0
+#: Seconds after which a process that receives updates, but none confirmed by a
+#: quorum, begins to serve: serving by a possibly outdated document is better
+#: than refusing all requests while control has no quorum.
+UNCONFIRMED_WAIT_S = 3.0
 
 
 @dataclass
-class WatchTally:
-    """What one watch of a daemon has brought, for the line on its end."""
+class WatchStatistics:
+    """What one watch of a daemon has received, for the log line at its end."""
 
-    began_at: float
-    news: int = 0
-    #: Number of the daemon's document as it told last.
+    started_at: float
+    updates: int = 0
+    #: Number of the daemon's document in its last update.
     number: int = 0
 
 
 class HostFollower(Service):
-    """Follows every control daemon and merges what they tell."""
+    """Follows every control daemon and merges their updates."""
 
     def __init__(
         self,
@@ -73,22 +75,24 @@
         clients: RpcClients,
         read_table: ReadTable,
     ) -> None:
-        """Keep the seeds; ``read_table`` reads a document."""
+        """Keep the seeds; ``read_table`` parses a document."""
         super().__init__(name)
         self.index: HostIndex | None = None
-        #: Told of each batch of roster records.
+        #: Called with each batch of roster records.
         self.on_upstreams: Callable[[tuple[UpstreamRecord, ...]], None] | None
         self.on_upstreams = None
         #: Gossip addresses of the other entries.
         self.entries: frozenset[str] = frozenset()
-        #: The data centre of each, as far as told.
+        #: The data centre of each entry, as far as known.
         self.data_centers: dict[str, str] = {}
-        self._lists = EntryDirectory()
-        #: Called after each batch of news.
-        self.on_news: Callable[[], None] = _nobody
-        #: Told of groups of upstreams, and of none while nobody tells.
-        self.on_groups: Callable[[tuple[GroupStanding, ...]], None] = _drop
-        #: What each daemon tells of groups; only the leader does.
+        self._entry_directory = EntryDirectory()
+        #: Called after each update.
+        self.on_update: Callable[[], None] = _ignore_update
+        #: Called with the group statuses; with none while no daemon sends any.
+        self.on_groups: Callable[[tuple[GroupStanding, ...]], None] = (
+            _ignore_groups
+        )
+        #: Group statuses by daemon; only the leader sends them.
         self._groups: dict[str, tuple[GroupStanding, ...]] = {}
         self.gossip_address = ''
         self._process = cfg.process.name
@@ -102,13 +106,13 @@
         self._watched: dict[str, asyncio.Task[None]] = {}
         self._stopping = False
         self._confirmed = False
-        #: The highest number that a quorum confirmed.
+        #: The highest document number that a quorum confirmed.
         self._confirmed_number = 0
         self._fetcher = DocumentFetcher(
-            self._process, RpcClients(), self._take_document
+            self._process, RpcClients(), self._apply_document
         )
-        self._first_news_at: float | None = None
-        self.news_at: float = 0
+        self._first_update_at: float | None = None
+        self.updated_at: float = 0
 
     async def start(self, registry: Registry) -> None:
         """Watch the seeds."""
@@ -120,16 +124,16 @@
         )
 
     async def reload(self, cfg: object) -> None:
-        """Take over other seeds."""
+        """Apply changed seeds."""
         if isinstance(cfg, RelaySettings):
             self._seeds = frozenset(cfg.control.grpc_addresses)
             self._watch_all()
 
     async def stop(self) -> None:
-        """End the watches, then close the connections.
+        """Stop the watches, then close the connections.
 
-        A watch that is cancelled while its connection closes may take the
-        cancellation for a lost connection, and must not begin again.
+        A watch that is cancelled while its connection closes may mistake the
+        cancellation for a lost connection, and must not reconnect.
         """
         self._stopping = True
         for task in self._watched.values():
@@ -138,15 +142,15 @@
         self._fetcher.close()
 
     def ready(self) -> bool:
-        """Tell whether there is a document to serve by."""
-        if self.index is None or self._first_news_at is None:
+        """Return whether there is a document to serve by."""
+        if self.index is None or self._first_update_at is None:
             return False
-        waited_s = self._clock.now() - self._first_news_at
-        return self._confirmed or waited_s > UNCONFIRMED_PATIENCE_S
+        waited_s = self._clock.now() - self._first_update_at
+        return self._confirmed or waited_s > UNCONFIRMED_WAIT_S
 
     @property
     def control_addresses(self) -> frozenset[str]:
-        """Return the addresses of the control daemons, as far as known."""
+        """Return the addresses of the known control daemons."""
         return self._members or self._seeds
 
     @property
@@ -155,25 +159,25 @@
         return self._number
 
     @property
-    def age_s(self) -> float:
-        """Return seconds since the last news of control; -1: none came yet."""
-        if self._first_news_at is None:
+    def update_age_s(self) -> float:
+        """Return seconds since the last update from control; -1: none yet."""
+        if self._first_update_at is None:
             return -1
-        return self._clock.now() - self.news_at
+        return self._clock.now() - self.updated_at
 
     def dump(self) -> Mapping[str, object]:
-        """Return what is followed."""
+        """Return the state of the follower."""
         return {
             'number': self._number,
             'roster_revision': self._revision,
             'confirmed': self._confirmed,
             'watched': sorted(self._watched),
             'entries': sorted(self.entries),
-            'news_age_s': self.age_s,
+            'news_age_s': self.update_age_s,
         }
 
     async def _watch_seeds(self) -> None:
-        """Begin once all services have started and set their addresses."""
+        """Watch once all services have started and set their addresses."""
         self._watch_all()
 
     def _watch_all(self) -> None:
@@ -187,38 +191,40 @@
             self._clients.retire(address)
 
     async def _watch(self, address: str) -> None:
-        """Follow one daemon for ever."""
-        told_lost = False
+        """Follow one daemon until cancelled."""
+        loss_logged = False
         while not self._stopping:
-            tally = WatchTally(self._clock.now())
+            statistics = WatchStatistics(self._clock.now())
             try:
-                await self._follow(address, tally)
+                await self._follow(address, statistics)
             except (UnavailableError, TimeoutError) as exc:
                 self._clients.retire(address)
-                self._take_groups(address, ())
-                self._lists.remove_daemon(address)
-                self._fetcher.note_lost(address)
-                # One that refuses all the while is told once.
-                if tally.news or not told_lost:
-                    self._note_lost(address, tally, str(exc) or 'silent')
-                told_lost = True
+                self._apply_groups(address, ())
+                self._entry_directory.remove_daemon(address)
+                self._fetcher.remove_daemon(address)
+                # A daemon that keeps refusing is logged only once.
+                if statistics.updates or not loss_logged:
+                    self._log_lost(address, statistics, str(exc) or 'silent')
+                loss_logged = True
             else:
-                told_lost = False
+                loss_logged = False
             await asyncio.sleep(RETRY_S)
 
-    def _note_lost(self, address: str, tally: WatchTally, reason: str) -> None:
+    def _log_lost(
+        self, address: str, statistics: WatchStatistics, reason: str
+    ) -> None:
         logger.info(
             'event=control_lost peer={} reason={!r} lasted_ms={:.0f} news={} '
             + 'number={} told_number={}',
             address,
             reason,
-            1000 * (self._clock.now() - tally.began_at),
-            tally.news,
+            1000 * (self._clock.now() - statistics.started_at),
+            statistics.updates,
             self._number,
-            tally.number,
+            statistics.number,
         )
 
-    async def _follow(self, address: str, tally: WatchTally) -> None:
+    async def _follow(self, address: str, statistics: WatchStatistics) -> None:
         req = HostWatch(
             self._process,
             self._number,
@@ -230,65 +236,67 @@
         )
         stream = self._clients.stream(address, WATCH_HOSTS, req)
         while True:
-            async with asyncio.timeout(SILENT_S):
-                news = await anext(stream, None)
-            if news is None:
+            async with asyncio.timeout(WATCH_TIMEOUT_S):
+                update = await anext(stream, None)
+            if update is None:
                 return
-            if not tally.news:
+            if not statistics.updates:
                 logger.info('event=control_found peer={}', address)
-            tally.news += 1
-            tally.number = news.number
-            self._take(news, address)
+            statistics.updates += 1
+            statistics.number = update.number
+            self._apply_update(update, address)
 
-    def _take(self, news: HostNews, address: str) -> None:
+    def _apply_update(self, update: HostNews, address: str) -> None:
         now = self._clock.now()
-        self.news_at = now
-        if self._first_news_at is None:
-            self._first_news_at = now
-        if news.document and news.number > self._number:
-            # From a daemon of an earlier version.
-            self._fetcher.note_taken(news.number)
-            self._take_document(news.number, news.document, address)
-        self._fetcher.note_told(address, news.number)
-        if news.upstreams and self.on_upstreams is not None:
-            self.on_upstreams(news.upstreams)
-        self._revision = max(self._revision, news.roster_revision)
-        if 0 <= news.confirmed_ago_s <= CONFIRMED_S:
-            self._confirmed_number = max(self._confirmed_number, news.number)
-            self._note_confirmed()
-        if not news.groups_hold:
-            self._take_groups(address, news.groups)
-        if news.entries:
-            self._lists.update(address, news.entries, news.entry_places)
-            self._note_entries()
-        if news.members and self._members != frozenset(news.members):
-            self._members = frozenset(news.members)
+        self.updated_at = now
+        if self._first_update_at is None:
+            self._first_update_at = now
+        if update.document and update.number > self._number:
+            # Sent by a daemon of an earlier version.
+            self._fetcher.record_received(update.number)
+            self._apply_document(update.number, update.document, address)
+        self._fetcher.record_document(address, update.number)
+        if update.upstreams and self.on_upstreams is not None:
+            self.on_upstreams(update.upstreams)
+        self._revision = max(self._revision, update.roster_revision)
+        if 0 <= update.confirmed_ago_s <= CONFIRMATION_MAX_AGE_S:
+            self._confirmed_number = max(self._confirmed_number, update.number)
+            self._update_confirmed()
+        if not update.groups_hold:
+            self._apply_groups(address, update.groups)
+        if update.entries:
+            self._entry_directory.update(
+                address, update.entries, update.entry_places
+            )
+            self._update_entries()
+        if update.members and self._members != frozenset(update.members):
+            self._members = frozenset(update.members)
             self._watch_all()
-        self.on_news()
+        self.on_update()
 
-    def _note_entries(self) -> None:
-        self.data_centers = self._lists.data_centers()
+    def _update_entries(self) -> None:
+        self.data_centers = self._entry_directory.data_centers()
         self.entries = frozenset(self.data_centers) - {self.gossip_address}
 
-    def _take_groups(
+    def _apply_groups(
         self, address: str, groups: tuple[GroupStanding, ...]
     ) -> None:
         if groups == self._groups.get(address, ()):
             return
         self._groups[address] = groups
-        told = [one for one in self._groups.values() if one]
-        self.on_groups(tuple(chain.from_iterable(told)))
+        reported = [one for one in self._groups.values() if one]
+        self.on_groups(tuple(chain.from_iterable(reported)))
 
-    def _take_document(self, number: int, body: bytes, address: str) -> None:
-        read = self._read_table(body)
-        if read.is_err():
+    def _apply_document(self, number: int, body: bytes, address: str) -> None:
+        parsed = self._read_table(body)
+        if parsed.is_err():
             logger.error(
                 'event=document_unreadable number={} error={!r}',
                 number,
-                str(read.unwrap_err()),
+                str(parsed.unwrap_err()),
             )
             return
-        self.index = HostIndex(read.unwrap())
+        self.index = HostIndex(parsed.unwrap())
         self._number = number
         logger.info(
             'event=document_in_force number={} routes={} peer={}',
@@ -296,20 +304,20 @@
             len(self.index.table.routes),
             address,
         )
-        self._note_confirmed()
-        self.on_news()
+        self._update_confirmed()
+        self.on_update()
 
-    def _note_confirmed(self) -> None:
-        """Begin to serve once what a quorum confirmed is in force here."""
+    def _update_confirmed(self) -> None:
+        """Begin to serve once the confirmed document is in force here."""
         if self._confirmed or not 0 < self._confirmed_number <= self._number:
             return
         logger.info('event=document_confirmed number={}', self._number)
         self._confirmed = True
 
 
-def _nobody() -> None:
-    """Stand in while nobody wants to know."""
+def _ignore_update() -> None:
+    """Do nothing; used until a callback is set."""
 
 
-def _drop(_: tuple[GroupStanding, ...]) -> None:
-    """Stand in while nobody wants to know of groups."""
+def _ignore_groups(_: tuple[GroupStanding, ...]) -> None:
+    """Do nothing; used until a callback for groups is set."""
--- a/src/snipebend/edge/http_headers.py
+++ b/src/snipebend/edge/http_headers.py
@@ -1,4 +1,4 @@
-"""Headers of HTTP/1.1 that concern one connection only (RFC 9110, 7.6.1)."""
+"""HTTP/1.1 headers, and those of one connection only (RFC 9110, 7.6.1)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from snipebend.relay.facts import Headers
 
-#: Behind the last header come its line end and an empty line.
+#: The last header is followed by its line end and an empty line.
 _END_OF_HEAD = b'\r\n'
 
 CONNECTION = b'connection'
@@ -41,7 +41,7 @@
 
 
 def connection_options(headers: Headers) -> frozenset[bytes]:
-    """Return what the ``Connection`` headers list, in lower case."""
+    """Return the options in the ``Connection`` headers, in lower case."""
     return frozenset(
         option.strip().lower()
         for line in find_all(headers, CONNECTION)
@@ -50,9 +50,10 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that another connection carries on.
+    """Return the headers to forward on another connection.
 
-    The length of the body goes, too: each side writes its own framing.
+    The length of the body is dropped as well: each connection has its own
+    framing.
     """
     listed = connection_options(headers)
     return tuple(
--- a/src/snipebend/edge/limit_keeper.py
+++ b/src/snipebend/edge/rate_limit_tracker.py
@@ -1,4 +1,4 @@
-"""Keeps upstreams' limits of requests a second, and logs what they change."""
+"""Tracks the rate limits of upstreams, and logs their changes."""
 
 from __future__ import annotations
 
@@ -17,60 +17,62 @@
     from snipebend.relay.upstreams import Upstream
 
 
-class LimitKeeper:
-    """One entry's book of limits."""
+class RateLimitTracker:
+    """The rate limits known to one entry."""
 
     def __init__(self, now: Callable[[], float], meters: RelayMeters) -> None:
         """Start without limits."""
-        self.book = RateLimitTable()
+        self.table = RateLimitTable()
         self._now = now
         self._meters = meters
 
     def record_response(
         self, upstream: Upstream, facts: ResponseFacts, call_started_at: float
     ) -> None:
-        """Take note of what an answer says of its upstream's limit."""
+        """Apply what a response states about its upstream's limit."""
         identity = upstream.record.identity
-        change = self.book.record_response(
+        change = self.table.record_response(
             identity, facts, call_started_at, self._now()
         )
         if change is not None:
-            self._note_change(change)
+            self._record_change(change)
 
     def apply_report(
         self, entry: str, started_at: float, told: dict[str, LimitReport]
     ) -> None:
-        """Take over what another entry tells."""
-        changes = self.book.apply_report(entry, started_at, told, self._now())
+        """Apply another entry's reports."""
+        changes = self.table.apply_report(entry, started_at, told, self._now())
         for change in changes:
-            self._note_change(change)
+            self._record_change(change)
 
     def record_call(self, upstream: Upstream) -> None:
-        """Take note of a call that begins."""
-        self.book.record_call(upstream.record.identity, self._now())
-
-    def with_room(self, upstreams: Sequence[Upstream]) -> Sequence[Upstream]:
-        """Return those whose limits leave room for a call now."""
-        if not self.book:
+        """Deduct a call that begins."""
+        self.table.record_call(upstream.record.identity, self._now())
+
+    def filter_with_room(
+        self, upstreams: Sequence[Upstream]
+    ) -> Sequence[Upstream]:
+        """Return the upstreams whose limits allow a call now."""
+        if not self.table:
             return upstreams
         now = self._now()
         return [
             one
             for one in upstreams
-            if self.book.has_room(one.record.identity, now)
+            if self.table.has_room(one.record.identity, now)
         ]
 
     def wait_for_room_s(self, upstream: Upstream | None) -> float:
-        """Return seconds until an upstream's limit leaves room; 0: now."""
+        """Return seconds until an upstream's limit allows a call; 0: now."""
         if upstream is None:
             return 0
-        return self.book.wait_for_room_s(upstream.record.identity, self._now())
+        return self.table.wait_for_room_s(upstream.record.identity, self._now())
 
-    def note_diverted(
+    def log_diverted_call(
         self, request: str, service: str, upstream: Upstream
     ) -> None:
-        """Log that a limit kept a call from the upstream with least work."""
-        self._meters.diverted(service)
+        """Log that a limit diverted a call from the least loaded upstream."""
+        self._meters.count_diverted_call(service)
         logger.info(
             'event=call_diverted request={} service={} upstream={} '
             + 'room_after_ms={:.0f} heard_share={:.2f}',
@@ -78,11 +80,11 @@
             service,
             upstream.record.identity,
             1000 * self.wait_for_room_s(upstream),
-            self.book.share,
+            self.table.share,
         )
 
-    def _note_change(self, change: LimitChange) -> None:
-        self._meters.limit_changed(in_force=change.per_s is not None)
+    def _record_change(self, change: LimitChange) -> None:
+        self._meters.count_limit_change(in_force=change.per_s is not None)
         logger.info(
             'event=limit_changed upstream={} per_s={} heard_by={}',
             change.upstream,
--- a/src/snipebend/edge/refuser.py
+++ b/src/snipebend/edge/refusal_writer.py
@@ -1,4 +1,4 @@
-"""Gives callers the entry's own answers, and logs why."""
+"""Writes and logs the error responses that an entry generates itself."""
 
 from __future__ import annotations
 
@@ -15,49 +15,49 @@
 from snipebend.transport.problems import Problem
 
 if TYPE_CHECKING:
-    from snipebend.edge.answer_writer import AnswerWriter
     from snipebend.edge.host_follower import HostFollower
     from snipebend.edge.relay_meters import RelayMeters
+    from snipebend.edge.response_writer import ResponseWriter
     from snipebend.relay.facts import CallerFacts, Dialect
     from snipebend.relay.problems import Refusal
 
 
-class Refuser:
-    """Writes refusals in the platform's form."""
+class RefusalWriter:
+    """Writes refusals with the headers of the platform."""
 
     def __init__(
         self, dialect: Dialect, follower: HostFollower, meters: RelayMeters
     ) -> None:
-        """Keep how refusals are written, and what decisions go by."""
+        """Keep the dialect, and the follower whose state log lines describe."""
         self._dialect = dialect
         self._follower = follower
         self._meters = meters
-        # Spreads the callers' returns only; nobody gains by guessing it.
+        # Only spreads callers' retries; predictable numbers do no harm.
         self._rng = random.Random()
 
-    def knowledge(self) -> str:
-        """Return for a log line what decisions go by, and how old it is."""
-        age_s = self._follower.age_s
-        age_ms = -1 if age_s < 0 else round(1000 * age_s)
+    def describe_host_state(self) -> str:
+        """Return the document and update age that decisions are based on."""
+        update_age_s = self._follower.update_age_s
+        age_ms = -1 if update_age_s < 0 else round(1000 * update_age_s)
         return f'document={self._follower.number} news_age_ms={age_ms}'
 
-    def wait_for_place_s(self) -> float:
-        """Return when a caller that found all places taken comes back."""
+    def busy_wait_s(self) -> float:
+        """Return seconds until a caller retries when all slots are occupied."""
         return busy_retry_after_s(self._rng.random())
 
-    def wait_for_room_s(self, retry_after_s: float) -> float:
-        """Return when a caller comes back that upstreams had no room for."""
+    def capacity_wait_s(self, retry_after_s: float) -> float:
+        """Return seconds until a caller retries after a known wait."""
         return capacity_retry_after_s(retry_after_s, self._rng.random())
 
-    def wait_for_outage_s(self, time_left_s: float) -> float:
-        """Return when a caller that nobody can serve now comes back."""
+    def outage_wait_s(self, time_left_s: float) -> float:
+        """Return seconds until a caller retries during an outage."""
         return outage_retry_after_s(time_left_s, self._rng.random())
 
     def refuse(
-        self, answer: AnswerWriter, refusal: Refusal, facts: CallerFacts
+        self, response: ResponseWriter, refusal: Refusal, facts: CallerFacts
     ) -> None:
-        """Write an own answer."""
-        self._meters.refused(refusal.status.value, refusal.title)
+        """Write and log a refusal."""
+        self._meters.count_refusal(refusal.status.value, refusal.title)
         logger.info(
             'event=refused request={} status={} outcome={} detail={!r} '
             + 'retry_after={:.2f} {}',
@@ -66,7 +66,7 @@
             refusal.outcome.value,
             refusal.detail,
             refusal.retry_after_s,
-            self.knowledge(),
+            self.describe_host_state(),
         )
         problem = Problem(
             refusal.status.value,
@@ -74,7 +74,7 @@
             refusal.detail,
             refusal.outcome,
         )
-        answer.refuse(
+        response.write_problem(
             problem,
             self._dialect.refusal_headers(
                 facts.request_id, refusal.retry_after_s
--- a/src/snipebend/edge/relay_meters.py
+++ b/src/snipebend/edge/relay_meters.py
@@ -1,4 +1,4 @@
-"""What an entry counts and times of the requests that it passes on."""
+"""Metrics of the requests that an entry forwards."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 if TYPE_CHECKING:
     from opentelemetry.metrics import CallbackOptions, Meter
 
-    from snipebend.edge.answer_writer import AnswerWriter
+    from snipebend.edge.response_writer import ResponseWriter
     from snipebend.relay.admission import Admitted
 
 
-class Standing(NamedTuple):
-    """Asked for when the gauges are read."""
+class GaugeSources(NamedTuple):
+    """Functions that are called when the gauges are read."""
 
-    in_work: Callable[[], int]
+    requests_in_progress: Callable[[], int]
     document: Callable[[], int]
-    #: Seconds since control's last news; -1: none came yet.
-    news_age_s: Callable[[], float]
+    #: Seconds since the last update from control; -1: none yet.
+    update_age_s: Callable[[], float]
     #: By service.
     retries_left: Callable[[], dict[str, float]]
-    #: Numbers of upstreams by their standing.
+    #: Number of upstreams by status.
     upstreams: Callable[[], dict[str, int]]
 
 
 class RelayMeters:
     """The counters and histograms of one entry."""
 
-    def __init__(self, standing: Standing) -> None:
-        """Make the instruments; gauges ask when they are read."""
+    def __init__(self, sources: GaugeSources) -> None:
+        """Create the instruments."""
         meter = get_meter()
-        self._standing = standing
+        self._sources = sources
         self._requests = meter.create_counter(
             'snipebend_relay_requests',
             description="callers' requests by kind and status",
@@ -50,13 +50,13 @@
             'snipebend_relay_retries_refused',
             description='retries that the budget forbade, by service',
         )
-        self._first = meter.create_histogram(
+        self._first_byte_seconds = meter.create_histogram(
             'snipebend_relay_first_piece_seconds',
             unit='s',
             description='from a request to the first piece of its answer',
             explicit_bucket_boundaries_advisory=LATENCY_BUCKETS_S,
         )
-        self._whole = meter.create_histogram(
+        self._request_seconds = meter.create_histogram(
             'snipebend_relay_request_seconds',
             unit='s',
             description='from a request to the end of its answer',
@@ -72,7 +72,7 @@
             description='between two pieces of one stream',
             explicit_bucket_boundaries_advisory=LATENCY_BUCKETS_S,
         )
-        self._handed_on = meter.create_histogram(
+        self._forwarding_delays = meter.create_histogram(
             'snipebend_relay_hand_on_seconds',
             unit='s',
             description='from a whole request to its first call of an upstream',
@@ -93,80 +93,80 @@
         self._make_gauges(meter)
 
     def _make_gauges(self, meter: Meter) -> None:
-        standing = self._standing
+        sources = self._sources
         single = {
-            'snipebend_relay_requests_in_flight': standing.in_work,
-            'snipebend_relay_document_number': standing.document,
-            'snipebend_relay_news_age_seconds': standing.news_age_s,
+            'snipebend_relay_requests_in_flight': sources.requests_in_progress,
+            'snipebend_relay_document_number': sources.document,
+            'snipebend_relay_news_age_seconds': sources.update_age_s,
         }
-        for name, ask in single.items():
-            meter.create_observable_gauge(name, [partial(_observe, ask)])
+        for name, read in single.items():
+            meter.create_observable_gauge(name, [partial(_observe, read)])
         meter.create_observable_gauge(
             'snipebend_relay_retries_left',
-            [partial(_observe_all, 'service', standing.retries_left)],
+            [partial(_observe_all, 'service', sources.retries_left)],
         )
         meter.create_observable_gauge(
             'snipebend_relay_upstreams',
-            [partial(_observe_all, 'state', standing.upstreams)],
+            [partial(_observe_all, 'state', sources.upstreams)],
         )
 
-    def refused(self, status: int, reason: str) -> None:
-        """Count an own answer."""
+    def count_refusal(self, status: int, reason: str) -> None:
+        """Count an error response of the entry."""
         self._refusals.add(1, {'status': str(status), 'reason': reason})
 
-    def limit_changed(self, *, in_force: bool) -> None:
-        """Count a limit that an upstream names, changes or ends."""
+    def count_limit_change(self, *, in_force: bool) -> None:
+        """Count a limit that an upstream announces, changes or lifts."""
         self._limits.add(1, {'in_force': str(in_force).lower()})
 
-    def diverted(self, service: str) -> None:
-        """Count a call that a limit kept from an upstream."""
+    def count_diverted_call(self, service: str) -> None:
+        """Count a call that a limit diverted from an upstream."""
         self._diverted.add(1, {'service': service})
 
-    def declined(self, service: str, reason: str) -> None:
-        """Count an upstream that asks for a rest, or says that it leaves."""
+    def count_declining_upstream(self, service: str, reason: str) -> None:
+        """Count an upstream that requests a backoff or shuts down."""
         self._declined.add(1, {'service': service, 'reason': reason})
 
-    def paused(self, seconds: float) -> None:
-        """Note the time between two pieces of a stream."""
+    def record_pause(self, seconds: float) -> None:
+        """Record the time between two pieces of a stream."""
         self._pauses.record(seconds)
 
-    def handed_on(self, seconds: float) -> None:
-        """Note how long a request was here before its first call."""
-        self._handed_on.record(seconds)
+    def record_forwarding_delay(self, seconds: float) -> None:
+        """Record the time from a request's arrival to its first call."""
+        self._forwarding_delays.record(seconds)
 
-    def call_ended(self, service: str, ending: str) -> None:
-        """Count the end of a call."""
+    def count_call(self, service: str, ending: str) -> None:
+        """Count a call that has ended."""
         self._calls.add(1, {'service': service, 'ending': ending})
 
-    def retry_refused(self, service: str) -> None:
-        """Count a retry without budget."""
+    def count_refused_retry(self, service: str) -> None:
+        """Count a retry that the budget does not allow."""
         self._retries.add(1, {'service': service})
 
-    def request_ended(
-        self, admitted: Admitted, answer: AnswerWriter, now: float
+    def record_request(
+        self, admitted: Admitted, response: ResponseWriter, now: float
     ) -> None:
-        """Count a request, and note how long it took."""
+        """Count a request, and record its duration."""
         kind = admitted.route.kind.value
-        labels = {'kind': kind, 'status': str(answer.status)}
+        labels = {'kind': kind, 'status': str(response.status)}
         self._requests.add(1, labels)
-        self._whole.record(now - admitted.began_at, {'kind': kind})
-        if answer.first_at is not None:
-            self._first.record(
-                answer.first_at - admitted.began_at, {'kind': kind}
+        self._request_seconds.record(now - admitted.began_at, {'kind': kind})
+        if response.first_byte_at is not None:
+            self._first_byte_seconds.record(
+                response.first_byte_at - admitted.began_at, {'kind': kind}
             )
 
 
 def _observe(
-    ask: Callable[[], float], options: CallbackOptions
+    read: Callable[[], float], options: CallbackOptions
 ) -> Iterable[Observation]:
-    return (Observation(ask()),)
+    return (Observation(read()),)
 
 
 def _observe_all(
     label: str,
-    ask: Callable[[], Mapping[str, float]],
+    read: Callable[[], Mapping[str, float]],
     options: CallbackOptions,
 ) -> Iterable[Observation]:
     return [
-        Observation(number, {label: name}) for name, number in ask().items()
+        Observation(number, {label: name}) for name, number in read().items()
     ]
--- a/src/snipebend/edge/relay_server.py
+++ b/src/snipebend/edge/relay_server.py
@@ -1,4 +1,4 @@
-"""The entry's listener for callers, and a graceful end of its connections."""
+"""The entry's listener for callers, and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from snipebend.edge.caller_connection import CallerConnection
-from snipebend.edge.relay_desk import RelayDesk
+from snipebend.edge.relay_service import RelayService
 from snipebend.hosts.model import CallerLimits
 from snipebend.kernel.service import Service
 from snipebend.settings.seeds import split_address
@@ -18,27 +18,29 @@
     import socket
     from collections.abc import Mapping
 
-    from snipebend.edge.answer_writer import AnswerWriter
-    from snipebend.edge.caller_parser import WholeRequest
+    from snipebend.edge.caller_parser import CompleteRequest
+    from snipebend.edge.response_writer import ResponseWriter
     from snipebend.kernel.registry import Registry
     from snipebend.settings.relay import RelaySettings
 
-#: Seconds of a graceful stop in which new connections are still taken: the
-#: balancer needs two failed looks, one a second, to send them elsewhere.
-ACCEPT_S = 2.6
+#: Seconds of a graceful shutdown in which new connections are still accepted:
+#: the load balancer needs two failed health checks, one per second, to route
+#: them elsewhere.
+DRAIN_ACCEPT_S = 2.6
 
-#: Share of the time for a graceful stop that accepting may take.
-ACCEPT_SHARE = 0.35
+#: Largest share of the shutdown time in which connections are accepted.
+DRAIN_ACCEPT_SHARE = 0.35
 
-#: Seconds before the end of a graceful stop in which what is left is cut.
-LEAVE_EARLY_S = 0.4
+#: Seconds before the end of a graceful shutdown when remaining connections are
+#: cut.
+CUT_MARGIN_S = 0.4
 
-#: Seconds between two looks for connections that have become idle.
-LOOK_EVERY_S = 0.05
+#: Seconds between two checks for connections that have become idle.
+IDLE_CHECK_INTERVAL_S = 0.05
 
 
 class RelayServer(Service):
-    """Serves callers' connections."""
+    """Accepts and serves callers' connections."""
 
     def __init__(
         self,
@@ -46,7 +48,7 @@
         cfg: RelaySettings,
         listener: socket.socket | None = None,
     ) -> None:
-        """Keep the settings, and a listener that is open already."""
+        """Keep the settings, and a listener if one is already open."""
         super().__init__(name)
         self._listener = listener
         self.draining = False
@@ -58,7 +60,7 @@
     async def start(self, registry: Registry) -> None:
         """Listen."""
         self._clock = registry.clock
-        self._desk = registry.find('relay', RelayDesk)
+        self._relay = registry.find('relay', RelayService)
         sock = self._listener
         if sock is None:
             sock = open_listener(*split_address(self._cfg.callers))
@@ -71,30 +73,30 @@
         logger.info('event=listening proto=relay address={}', self.address)
 
     async def drain(self) -> None:
-        """Take what still comes, then end connections between requests."""
-        span_s = self._cfg.stop_within_s
-        stop_by = self._clock.now() + span_s - LEAVE_EARLY_S
+        """Accept connections for a while, then close those that are idle."""
+        timeout_s = self._cfg.stop_within_s
+        abort_at = self._clock.now() + timeout_s - CUT_MARGIN_S
         self.draining = True
-        await asyncio.sleep(min(ACCEPT_S, ACCEPT_SHARE * span_s))
+        await asyncio.sleep(min(DRAIN_ACCEPT_S, DRAIN_ACCEPT_SHARE * timeout_s))
         if self._server is not None:
             self._server.close()
-        self._desk.outage.close()
-        while self._connections and self._clock.now() < stop_by:
+        self._relay.outage_wait.close()
+        while self._connections and self._clock.now() < abort_at:
             for conn in tuple(self._connections):
                 conn.close_if_idle()
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Cut what is left."""
+        """Cut the remaining connections."""
         if self._connections:
             logger.warning(
                 'event=connections_cut number={}', len(self._connections)
             )
         for conn in tuple(self._connections):
-            conn.cut()
+            conn.abort()
 
     def dump(self) -> Mapping[str, object]:
-        """Return the address and how many connections are open."""
+        """Return the address and the number of open connections."""
         return {
             'address': self.address,
             'connections': len(self._connections),
@@ -103,22 +105,24 @@
 
     @property
     def limits(self) -> CallerLimits:
-        """Return the bounds on what callers send."""
-        index = self._desk.index
+        """Return the limits on what callers send."""
+        index = self._relay.index
         return index.table.limits if index else CallerLimits()
 
     def now(self) -> float:
         """Return monotonic seconds."""
         return self._clock.now()
 
-    def opened(self, conn: CallerConnection) -> None:
-        """Note a new connection."""
+    def connection_opened(self, conn: CallerConnection) -> None:
+        """Register a new connection."""
         self._connections.add(conn)
 
-    def closed(self, conn: CallerConnection) -> None:
-        """Forget a connection."""
+    def connection_closed(self, conn: CallerConnection) -> None:
+        """Unregister a connection."""
         self._connections.discard(conn)
 
-    async def serve(self, req: WholeRequest, answer: AnswerWriter) -> None:
-        """Answer one request."""
-        await self._desk.serve(req, answer)
+    async def serve(
+        self, req: CompleteRequest, response: ResponseWriter
+    ) -> None:
+        """Serve one request."""
+        await self._relay.serve(req, response)
--- a/src/snipebend/edge/relay_desk.py
+++ b/src/snipebend/edge/relay_service.py
@@ -1,4 +1,4 @@
-"""Admits requests, chooses their upstreams, and keeps count of the calls."""
+"""Admits requests, selects their upstreams, and counts the calls."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from loguru import logger
 
 from snipebend.edge.host_follower import HostFollower
-from snipebend.edge.limit_keeper import LimitKeeper
 from snipebend.edge.outage_wait import OutageWait
-from snipebend.edge.refuser import Refuser
-from snipebend.edge.relay_meters import RelayMeters, Standing
+from snipebend.edge.rate_limit_tracker import RateLimitTracker
+from snipebend.edge.refusal_writer import RefusalWriter
+from snipebend.edge.relay_meters import GaugeSources, RelayMeters
 from snipebend.edge.relayed_request import RelayedRequest
+from snipebend.edge.upstream_notices import UpstreamNotices
 from snipebend.edge.upstream_pool import UpstreamPool
-from snipebend.edge.upstream_statements import UpstreamStatements
 from snipebend.kernel.service import Service
 from snipebend.relay import problems
 from snipebend.relay.admission import DEFAULT_TIMEOUT_S, Admitted, admit
@@ -34,9 +34,9 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from snipebend.edge.answer_writer import AnswerWriter
     from snipebend.edge.call import Call
-    from snipebend.edge.caller_parser import WholeRequest
+    from snipebend.edge.caller_parser import CompleteRequest
+    from snipebend.edge.response_writer import ResponseWriter
     from snipebend.hosts.lookup import HostIndex
     from snipebend.kernel.registry import Registry
     from snipebend.relay.facts import Dialect
@@ -46,11 +46,11 @@
     from snipebend.settings.relay import RelaySettings
     from snipebend.state.roster import UpstreamRecord
 
-#: Seconds between two looks at idle connections.
-SWEEP_EVERY_S = 1.0
+#: Seconds between two checks of idle connections.
+SWEEP_INTERVAL_S = 1.0
 
 
-class RelayDesk(Service):
+class RelayService(Service):
     """Serves requests."""
 
     def __init__(self, name: str, cfg: RelaySettings, dialect: Dialect) -> None:
@@ -59,11 +59,11 @@
         self.dialect = dialect
         self._cfg = cfg
         self._upstreams = UpstreamTable()
-        self.paces = StepTimeMeter()
+        self.step_times = StepTimeMeter()
         self._budgets: dict[str, RetryBudget] = {}
-        # Spreads entries' choices only; nobody gains by guessing it.
+        # Only spreads choices of entries; predictable numbers do no harm.
         self._rng = random.Random()
-        self._in_work = 0
+        self._in_progress = 0
 
     async def start(self, registry: Registry) -> None:
         """Follow the document and the roster."""
@@ -71,39 +71,41 @@
         self._tasks = registry.tasks
         self.pool = UpstreamPool(self._cfg.relay, self.dialect, self._clock)
         self._follower = registry.find('hosts', HostFollower)
-        self._follower.on_upstreams = self._take_upstreams
+        self._follower.on_upstreams = self._apply_upstreams
         self._follower.on_groups = self._upstreams.apply_group_statuses
-        self.outage = OutageWait(self.now)
-        self._follower.on_news = self.outage.wake
+        self.outage_wait = OutageWait(self.now)
+        self._follower.on_update = self.outage_wait.wake
         self.meters = RelayMeters(
-            Standing(
-                lambda: self._in_work,
+            GaugeSources(
+                lambda: self._in_progress,
                 lambda: self._follower.number,
-                lambda: self._follower.age_s,
+                lambda: self._follower.update_age_s,
                 self._retries_left,
                 lambda: self._upstreams.count_statuses(self.now()),
             )
         )
-        self.refuser = Refuser(self.dialect, self._follower, self.meters)
-        self.limits = LimitKeeper(self.now, self.meters)
-        self.statements = UpstreamStatements(self.now, self.meters, self.limits)
-        self._tasks.start('sweep', self._sweep_for_ever)
+        self.refusal_writer = RefusalWriter(
+            self.dialect, self._follower, self.meters
+        )
+        self.limits = RateLimitTracker(self.now, self.meters)
+        self.notices = UpstreamNotices(self.now, self.meters, self.limits)
+        self._tasks.start('sweep', self._sweep_forever)
 
     async def stop(self) -> None:
         """Close idle connections."""
         self.pool.close()
 
     def ready(self) -> bool:
-        """Tell whether there are upstreams to call."""
+        """Return whether there are upstreams to call."""
         return any(True for _ in self._upstreams)
 
     def dump(self) -> Mapping[str, object]:
         """Return calls and upstreams."""
         return {
-            'in_work': self._in_work,
-            'idle_to_upstreams': self.pool.sizes(),
+            'in_work': self._in_progress,
+            'idle_to_upstreams': self.pool.count_idle(),
             'upstreams': self._upstreams.dump(),
-            'limits': self.limits.book.dump(),
+            'limits': self.limits.table.dump(),
         }
 
     @property
@@ -111,11 +113,15 @@
         """Return the document in force, if one is known."""
         return self._follower.index
 
-    async def serve(self, req: WholeRequest, answer: AnswerWriter) -> None:
-        """Answer one request."""
+    async def serve(
+        self, req: CompleteRequest, response: ResponseWriter
+    ) -> None:
+        """Serve one request."""
         facts = self.dialect.read_caller(req.head)
         if facts is None:
-            self.refuser.refuse(answer, problems.malformed(), CallerFacts())
+            self.refusal_writer.refuse(
+                response, problems.malformed(), CallerFacts()
+            )
             return
         arrived_at = self.now()
         if self.index is None:
@@ -125,15 +131,15 @@
             self.index, facts, target, arrived_at, self._rng.random()
         )
         if not isinstance(admitted, Admitted):
-            self.refuser.refuse(answer, admitted, facts)
+            self.refusal_writer.refuse(response, admitted, facts)
             return
         self._budget(admitted.service).note_request()
-        self._in_work += 1
+        self._in_progress += 1
         try:
-            await RelayedRequest(self, req, answer, admitted).run()
+            await RelayedRequest(self, req, response, admitted).run()
         finally:
-            self._in_work -= 1
-            self._note_end(admitted, answer)
+            self._in_progress -= 1
+            self._log_request_ended(admitted, response)
 
     def now(self) -> float:
         """Return monotonic seconds."""
@@ -142,86 +148,88 @@
     def select_upstream(
         self, admitted: Admitted, tried: Sequence[str]
     ) -> Upstream | None:
-        """Return an upstream for a call; none: all are full or away."""
-        if not self.limits.book:
+        """Return an upstream for a call, or None if none has capacity."""
+        if not self.limits.table:
             return self._select_upstream(admitted, tried)
-        wanted = self._select_upstream(admitted, tried)
-        if wanted is None or not self.limits.wait_for_room_s(wanted):
-            return wanted
-        self.limits.note_diverted(
-            admitted.facts.request_id, admitted.service, wanted
+        selected = self._select_upstream(admitted, tried)
+        if selected is None or not self.limits.wait_for_room_s(selected):
+            return selected
+        self.limits.log_diverted_call(
+            admitted.facts.request_id, admitted.service, selected
         )
         return self._select_upstream(admitted, tried, within_limits=True)
 
-    def has_other(self, admitted: Admitted, tried: Sequence[str]) -> bool:
-        """Tell whether an upstream could take one more call now."""
+    def has_alternative(self, admitted: Admitted, tried: Sequence[str]) -> bool:
+        """Return whether another upstream can accept a call now."""
         found = self._select_upstream(admitted, tried, within_limits=True)
         return found is not None
 
-    def no_capacity(
+    def find_capacity_wait(
         self, admitted: Admitted, tried: Sequence[str]
     ) -> NoCapacity | None:
-        """Return what upstreams said that leaves no room; none: nothing."""
+        """Return why and until when upstreams accept no calls, if known."""
         now = self.now()
-        members = self._upstreams.list_service(admitted.service)
-        rested_at = earliest_backoff_end(members, now)
-        if rested_at is not None:
-            return NoCapacity('all upstreams asked for a rest', rested_at - now)
-        limited_s = self.limits.wait_for_room_s(
+        candidates = self._upstreams.list_service(admitted.service)
+        backoff_ends_at = earliest_backoff_end(candidates, now)
+        if backoff_ends_at is not None:
+            return NoCapacity(
+                'all upstreams asked for a rest', backoff_ends_at - now
+            )
+        wait_s = self.limits.wait_for_room_s(
             self._select_upstream(admitted, tried)
         )
-        if limited_s:
-            return NoCapacity('limits leave no room', limited_s)
+        if wait_s:
+            return NoCapacity('limits leave no room', wait_s)
         return None
 
-    def note_pause(
+    def record_pause(
         self, upstream: Upstream, events: int, seconds: float
     ) -> None:
-        """Note the time before the last events of a stream."""
-        self.meters.paused(seconds)
+        """Record the time before the latest events of a stream."""
+        self.meters.record_pause(seconds)
         group = upstream.group
         if group is not None and events:
             group.record_steps(events, seconds, self.now())
-            self.paces.record(group.name, events, seconds)
+            self.step_times.record(group.name, events, seconds)
 
-    def take_retry(self, service: str) -> bool:
-        """Take one retry of a service's budget, if it has any."""
-        taken = self._budget(service).take(self.now())
-        if not taken:
-            self.meters.retry_refused(service)
+    def acquire_retry(self, service: str) -> bool:
+        """Spend one retry of a service's budget, if there is one left."""
+        acquired = self._budget(service).take(self.now())
+        if not acquired:
+            self.meters.count_refused_retry(service)
             logger.info('event=retry_refused service={}', service)
-        return taken
+        return acquired
 
     def own_calls(self) -> dict[str, int]:
-        """Return the calls under way, by the upstream's identity."""
+        """Return this entry's calls in progress, by upstream identity."""
         return {
             upstream.record.identity: upstream.own_calls
             for upstream in self._upstreams
             if upstream.own_calls
         }
 
-    def own_limits(self) -> dict[str, LimitReport]:
-        """Return what to tell of limits, by the upstream's identity."""
-        return self.limits.book.make_report(self.now())
+    def make_limit_reports(self) -> dict[str, LimitReport]:
+        """Return the rate limit reports for others, by upstream identity."""
+        return self.limits.table.make_report(self.now())
 
     def apply_calls(self, entry: str, calls: dict[str, int]) -> None:
-        """Take over what another entry has under way."""
+        """Apply the calls that another entry has in progress."""
         self._upstreams.apply_calls(entry, calls)
 
     def apply_limits(
         self, entry: str, started_at: float, limits: dict[str, LimitReport]
     ) -> None:
-        """Take over what another entry tells of limits."""
+        """Apply another entry's rate limit reports."""
         self.limits.apply_report(entry, started_at, limits)
 
-    def own_refusals(self) -> dict[str, RefusalReport]:
-        """Return what to tell of refusals, by the upstream's identity."""
+    def make_refusal_reports(self) -> dict[str, RefusalReport]:
+        """Return the refusal reports for others, by upstream identity."""
         return self._upstreams.report_refusals(self.now())
 
     def apply_refusals(
         self, entry: str, refusals: dict[str, RefusalReport]
     ) -> None:
-        """Take over what another entry tells of refusals."""
+        """Apply another entry's refusal reports."""
         for upstream in self._upstreams.apply_refusals(refusals, self.now()):
             logger.info(
                 'event=upstream_avoided upstream={} service={} refusals={} '
@@ -233,14 +241,14 @@
             )
 
     def record_reachable_share(self, share: float) -> None:
-        """Take note of the part of all entries that is heard."""
-        self.limits.book.share = share
+        """Record the part of all entries that can be received here."""
+        self.limits.table.share = share
 
-    def finish_behind(self, call: Call, deadline: float) -> None:
-        """Let a call end that must not be broken off; its answer is lost."""
-        if not call.over:
-            span_s = deadline - self.now()
-            self._tasks.once('finish-behind', lambda: call.read_out(span_s))
+    def finish_in_background(self, call: Call, deadline: float) -> None:
+        """Let a call finish that must not be aborted; discard its response."""
+        if not call.finished:
+            timeout_s = deadline - self.now()
+            self._tasks.once('finish-behind', lambda: call.drain(timeout_s))
 
     def _select_upstream(
         self,
@@ -252,42 +260,48 @@
         requirements = CallRequirements(
             self._cfg.process.data_center, admitted.route.gap_s, tried
         )
-        members: Sequence[Upstream] = self._upstreams.list_service(
+        candidates: Sequence[Upstream] = self._upstreams.list_service(
             admitted.service
         )
         if within_limits:
-            members = self.limits.with_room(members)
-        return select_upstream(members, requirements, self.now(), self._rng)
+            candidates = self.limits.filter_with_room(candidates)
+        return select_upstream(candidates, requirements, self.now(), self._rng)
 
     def _retries_left(self) -> dict[str, float]:
         return {name: one.left for name, one in self._budgets.items()}
 
     async def _wait_for_document(self, facts: CallerFacts) -> None:
-        """Let a request wait a little that came before the first news."""
+        """Hold a request for a while until the first document arrives."""
         began_at = self.now()
         timeout_s = facts.timeout_s or DEFAULT_TIMEOUT_S
-        until = document_wait_deadline(began_at, began_at + timeout_s)
-        known = await self.outage.until(lambda: self.index is not None, until)
+        deadline = document_wait_deadline(began_at, began_at + timeout_s)
+        available = await self.outage_wait.wait_until(
+            lambda: self.index is not None, deadline
+        )
         logger.info(
             'event=waited request={} for=document known={} waited_ms={:.0f} '
             + 'waiting={}',
             facts.request_id,
-            known,
+            available,
             1000 * (self.now() - began_at),
-            self.outage.waiting,
+            self.outage_wait.waiting,
         )
 
-    def _note_end(self, admitted: Admitted, answer: AnswerWriter) -> None:
+    def _log_request_ended(
+        self, admitted: Admitted, response: ResponseWriter
+    ) -> None:
         now = self.now()
-        self.meters.request_ended(admitted, answer, now)
-        first = answer.first_at
+        self.meters.record_request(admitted, response, now)
+        first_byte_at = response.first_byte_at
         logger.info(
             'event=request_ended request={} status={} took_ms={:.0f} '
             + 'first_ms={:.0f}',
             admitted.facts.request_id,
-            answer.status,
+            response.status,
             1000 * (now - admitted.began_at),
-            -1 if first is None else 1000 * (first - admitted.began_at),
+            -1
+            if first_byte_at is None
+            else 1000 * (first_byte_at - admitted.began_at),
         )
 
     def _budget(self, service: str) -> RetryBudget:
@@ -301,7 +315,7 @@
         )
         return budget
 
-    def _take_upstreams(self, records: tuple[UpstreamRecord, ...]) -> None:
+    def _apply_upstreams(self, records: tuple[UpstreamRecord, ...]) -> None:
         for record in records:
             logger.info(
                 'event=upstream_seen upstream={} service={} phase={} '
@@ -312,11 +326,11 @@
                 record.address,
                 record.revision,
             )
-        for gone in self._upstreams.apply_records(records):
-            self.pool.drop(gone.record.identity)
-            self.limits.book.remove(gone.record.identity)
+        for ended in self._upstreams.apply_records(records):
+            self.pool.close_idle(ended.record.identity)
+            self.limits.table.remove(ended.record.identity)
 
-    async def _sweep_for_ever(self) -> None:
+    async def _sweep_forever(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_EVERY_S)
-            self.pool.sweep()
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            self.pool.close_expired()
--- a/src/snipebend/edge/relayed_request.py
+++ b/src/snipebend/edge/relayed_request.py
@@ -1,4 +1,4 @@
-"""The life of one request that is passed on to upstreams without agents."""
+"""Handles one request that is forwarded to upstreams without agents."""
 
 from __future__ import annotations
 
@@ -8,9 +8,14 @@
 
 from loguru import logger
 
-from snipebend.edge.call import Call, WholeAnswer
-from snipebend.edge.exchange import Begun, Broken, Piece, Whole
-from snipebend.edge.final_answer import FinalAnswer
+from snipebend.edge.call import Call, CompleteResponse
+from snipebend.edge.final_response import FinalResponse
+from snipebend.edge.response_channel import (
+    BodyChunk,
+    ResponseAborted,
+    ResponseCompleted,
+    ResponseStarted,
+)
 from snipebend.edge.stream_relay import StreamRelay
 from snipebend.errors.hierarchy import UnavailableError
 from snipebend.hosts.model import Kind
@@ -21,160 +26,162 @@
     decide_next_action,
     final_action,
 )
-from snipebend.relay.facts import UpstreamCall
+from snipebend.relay.facts import CallContext
 
 if TYPE_CHECKING:
-    from snipebend.edge.answer_writer import AnswerWriter
-    from snipebend.edge.caller_parser import WholeRequest
-    from snipebend.edge.relay_desk import RelayDesk
+    from snipebend.edge.caller_parser import CompleteRequest
+    from snipebend.edge.relay_service import RelayService
+    from snipebend.edge.response_writer import ResponseWriter
     from snipebend.relay.admission import Admitted
     from snipebend.relay.facts import ResponseFacts, ResponseHead
     from snipebend.relay.upstream_selection import NoCapacity
     from snipebend.relay.upstreams import Upstream
 
-#: Upstreams that one request is offered to at most, while each proves that it
-#: didn't run it: a bound on the time that goes by, not a limit of the route.
+#: Upstreams that one request is sent to at most while each proves that it did
+#: not run it: bounds the time spent, unlike the limit of the route.
 MAX_CALLS = 4
 
 _STATUS_FAILED = 500
 
 
-class Ended(NamedTuple):
-    """How a call ended, and the upstream's failure if it gave a whole one."""
+class CallResult(NamedTuple):
+    """The result of a call, with the complete response if it failed."""
 
-    ending: CallOutcome
+    outcome: CallOutcome
     reason: str
-    answer: WholeAnswer | None = None
-    #: Whether the upstream itself failed, rather than being full.
+    response: CompleteResponse | None = None
+    #: Whether the upstream failed, rather than being full.
     faulty: bool = False
-    #: Whether it was given up unsent, since the upstream wants no work.
+    #: Whether nothing was sent because the upstream wants no work.
     declined: bool = False
 
 
 class RelayedRequest:
-    """Calls upstreams until the caller has its answer."""
+    """Calls upstreams until the caller has a response."""
 
     def __init__(
         self,
-        desk: RelayDesk,
-        req: WholeRequest,
-        answer: AnswerWriter,
+        relay: RelayService,
+        req: CompleteRequest,
+        response: ResponseWriter,
         admitted: Admitted,
     ) -> None:
-        """Keep what was decided; nothing is sent yet."""
-        self._desk = desk
+        """Keep the admitted request; nothing is sent yet."""
+        self._relay = relay
         self._req = req
-        self._answer = answer
+        self._response = response
         self._admitted = admitted
         self._route = admitted.route
         self._tried: list[str] = []
         self._runs = 0
-        #: The one called last.
+        #: The upstream called last.
         self._upstream: Upstream | None = None
-        self._stream = StreamRelay(answer, desk.now, self._note_pause)
-        self._end = FinalAnswer(
-            answer, desk.refuser, admitted.facts, self._time_left_s
+        self._stream = StreamRelay(response, relay.now, self._record_pause)
+        self._final = FinalResponse(
+            response, relay.refusal_writer, admitted.facts, self._time_left_s
         )
 
     async def run(self) -> None:
-        """Work until the answer has ended, or the time is over."""
+        """Work until the response has ended or the deadline has expired."""
         try:
             async with asyncio.timeout(self._time_left_s()):
-                await self._call_until_answered()
+                await self._call_until_done()
         except TimeoutError:
-            self._end.time_out(may_have_run=self._may_have_run)
+            self._final.time_out(may_have_run=self._may_have_run)
 
     def _time_left_s(self) -> float:
-        return self._admitted.deadline - self._desk.now()
+        return self._admitted.deadline - self._relay.now()
 
     @property
     def _may_have_run(self) -> bool:
-        """Tell whether an upstream got it and didn't prove 'not run'."""
+        """Return whether an upstream got it and did not prove "not run"."""
         return self._runs > 0
 
-    async def _call_until_answered(self) -> None:
+    async def _call_until_done(self) -> None:
         while True:
-            upstream = self._desk.select_upstream(self._admitted, self._tried)
+            upstream = self._relay.select_upstream(self._admitted, self._tried)
             if upstream is None:
-                self._end.refuse_full(
+                self._final.refuse_no_capacity(
                     may_have_run=self._may_have_run,
                     tried=bool(self._tried),
-                    no_capacity=self._no_room(),
+                    no_capacity=self._find_capacity_wait(),
                 )
                 return
-            ended = await self._call(upstream)
-            if ended is None:
+            result = await self._call(upstream)
+            if result is None:
                 return
-            if not self._goes_on(ended):
+            if not self._should_continue(result):
                 return
 
-    def _no_room(self) -> NoCapacity | None:
-        return self._desk.no_capacity(self._admitted, self._tried)
+    def _find_capacity_wait(self) -> NoCapacity | None:
+        return self._relay.find_capacity_wait(self._admitted, self._tried)
 
-    async def _call(self, upstream: Upstream) -> Ended | None:
-        """Call one upstream; nothing when the caller has its answer."""
+    async def _call(self, upstream: Upstream) -> CallResult | None:
+        """Call one upstream; return None when the caller has a response."""
         self._tried.append(upstream.record.identity)
         self._upstream = upstream
-        call_started_at = self._desk.now()
-        self._note_begin(upstream)
+        call_started_at = self._relay.now()
+        self._log_call_begun(upstream)
         upstream.own_calls += 1
-        self._desk.limits.record_call(upstream)
+        self._relay.limits.record_call(upstream)
         if upstream.group is not None:
-            upstream.group.record_probe(self._desk.now())
+            upstream.group.record_probe(self._relay.now())
         call: Call | None = None
         try:
             call = await self._open(upstream)
-            ended = self._decline(call) or await self._exchange(call)
+            result = self._release_if_declined(
+                call
+            ) or await self._send_and_receive(call)
         except UnavailableError as exc:
-            ended = Ended(CallOutcome.UNSENT, str(exc), faulty=True)
+            result = CallResult(CallOutcome.UNSENT, str(exc), faulty=True)
         finally:
             upstream.own_calls -= 1
             if call is not None:
-                self._give_up(call)
-        self._note(upstream, ended, call_started_at)
-        return ended
+                self._abandon(call)
+        self._record_result(upstream, result, call_started_at)
+        return result
 
     async def _open(self, upstream: Upstream) -> Call:
         record = upstream.record
-        conn = await self._desk.pool.acquire(
+        conn = await self._relay.pool.acquire(
             record.identity, record.address, fresh=not self._route.idempotent
         )
         return Call(
-            self._desk.pool,
+            self._relay.pool,
             upstream,
             conn,
-            self._desk.now(),
-            self._desk.statements.take,
+            self._relay.now(),
+            self._relay.notices.apply,
         )
 
-    def _decline(self, call: Call) -> Ended | None:
-        """Give up a call whose upstream has said meanwhile that it wants none.
+    def _release_if_declined(self, call: Call) -> CallResult | None:
+        """Release the connection if the upstream has stopped accepting work.
 
-        Opening the connection may have taken a while.
+        Its notice may have been received while the connection was opened.
         """
-        if not call.upstream.declines_work(self._desk.now()):
+        if not call.upstream.declines_work(self._relay.now()):
             return None
-        call.give_back()
+        call.release()
         reason = 'the upstream asked for no more work'
-        return Ended(CallOutcome.UNSENT, reason, declined=True)
+        return CallResult(CallOutcome.UNSENT, reason, declined=True)
 
-    async def _exchange(self, call: Call) -> Ended | None:
+    async def _send_and_receive(self, call: Call) -> CallResult | None:
         self._send(call)
-        message = await call.receive()
-        match message:
-            case Begun():
-                return await self._read_answer(call, message)
-            case Broken(reason):
-                return self._unknown(reason)
+        event = await call.receive()
+        match event:
+            case ResponseStarted():
+                return await self._read_response(call, event)
+            case ResponseAborted(reason):
+                return self._unknown_outcome(reason)
             case _:
-                return self._unknown('an answer without a head')
+                return self._unknown_outcome('an answer without a head')
 
     def _send(self, call: Call) -> None:
         admitted = self._admitted
         if len(self._tried) == 1:
-            waited_s = self._desk.now() - admitted.began_at
-            self._desk.meters.handed_on(waited_s)
-        facts = UpstreamCall(
+            waited_s = self._relay.now() - admitted.began_at
+            self._relay.meters.record_forwarding_delay(waited_s)
+        context = CallContext(
             call.upstream.record.identity,
             admitted.workspace,
             max(0, self._time_left_s()),
@@ -182,73 +189,83 @@
             self._stream.resume_after,
         )
         call.send(
-            self._req, admitted.facts.request_id, facts, self._desk.dialect
+            self._req, admitted.facts.request_id, context, self._relay.dialect
         )
         self._runs += 1
 
-    async def _read_answer(self, call: Call, begun: Begun) -> Ended | None:
-        head, facts = begun
+    async def _read_response(
+        self, call: Call, started: ResponseStarted
+    ) -> CallResult | None:
+        head, facts = started
         if facts.not_run or facts.identity_mismatch:
             self._runs -= 1
-            self._note_refusal(call, facts)
+            self._record_refusal(call, facts)
             reason = f'refused with {head.status} for {facts.faulty_address}'
-            return Ended(CallOutcome.NOT_RUN, reason)
+            return CallResult(CallOutcome.NOT_RUN, reason)
         if head.status >= _STATUS_FAILED or not facts.authenticated:
-            return await self._read_failure(call, begun)
+            return await self._read_failure(call, started)
         if self._route.kind is Kind.STREAM and head.status == HTTPStatus.OK:
-            return await self._relay_stream(call, head)
-        return await self._relay_whole(call, begun)
+            return await self._forward_stream(call, head)
+        return await self._forward_complete(call, started)
 
-    def _note_refusal(self, call: Call, facts: ResponseFacts) -> None:
-        """Avoid an upstream that refuses, or the group that waits for a rank.
+    def _record_refusal(self, call: Call, facts: ResponseFacts) -> None:
+        """Avoid an upstream that refuses, or a group that waits for a rank.
 
-        One that is full names itself, and says nothing of the others.
+        An upstream that is full names itself as the cause, which says nothing
+        of the rest of its group.
         """
-        now = self._desk.now()
+        now = self._relay.now()
         upstream = call.upstream
         if facts.faulty_address in {'', upstream.record.address}:
             upstream.refusals.record_refusal(call.started_at, now)
         elif upstream.group is not None:
             upstream.group.record_lost_rank(now)
 
-    async def _read_failure(self, call: Call, begun: Begun) -> Ended:
-        answer = await call.receive_whole(begun)
-        reason = f'failed with {begun.head.status}'
-        if isinstance(answer, Broken) or not begun.facts.authenticated:
-            return self._unknown(reason)
-        return Ended(CallOutcome.FAILED, reason, answer, faulty=True)
-
-    async def _relay_whole(self, call: Call, begun: Begun) -> Ended | None:
-        answer = await call.receive_whole(begun)
-        if isinstance(answer, Broken):
-            return self._unknown(answer.reason)
-        self._end.pass_on(answer)
+    async def _read_failure(
+        self, call: Call, started: ResponseStarted
+    ) -> CallResult:
+        response = await call.receive_complete(started)
+        reason = f'failed with {started.head.status}'
+        if (
+            isinstance(response, ResponseAborted)
+            or not started.facts.authenticated
+        ):
+            return self._unknown_outcome(reason)
+        return CallResult(CallOutcome.FAILED, reason, response, faulty=True)
+
+    async def _forward_complete(
+        self, call: Call, started: ResponseStarted
+    ) -> CallResult | None:
+        response = await call.receive_complete(started)
+        if isinstance(response, ResponseAborted):
+            return self._unknown_outcome(response.reason)
+        self._final.forward(response)
         return None
 
-    async def _relay_stream(
+    async def _forward_stream(
         self, call: Call, head: ResponseHead
-    ) -> Ended | None:
+    ) -> CallResult | None:
         self._stream.begin(head)
-        message = await call.receive()
-        while isinstance(message, Piece):
-            if self._stream.take(message.data):
-                await self._answer.drain()
-            message = await call.receive()
-        if isinstance(message, Whole):
+        event = await call.receive()
+        while isinstance(event, BodyChunk):
+            if self._stream.feed(event.data):
+                await self._response.drain()
+            event = await call.receive()
+        if isinstance(event, ResponseCompleted):
             self._stream.end()
             return None
-        if isinstance(message, Broken):
-            return self._unknown(message.reason)
-        return self._unknown('a second head')
+        if isinstance(event, ResponseAborted):
+            return self._unknown_outcome(event.reason)
+        return self._unknown_outcome('a second head')
 
-    def _note_pause(self, events: int, seconds: float) -> None:
+    def _record_pause(self, events: int, seconds: float) -> None:
         if self._upstream is not None:
-            self._desk.note_pause(self._upstream, events, seconds)
+            self._relay.record_pause(self._upstream, events, seconds)
 
-    def _unknown(self, reason: str) -> Ended:
-        return Ended(CallOutcome.UNKNOWN, reason, faulty=True)
+    def _unknown_outcome(self, reason: str) -> CallResult:
+        return CallResult(CallOutcome.UNKNOWN, reason, faulty=True)
 
-    def _note_begin(self, upstream: Upstream) -> None:
+    def _log_call_begun(self, upstream: Upstream) -> None:
         admitted = self._admitted
         logger.info(
             'event=call_begun request={} call={} route={} service={} '
@@ -266,47 +283,53 @@
             upstream.own_calls,
             upstream.calls,
             upstream.record.slots,
-            1000 * upstream.backoff_left_s(self._desk.now()),
+            1000 * upstream.backoff_left_s(self._relay.now()),
             self._stream.resume_after,
-            self._desk.refuser.knowledge(),
+            self._relay.refusal_writer.describe_host_state(),
         )
 
-    def _note(
-        self, upstream: Upstream, ended: Ended | None, call_started_at: float
+    def _record_result(
+        self,
+        upstream: Upstream,
+        result: CallResult | None,
+        call_started_at: float,
     ) -> None:
         service = self._admitted.service
-        if ended is None:
+        if result is None:
             upstream.record_response(call_started_at)
-            self._desk.meters.call_ended(service, 'answered')
+            self._relay.meters.count_call(service, 'answered')
             return
-        self._desk.meters.call_ended(service, ended.ending.value)
-        if ended.faulty:
-            upstream.record_failure(self._desk.now())
+        self._relay.meters.count_call(service, result.outcome.value)
+        if result.faulty:
+            upstream.record_failure(self._relay.now())
         logger.info(
             'event=call_ended request={} upstream={} ending={} reason={!r} '
             + 'failures={} refusals={} {}',
             self._admitted.facts.request_id,
             upstream.record.identity,
-            ended.ending.value,
-            ended.reason,
+            result.outcome.value,
+            result.reason,
             upstream.failures,
             upstream.refusals.consecutive,
-            self._desk.refuser.knowledge(),
+            self._relay.refusal_writer.describe_host_state(),
         )
 
-    def _goes_on(self, ended: Ended) -> bool:
-        """Tell whether another upstream shall be called; else answer."""
-        if ended.declined:
-            # Nothing reached an upstream, so there is nothing to pay for.
+    def _should_continue(self, result: CallResult) -> bool:
+        """Return whether to call another upstream; if not, respond."""
+        if result.declined:
+            # Nothing was sent to an upstream, so no retry is deducted.
             return True
-        step = decide_next_action(ended.ending, self._retry_conditions())
-        if step is NextAction.RETRY and self._desk.take_retry(
+        action = decide_next_action(result.outcome, self._retry_conditions())
+        if action is NextAction.RETRY and self._relay.acquire_retry(
             self._admitted.service
         ):
             return True
-        final = final_action(ended.ending, may_have_run=self._may_have_run)
-        self._end.finish(
-            final, ended.reason, ended.answer, no_capacity=self._no_room()
+        final = final_action(result.outcome, may_have_run=self._may_have_run)
+        self._final.finish(
+            final,
+            result.reason,
+            result.response,
+            no_capacity=self._find_capacity_wait(),
         )
         return False
 
@@ -317,13 +340,13 @@
             runs_left=self._route.max_attempts - self._runs,
             attempts_left=MAX_CALLS - len(self._tried),
             time_left_s=self._time_left_s(),
-            other_available=self._desk.has_other(admitted, self._tried),
+            other_available=self._relay.has_alternative(admitted, self._tried),
             may_have_run=self._may_have_run,
         )
 
-    def _give_up(self, call: Call) -> None:
-        """Break a call off that nobody waits for, unless it must run once."""
+    def _abandon(self, call: Call) -> None:
+        """Abort an unneeded call, unless its request may run only once."""
         if self._route.idempotent or self._route.kind is Kind.STREAM:
-            call.break_off()
+            call.abort()
         else:
-            self._desk.finish_behind(call, self._admitted.deadline)
+            self._relay.finish_in_background(call, self._admitted.deadline)
--- /dev/null
+++ b/src/snipebend/edge/response_channel.py
@@ -0,0 +1,58 @@
+"""Events of one upstream response, from its connection to its reader."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import NamedTuple
+
+from snipebend.relay.facts import ResponseFacts, ResponseHead
+
+
+class ResponseStarted(NamedTuple):
+    """The head of the response, raw and parsed."""
+
+    head: ResponseHead
+    facts: ResponseFacts
+
+
+class BodyChunk(NamedTuple):
+    """Bytes of the body, in order."""
+
+    data: bytes
+
+
+class ResponseCompleted(NamedTuple):
+    """The response is complete."""
+
+
+class ResponseAborted(NamedTuple):
+    """The response ends here and is incomplete."""
+
+    reason: str
+
+
+ResponseEvent = (
+    ResponseStarted | BodyChunk | ResponseCompleted | ResponseAborted
+)
+
+
+class ResponseChannel:
+    """The events of one response, in order."""
+
+    def __init__(self, request_id: str) -> None:
+        """Start before the first event."""
+        self.request_id = request_id
+        self._messages: asyncio.Queue[ResponseEvent] = asyncio.Queue()
+
+    @property
+    def pending(self) -> int:
+        """Return how many events have not been read."""
+        return self._messages.qsize()
+
+    def send(self, message: ResponseEvent) -> None:
+        """Append an event."""
+        self._messages.put_nowait(message)
+
+    async def receive(self) -> ResponseEvent:
+        """Wait for the next event."""
+        return await self._messages.get()
--- a/src/snipebend/edge/answer_writer.py
+++ b/src/snipebend/edge/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes one answer to a caller, in the framing that its connection allows."""
+"""Writes one response to a caller, framed as its connection allows."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 _LAST_CHUNK = b'0\r\n\r\n'
 
 
-class AnswerWriter:
-    """One answer; ``on_end`` is told whether the connection lives on."""
+class ResponseWriter:
+    """One response; ``on_end`` receives whether the connection stays open."""
 
     def __init__(
         self,
@@ -25,25 +25,25 @@
         writable: asyncio.Event,
         *,
         now: Callable[[], float],
-        chunks: bool,
-        keeps_open: Callable[[], bool],
+        supports_chunks: bool,
+        can_keep_alive: Callable[[], bool],
         on_end: Callable[[bool], None],
     ) -> None:
-        """Keep the connection; ``chunks`` tells whether it knows chunks."""
-        self.begun = False
+        """Keep the connection of the caller and its capabilities."""
+        self.started = False
         self.ended = False
-        #: The status that the caller got; 0: none, or not the whole answer.
+        #: The status sent to the caller; 0: none, or an incomplete response.
         self.status = 0
-        #: When the first piece of the body went out; the clock's seconds.
-        self.first_at: float | None = None
+        #: When the first piece of the body was written; seconds of ``now``.
+        self.first_byte_at: float | None = None
         self._transport = transport
         self._writable = writable
         self._now = now
-        self._chunks = chunks
-        self._keeps_open = keeps_open
+        self._supports_chunks = supports_chunks
+        self._can_keep_alive = can_keep_alive
         self._on_end = on_end
         self._chunked = False
-        self._open_after = False
+        self._keep_alive = False
 
     def begin(
         self,
@@ -52,11 +52,11 @@
         headers: list[tuple[bytes, bytes]],
         length: int | None = None,
     ) -> None:
-        """Write the head; without a length the body goes in chunks."""
-        self.begun = True
+        """Write the head; a body without a length is sent in chunks."""
+        self.started = True
         self.status = status
-        self._chunked = length is None and self._chunks
-        self._open_after = self._keeps_open() and (
+        self._chunked = length is None and self._supports_chunks
+        self._keep_alive = self._can_keep_alive() and (
             self._chunked or length is not None
         )
         lines = list(headers)
@@ -64,41 +64,41 @@
             lines.append((b'Content-Length', b'%d' % length))
         elif self._chunked:
             lines.append((b'Transfer-Encoding', b'chunked'))
-        if not self._open_after:
+        if not self._keep_alive:
             lines.append((b'Connection', b'close'))
         self._transport.write(
             encode_head(_STATUS_LINE % (status, reason), lines)
         )
 
     def write(self, data: bytes) -> None:
-        """Write a piece of the body at once."""
+        """Write a piece of the body immediately."""
         if not data:
             return
-        if self.first_at is None:
-            self.first_at = self._now()
+        if self.first_byte_at is None:
+            self.first_byte_at = self._now()
         if self._chunked:
             data = b'%x\r\n%b\r\n' % (len(data), data)
         self._transport.write(data)
 
     async def drain(self) -> None:
-        """Wait while the caller takes less than it is given."""
+        """Wait until the caller has read enough of what was written."""
         await self._writable.wait()
 
     def end(self) -> None:
-        """End a whole answer."""
+        """Finish a complete response."""
         if self._chunked:
             self._transport.write(_LAST_CHUNK)
-        self._finish(keep=self._open_after)
+        self._finish(keep=self._keep_alive)
 
     def abort(self) -> None:
-        """Break the answer off, so that nobody takes it for whole."""
+        """Abort the response so that it does not look complete."""
         self.status = 0
         self._finish(keep=False)
 
-    def refuse(
+    def write_problem(
         self, problem: Problem, headers: list[tuple[bytes, bytes]]
     ) -> None:
-        """Write a whole answer of our own."""
+        """Write a complete error response."""
         body = encode_problem(problem)
         lines = [(b'Content-Type', MEDIA_PROBLEM.encode()), *headers]
         status = HTTPStatus(problem.status)
--- a/src/snipebend/edge/pace_teller.py
+++ b/src/snipebend/edge/step_time_reporter.py
@@ -1,4 +1,4 @@
-"""Tells control daemons how long passes of groups take."""
+"""Reports the step times of groups to control daemons."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 
     from snipebend.kernel.registry import Registry
 
-#: Seconds between two messages: about two passes. A turn of demand shows within
-#: one of them; five entries tell three daemons 12 KB/s in all.
-TELL_EVERY_S = 0.1
+#: Seconds between two messages: about two steps. A shift in demand shows within
+#: one step; five entries send 12 KB/s in all to three daemons.
+REPORT_INTERVAL_S = 0.1
 
 
-class PaceTeller(Service):
-    """Sends what streams showed, to all control daemons."""
+class StepTimeReporter(Service):
+    """Sends the step times measured on streams to all control daemons."""
 
     def __init__(
         self,
         name: str,
         process: str,
-        take: Callable[[], dict[str, tuple[int, float]]],
+        drain: Callable[[], dict[str, tuple[int, float]]],
     ) -> None:
-        """Keep the process's name and the way to what streams showed."""
+        """Keep the process name, and a function that drains measurements."""
         super().__init__(name)
         self._process = process
-        self._take = take
+        self._drain = drain
 
     async def start(self, registry: Registry) -> None:
         """Start the task."""
         self._started_at = registry.clock.wall()
         self._gossip = registry.find('gossip', Gossip)
         self._follower = registry.find('hosts', HostFollower)
-        registry.tasks.start('tell-paces', self._tell_for_ever)
+        registry.tasks.start('tell-paces', self._report_forever)
 
-    async def _tell_for_ever(self) -> None:
+    async def _report_forever(self) -> None:
         number = 0
         while True:
-            await asyncio.sleep(TELL_EVERY_S)
-            paces = self._take()
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            paces = self._drain()
             if not paces:
                 continue
             number += 1
--- a/src/snipebend/edge/stream_relay.py
+++ b/src/snipebend/edge/stream_relay.py
@@ -1,4 +1,4 @@
-"""A stream of events on its way to the caller, over one or more calls."""
+"""Forwards a stream of events to the caller, over one or more calls."""
 
 from __future__ import annotations
 
@@ -11,84 +11,85 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from snipebend.edge.answer_writer import AnswerWriter
+    from snipebend.edge.response_writer import ResponseWriter
     from snipebend.relay.facts import ResponseHead
 
 _EVENT_ID = re.compile(rb'^id: ?(\d+)\r?$', re.MULTILINE)
 
 
 class StreamRelay:
-    """Passes whole events on, and knows the last one.
+    """Forwards complete events, and tracks the last one.
 
-    The caller gets the head of the first call with its first event. A later
-    call goes on behind the last event; its head is dropped.
+    The caller receives the head of the first call with its first event. A later
+    call resumes after the last event; its head is dropped.
     """
 
     def __init__(
         self,
-        answer: AnswerWriter,
+        response: ResponseWriter,
         now: Callable[[], float],
         on_pause: Callable[[int, float], None],
     ) -> None:
         """Start before the first call.
 
-        ``on_pause`` is told of events and the seconds before them; of 0 events
-        for the first ones of a call, since no pass of one group was between.
+        ``on_pause`` receives the number of events and the seconds before them;
+        the number is 0 for the first events of a call, since the pause before
+        them is not a step time of a single group.
         """
         self._now = now
         self._on_pause = on_pause
-        self._piece_at: float | None = None
-        #: No event of the present call came yet.
+        self._last_events_at: float | None = None
+        #: Whether no event of the current call has been received.
         self._is_first = True
         self.resume_after: int | None = None
         self.events = 0
-        self._answer = answer
+        self._response = response
         self._head: ResponseHead | None = None
         self._buffer = EventBuffer()
 
     def begin(self, head: ResponseHead) -> None:
-        """Begin a call; what an earlier one left unfinished is dropped."""
+        """Start a call; an incomplete event of an earlier one is dropped."""
         self._buffer = EventBuffer()
         self._is_first = True
-        if not self._answer.begun:
+        if not self._response.started:
             self._head = head
 
-    def take(self, data: bytes) -> bool:
-        """Pass on what is whole; tell whether there was any."""
+    def feed(self, data: bytes) -> bool:
+        """Forward complete events; return whether there were any."""
         events = self._buffer.feed(data)
         if not events:
             return False
-        self._begin_answer()
-        self._note_pause(len(events))
+        self._begin_response()
+        self._record_pause(len(events))
         for event in events:
-            self._note(event)
-        self._answer.write(b''.join(events))
+            self._record_event(event)
+        self._response.write(b''.join(events))
         return True
 
     def end(self) -> None:
-        """End the answer; bytes behind the last event belong to it."""
-        self._begin_answer()
-        self._answer.write(self._buffer.rest())
-        self._answer.end()
+        """End the response, including bytes after the last event."""
+        self._begin_response()
+        self._response.write(self._buffer.rest())
+        self._response.end()
 
-    def _begin_answer(self) -> None:
-        if self._answer.begun or self._head is None:
+    def _begin_response(self) -> None:
+        if self._response.started or self._head is None:
             return
         head = self._head
-        self._answer.begin(
+        self._response.begin(
             head.status, head.reason, list(end_to_end(head.headers))
         )
 
-    def _note_pause(self, events: int) -> None:
+    def _record_pause(self, events: int) -> None:
         now = self._now()
-        if self._piece_at is not None:
+        if self._last_events_at is not None:
             self._on_pause(
-                0 if self._is_first else events, now - self._piece_at
+                0 if self._is_first else events, now - self._last_events_at
             )
         self._is_first = False
-        self._piece_at = now
+        self._last_events_at = now
 
-    def _note(self, event: bytes) -> None:
+    def _record_event(self, event: bytes) -> None:
         self.events += 1
         found = _EVENT_ID.search(event)
         if found:
--- a/src/snipebend/edge/upstream_connection.py
+++ b/src/snipebend/edge/upstream_connection.py
@@ -1,54 +1,54 @@
-"""One connection to an upstream: one request at a time, its answer read."""
+"""One connection to an upstream, for one request at a time."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import TYPE_CHECKING, cast
 
-from snipebend.edge.answer_parser import AnswerParser
-from snipebend.edge.exchange import Broken, Exchange
+from snipebend.edge.response_channel import ResponseAborted, ResponseChannel
+from snipebend.edge.response_parser import ResponseParser
 
 if TYPE_CHECKING:
     from snipebend.relay.facts import Dialect
 
-#: Messages that may wait for the reader before the upstream is read no more.
-MAX_WAITING = 64
+#: Events that may queue for the reader before reading is paused.
+MAX_PENDING_EVENTS = 64
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """Owns the transport to one upstream."""
+    """Protocol of one connection to an upstream."""
 
     def __init__(self, dialect: Dialect) -> None:
-        """Keep how answers are read; the transport comes later."""
+        """Keep the dialect; the transport is set on connection."""
         self.idle_since: float = 0
-        self._parser = AnswerParser(dialect)
+        self._parser = ResponseParser(dialect)
         self._open = False
 
     @property
     def usable(self) -> bool:
-        """Tell whether another request may be sent."""
-        return self._open and not self._parser.spoilt
+        """Return whether another request may be sent."""
+        return self._open and not self._parser.not_reusable
 
     @property
     def keep_alive_s(self) -> float | None:
-        """Return for how long the upstream keeps it idle, if it told."""
+        """Return the upstream's keep-alive timeout, if stated."""
         return self._parser.keep_alive_s
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Be ready for a request."""
+        """Keep the transport; requests may be sent now."""
         self._transport = cast(asyncio.Transport, transport)
         self._open = True
 
-    def send(self, data: bytes, request_id: str) -> Exchange:
-        """Send a request; only on a usable connection."""
-        exchange = Exchange(request_id)
-        self._parser.expect(exchange)
+    def send(self, data: bytes, request_id: str) -> ResponseChannel:
+        """Send a request; the connection must be usable."""
+        channel = ResponseChannel(request_id)
+        self._parser.expect(channel)
         self._transport.write(data)
-        return exchange
+        return channel
 
     def abandon(self) -> None:
-        """Close at once; nobody reads the answer any more."""
-        self._parser.exchange = None
+        """Close the connection, and drop the rest of the response."""
+        self._parser.channel = None
         self.close()
 
     def close(self) -> None:
@@ -57,38 +57,39 @@
         self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer on."""
-        if self._parser.exchange is None:
-            # Bytes that nobody asked for: the next answer can't be trusted.
+        """Parse bytes of the response."""
+        if self._parser.channel is None:
+            # Bytes that belong to no request: the next response can't be
+            # trusted.
             self.close()
             return
         try:
             self._parser.feed(data)
         except ValueError as exc:
-            self._break(str(exc))
-        exchange = self._parser.exchange
-        if exchange is None and self._parser.spoilt:
+            self._fail(str(exc))
+        channel = self._parser.channel
+        if channel is None and self._parser.not_reusable:
             self.close()
-        if exchange is not None and exchange.waiting > MAX_WAITING:
+        if channel is not None and channel.pending > MAX_PENDING_EVENTS:
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """An answer without a length ends with its connection."""
-        self._parser.end_of_input()
+        """Complete a response without a length."""
+        self._parser.feed_eof()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the reader, if it still waits."""
-        self._break(str(exc) if exc else 'closed by the upstream')
+        """Report the loss to the reader if it is still waiting."""
+        self._fail(str(exc) if exc else 'closed by the upstream')
 
     def resume(self) -> None:
-        """Read on, once the reader has caught up."""
-        if self._open and self._parser.exchange is not None:
+        """Resume reading once the reader has caught up."""
+        if self._open and self._parser.channel is not None:
             self._transport.resume_reading()
 
-    def _break(self, reason: str) -> None:
-        exchange = self._parser.exchange
-        self._parser.exchange = None
-        if exchange is not None:
-            exchange.tell(Broken(reason))
+    def _fail(self, reason: str) -> None:
+        channel = self._parser.channel
+        self._parser.channel = None
+        if channel is not None:
+            channel.send(ResponseAborted(reason))
         self.close()
--- a/src/snipebend/edge/upstream_pool.py
+++ b/src/snipebend/edge/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: opened when needed, kept while they are sound."""
+"""Pools idle connections to upstreams."""
 
 from __future__ import annotations
 
@@ -14,27 +14,28 @@
     from snipebend.relay.facts import Dialect
     from snipebend.settings.relay import RelaySection
 
-#: An idle connection is dropped after this long, in seconds, if the upstream
-#: doesn't tell its own time.
-IDLE_S = 4.0
+#: Seconds after which an idle connection is closed if the upstream does not
+#: state a keep-alive timeout.
+MAX_IDLE_S = 4.0
 
-#: Share of the upstream's own time up to which an idle connection is used: its
-#: clock started earlier, and the request needs its way.
-IDLE_SHARE = 0.6
+#: Share of the upstream's keep-alive timeout up to which an idle connection is
+#: used: the upstream started counting earlier, and the request needs time to
+#: arrive.
+KEEP_ALIVE_SHARE = 0.6
 
-#: A request that must run once at most goes over a connection that was used
-#: within so many seconds, else over a new one: an upstream that closes an idle
-#: connection while the request is on its way leaves the request's fate open.
-FRESH_S = 0.2
+#: A request that must run at most once uses a connection that has been idle for
+#: less than this many seconds, or a new one: if an upstream closes an idle
+#: connection while the request is in transit, it is unknown whether it ran.
+FRESH_IDLE_S = 0.2
 
-#: Seconds between two keep-alive probes of the kernel, and how many may go
-#: unanswered: a connection whose other end is gone is found in three seconds.
-PROBE_EVERY_S = 1
-PROBES = 2
+#: Seconds between two TCP keep-alive probes, and how many may remain
+#: unanswered: a connection whose peer is gone is detected in three seconds.
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 
 
 class UpstreamPool:
-    """Idle connections by the upstream's identity."""
+    """Idle connections by upstream identity."""
 
     def __init__(
         self, cfg: RelaySection, dialect: Dialect, clock: Clock
@@ -59,21 +60,21 @@
         return conn
 
     def release(self, identity: str, conn: UpstreamConnection) -> None:
-        """Keep a connection whose answer was read whole, if it is sound."""
+        """Keep a connection whose response was read completely, if usable."""
         if conn.usable:
             conn.idle_since = self._clock.now()
             self._idle.setdefault(identity, []).append(conn)
 
-    def drop(self, identity: str) -> None:
+    def close_idle(self, identity: str) -> None:
         """Close an upstream's idle connections."""
         for conn in self._idle.pop(identity, ()):
             conn.close()
 
-    def sweep(self) -> None:
-        """Close what has been idle for too long."""
+    def close_expired(self) -> None:
+        """Close connections that have been idle for too long."""
         now = self._clock.now()
         for identity, conns in tuple(self._idle.items()):
-            kept = [conn for conn in conns if self._is_alive(conn, now)]
+            kept = [conn for conn in conns if self._is_usable(conn, now)]
             for conn in conns:
                 if conn not in kept:
                     conn.close()
@@ -84,10 +85,10 @@
     def close(self) -> None:
         """Close all idle connections."""
         for identity in tuple(self._idle):
-            self.drop(identity)
+            self.close_idle(identity)
 
-    def sizes(self) -> dict[str, int]:
-        """Return the idle connections by identity."""
+    def count_idle(self) -> dict[str, int]:
+        """Return the number of idle connections by identity."""
         return {identity: len(conns) for identity, conns in self._idle.items()}
 
     def _take_idle(
@@ -97,20 +98,20 @@
         now = self._clock.now()
         while conns:
             conn = conns.pop()
-            if not self._is_alive(conn, now):
+            if not self._is_usable(conn, now):
                 conn.close()
                 continue
-            if fresh and now - conn.idle_since > FRESH_S:
+            if fresh and now - conn.idle_since > FRESH_IDLE_S:
                 conns.append(conn)
                 return None
             return conn
         return None
 
-    def _is_alive(self, conn: UpstreamConnection, now: float) -> bool:
-        span_s = IDLE_S
+    def _is_usable(self, conn: UpstreamConnection, now: float) -> bool:
+        max_idle_s = MAX_IDLE_S
         if conn.keep_alive_s is not None:
-            span_s = min(IDLE_S, conn.keep_alive_s * IDLE_SHARE)
-        return conn.usable and now - conn.idle_since < span_s
+            max_idle_s = min(MAX_IDLE_S, conn.keep_alive_s * KEEP_ALIVE_SHARE)
+        return conn.usable and now - conn.idle_since < max_idle_s
 
     async def _open(self, address: str) -> UpstreamConnection:
         host, _, port = address.rpartition(':')
@@ -125,20 +126,20 @@
             raise UnavailableError(
                 reason, step='connect', peer=address
             ) from exc
-        set_silence_limits(transport, self._cfg.silent_after_s)
+        set_keepalive_options(transport, self._cfg.silent_after_s)
         return conn
 
 
-def set_silence_limits(
+def set_keepalive_options(
     transport: asyncio.BaseTransport, silent_after_s: float
 ) -> None:
-    """Have the kernel find a connection whose other end is silent."""
+    """Have the kernel detect a connection whose peer does not respond."""
     sock = transport.get_extra_info('socket')
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_EVERY_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
         (
             socket.IPPROTO_TCP,
             socket.TCP_USER_TIMEOUT,
--- a/src/snipebend/experts/placement.py
+++ b/src/snipebend/experts/placement.py
@@ -123,18 +123,18 @@
         hold ``expert`` already. The load of the moved replica stays booked
         where it was: it is among the coolest, and a search follows.
         """
-        with_room = int((self._filled[layer] < self._slots).argmax())
+        filter_with_room = int((self._filled[layer] < self._slots).argmax())
         lacking = np.flatnonzero(~self._held[layer, :, expert])
         movable = [
             (int(rank), slot)
             for rank in lacking
             for slot in range(self._slots)
             if not self._held[
-                layer, with_room, self.placement[layer, rank, slot]
+                layer, filter_with_room, self.placement[layer, rank, slot]
             ]
         ]
         rank, slot = movable[-1]
-        self._relocate(layer, rank, slot, with_room)
+        self._relocate(layer, rank, slot, filter_with_room)
         return rank
 
     def _relocate(self, layer: int, rank: int, slot: int, target: int) -> None:
--- a/src/snipebend/hosts/parts.py
+++ b/src/snipebend/hosts/parts.py
@@ -149,7 +149,7 @@
         self._data += part.data
         return True
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Ask for less: on a slow link a shorter part comes in time."""
         self._size = max(LEAST_PART_BYTES, self._size // 2)
 
--- a/src/snipebend/relay/facts.py
+++ b/src/snipebend/relay/facts.py
@@ -49,7 +49,7 @@
     prefix: tuple[PrefixPart, ...] = ()
 
 
-class UpstreamCall(NamedTuple):
+class CallContext(NamedTuple):
     """What an entry adds to a request for one upstream."""
 
     #: The incarnation of the upstream that may run the request; others refuse.
@@ -114,7 +114,7 @@
         """Parse a request's head; return None if it is malformed."""
 
     def upstream_headers(
-        self, headers: Headers, call: UpstreamCall
+        self, headers: Headers, call: CallContext
     ) -> list[tuple[bytes, bytes]]:
         """Return a request's headers for an upstream."""
 
--- a/tests/daemons/test_relay_entry.py
+++ b/tests/daemons/test_relay_entry.py
@@ -10,7 +10,7 @@
 from snipebend.settings.model import ProcessSection
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
-from tests.edge.rig import Dialect
+from tests.edge.relay_fixture import Dialect
 
 
 class TestStart(unittest.IsolatedAsyncioTestCase):
--- a/tests/edge/document_rig.py
+++ b/tests/edge/document_fixture.py
@@ -1,4 +1,4 @@
-"""Control daemons and one entry's follower, over connections on loopback."""
+"""Control daemons and one entry's follower, connected over loopback."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Daemon:
-    """A control daemon: the keeper, its state and its server."""
+    """A control daemon: its host keeper, state and server."""
 
     async def start(self, stack):
         self._registry = Registry(SystemClock(), TaskSupervisor())
@@ -41,34 +41,34 @@
         stack.push_async_callback(self.keeper.stop)
 
     def put(self, number, body):
-        """Take over an accepted document."""
+        """Store an accepted document."""
         self.state.kept.state.documents.put(PutRequest(number, body))
         self.state.tell_changed()
 
     def record(self, identity):
-        """Take over an upstream."""
+        """Store an upstream record."""
         record = UpstreamRecord(identity, 's', f'{identity}:1', 'dc', 1)
         self.state.kept.state.roster.record(RecordRequest(record))
         self.state.tell_changed()
 
 
-class Spread:
-    """Daemons, each behind a link of its own, and a follower of them all."""
+class Deployment:
+    """Daemons, each behind its own link, and a follower of them all."""
 
     def __init__(self, daemons, cut_after=None):
         self.daemons = [Daemon() for _ in range(daemons)]
         self.links = []
-        self.news = asyncio.Event()
+        self.updated = asyncio.Event()
         self.upstreams = set()
         self._cut_after = cut_after
         self._stack = AsyncExitStack()
 
     async def __aenter__(self):
-        """Start all, and follow."""
+        """Start all parts."""
         for daemon in self.daemons:
             await daemon.start(self._stack)
             link = NarrowLink(
-                daemon.server.address, self._cut_after, self.news.set
+                daemon.server.address, self._cut_after, self.updated.set
             )
             self.links.append(await self._stack.enter_async_context(link))
         self.follower = self._follow()
@@ -80,54 +80,55 @@
         return self
 
     async def __aexit__(self, *exc_info):
-        """Stop all."""
+        """Stop all parts."""
         await self._stack.aclose()
 
     @property
-    def carried(self):
+    def carried_bytes(self):
         """Return the bytes that all links carried to the follower."""
         return sum(link.carried for link in self.links)
 
     def put(self, number, body):
-        """Have every daemon take over an accepted document."""
+        """Store an accepted document at every daemon."""
         for daemon in self.daemons:
             daemon.put(number, body)
 
-    async def until(self, condition):
-        """Look at each piece that comes until the condition holds."""
+    async def wait_until(self, condition):
+        """Check the condition after each piece that arrives, until it holds."""
         while not condition():
-            self.news.clear()
-            await self.news.wait()
+            self.updated.clear()
+            await self.updated.wait()
 
-    async def all_told(self, mark):
-        """Wait until each daemon has told all that it had to tell.
+    async def wait_for_updates(self, prefix):
+        """Wait until each daemon has sent all pending updates.
 
-        What it tells next is in order behind it.
+        Later updates arrive after these, in order.
         """
-        wanted = set()
-        for place, daemon in enumerate(self.daemons):
-            daemon.record(f'{mark}-{place}')
-            wanted.add(f'{mark}-{place}')
-        await self.until(lambda: wanted <= self.upstreams)
+        expected = set()
+        for position, daemon in enumerate(self.daemons):
+            daemon.record(f'{prefix}-{position}')
+            expected.add(f'{prefix}-{position}')
+        await self.wait_until(lambda: expected <= self.upstreams)
 
     def _follow(self):
         cfg = RelaySettings(
             process=ProcessSection(name='e', data_center='dc'),
             control=SeedsSection(addresses=['127.0.0.1:1'], grpc_port=1),
         )
-        # Silence is in the tests' hands, not in a timer's.
+        # Tests control when a link is silent; timers must not interfere.
         clients = RpcClients(60, 60)
         follower = HostFollower('hosts', cfg, clients, read_table)
-        # Settings know one port for all daemons, which needs a host for each.
+        # Settings have one port for all daemons, which would need several
+        # hosts.
         follower._seeds = frozenset(link.address for link in self.links)
-        follower.on_news = self.news.set
-        follower.on_upstreams = self._take_upstreams
+        follower.on_update = self.updated.set
+        follower.on_upstreams = self._apply_upstreams
         return follower
 
-    def _take_upstreams(self, records):
+    def _apply_upstreams(self, records):
         self.upstreams |= {record.identity for record in records}
 
 
 def read_table(body):
-    """Read any bytes as the table whose number they begin with."""
+    """Parse any bytes as the table whose number they begin with."""
     return Ok(HostTable(int(body.partition(b' ')[0])))
--- a/tests/edge/books.py
+++ b/tests/edge/gossip_state.py
@@ -1,39 +1,39 @@
-"""Stand-ins of what gossip tells from, and tells."""
+"""A stand-in for the state that entries exchange by gossip."""
 
 from __future__ import annotations
 
 import asyncio
 
 
-class Books:
-    """What one entry has under way, and what it hears of the others."""
+class FakeGossipState:
+    """One entry's calls, and queues of what it received from others."""
 
     def __init__(self, calls):
         self.calls = calls
         self.limits = {}
         self.refusals = {}
-        self.heard = asyncio.Queue()
-        self.heard_limits = asyncio.Queue()
-        self.heard_refusals = asyncio.Queue()
+        self.calls_received = asyncio.Queue()
+        self.limits_received = asyncio.Queue()
+        self.refusals_received = asyncio.Queue()
         self.share = None
 
     def own_calls(self):
         return dict(self.calls)
 
-    def own_limits(self):
+    def make_limit_reports(self):
         return dict(self.limits)
 
-    def own_refusals(self):
+    def make_refusal_reports(self):
         return dict(self.refusals)
 
     def apply_refusals(self, entry, refusals):
-        self.heard_refusals.put_nowait((entry, refusals))
+        self.refusals_received.put_nowait((entry, refusals))
 
     def apply_calls(self, entry, calls):
-        self.heard.put_nowait((entry, calls))
+        self.calls_received.put_nowait((entry, calls))
 
     def apply_limits(self, entry, started_at, limits):
-        self.heard_limits.put_nowait((entry, limits))
+        self.limits_received.put_nowait((entry, limits))
 
     def record_reachable_share(self, share):
         self.share = share
--- a/tests/edge/rig.py
+++ b/tests/edge/relay_fixture.py
@@ -1,4 +1,4 @@
-"""A relay on loopback, with a dialect and upstreams of the tests' own."""
+"""A relay on loopback, with a dialect and upstreams for tests."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from types import SimpleNamespace
 
 from snipebend.edge.host_follower import HostFollower
-from snipebend.edge.relay_desk import RelayDesk
 from snipebend.edge.relay_server import RelayServer
+from snipebend.edge.relay_service import RelayService
 from snipebend.hosts.lookup import HostIndex
 from snipebend.hosts.model import (
     CallerLimits,
@@ -23,10 +23,10 @@
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.relay.facts import (
-    ResponseFacts,
-    CallerFacts,
     AnnouncedLimit,
     BackoffRequest,
+    CallerFacts,
+    ResponseFacts,
 )
 from snipebend.settings.model import ProcessSection
 from snipebend.settings.relay import RelaySection, RelaySettings
@@ -35,8 +35,8 @@
 from snipebend.transport.rpc_clients import RpcClients
 
 HOST = 'h.example'
-PATIENCE_S = 10.0
-#: Of the draws by which upstreams are chosen.
+TIMEOUT_S = 10.0
+#: Of the random numbers by which upstreams are selected.
 SEED = 2
 
 
@@ -47,12 +47,12 @@
         sent = {name.lower(): line.decode() for name, line in head.headers}
         if sent.get(b'x-left') == 'never':
             return None
-        left = sent.get(b'x-left')
+        timeout = sent.get(b'x-left')
         return CallerFacts(
             request_id=sent.get(b'x-id', ''),
             host=sent[b'host'],
             key=sent.get(b'x-key', ''),
-            timeout_s=float(left) if left else None,
+            timeout_s=float(timeout) if timeout else None,
         )
 
     def upstream_headers(self, headers, call):
@@ -71,7 +71,7 @@
     def read_response(self, head):
         sent = {name.lower(): line.decode() for name, line in head.headers}
         limit = sent.get(b'x-limit')
-        rest = sent.get(b'x-rest')
+        backoff = sent.get(b'x-rest')
         return ResponseFacts(
             request_id=sent.get(b'x-id', ''),
             authenticated=b'x-proof' in sent,
@@ -79,7 +79,7 @@
             identity_mismatch=head.status == 421,
             faulty_address=sent.get(b'x-at-fault', ''),
             limit=AnnouncedLimit(float(limit)) if limit else None,
-            backoff=BackoffRequest(float(rest)) if rest else None,
+            backoff=BackoffRequest(float(backoff)) if backoff else None,
             leaving=b'x-leaving' in sent,
         )
 
@@ -91,11 +91,11 @@
 
 
 class FakeUpstream:
-    """Answers each request by the script that the test sets."""
+    """Handles each request with the script that the test sets."""
 
     def __init__(self, script):
         self.script = script
-        self.seen = []
+        self.requests = []
         self.closed_early = 0
         self.connections = 0
 
@@ -112,7 +112,7 @@
         try:
             while True:
                 req = await read_request(reader)
-                self.seen.append(req)
+                self.requests.append(req)
                 if not await self.script(req, writer):
                     break
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -136,8 +136,10 @@
     )
 
 
-def answer(req, body=b'whole', status='200 OK', extra='X-Proof: p\r\n'):
-    """Return the bytes of an answer to a request."""
+def encode_response(
+    req, body=b'whole', status='200 OK', extra='X-Proof: p\r\n'
+):
+    """Return the bytes of a response to a request."""
     request_id = req.headers.get('x-id', '')
     head = (
         f'HTTP/1.1 {status}\r\nX-Id: {request_id}\r\n{extra}'
@@ -146,26 +148,26 @@
     return head.encode() + body
 
 
-def answering(body=b'whole', status='200 OK', extra='X-Proof: p\r\n'):
-    """Return a script that gives each request the same answer."""
+def respond_with(body=b'whole', status='200 OK', extra='X-Proof: p\r\n'):
+    """Return a script that sends the same response to each request."""
 
     async def script(req, writer):
-        writer.write(answer(req, body, status, extra))
+        writer.write(encode_response(req, body, status, extra))
         return True
 
     return script
 
 
-whole = answering()
+respond_ok = respond_with()
 
 
-def event(number):
+def make_event(number):
     """Return one event of a stream."""
     return f'id: {number}\ndata: piece {number}\n\n'.encode()
 
 
 def stream_head(req):
-    """Return the head of an answer in chunks."""
+    """Return the head of a chunked response."""
     return (
         f'HTTP/1.1 200 OK\r\nX-Id: {req.headers["x-id"]}\r\nX-Proof: p\r\n'
         'Content-Type: text/event-stream\r\n'
@@ -173,13 +175,13 @@
     ).encode()
 
 
-def chunk(data):
+def encode_chunk(data):
     """Return one chunk."""
     return b'%x\r\n%b\r\n' % (len(data), data)
 
 
-def route(name, kind, **fields):
-    """Return a route below a prefix of its own name."""
+def make_route(name, kind, **fields):
+    """Return a route whose path prefix is its name."""
     made = HostRoute(
         name, HOST, f'/{name}/', kind, 2.0, 0.5, 1, (Split('s', 1),), 2
     )
@@ -189,12 +191,12 @@
 TABLE = HostTable(
     7,
     (
-        route('safe', Kind.SAFE),
-        route('unsafe', Kind.UNSAFE),
-        route('stream', Kind.STREAM, resumable=True),
-        route('once', Kind.STREAM),
-        route('short', Kind.SAFE, timeout_s=0.2),
-        route('open', Kind.SAFE, anonymous=True),
+        make_route('safe', Kind.SAFE),
+        make_route('unsafe', Kind.UNSAFE),
+        make_route('stream', Kind.STREAM, resumable=True),
+        make_route('once', Kind.STREAM),
+        make_route('short', Kind.SAFE, timeout_s=0.2),
+        make_route('open', Kind.SAFE, anonymous=True),
     ),
     (HostService('s', '/healthz', 10),),
     (HostWorkspace('w', ('key',)),),
@@ -203,11 +205,11 @@
 
 
 class Relay:
-    """One entry's part, with its upstreams."""
+    """The services of one entry, with its upstreams."""
 
-    def __init__(self, follower, desk, server):
+    def __init__(self, follower, service, server):
         self.follower = follower
-        self.desk = desk
+        self.service = service
         self.server = server
         self.upstreams = []
 
@@ -218,17 +220,17 @@
     async def connect(self):
         return await asyncio.open_connection('127.0.0.1', self.port)
 
-    def hear_answers(self):
-        """Return a queue of the upstreams whose answers are taken note of."""
-        heard = asyncio.Queue()
-        take = self.desk.statements.take
+    def watch_responses(self):
+        """Return a queue of the upstreams whose responses have been applied."""
+        applied = asyncio.Queue()
+        apply = self.service.notices.apply
 
-        def note(upstream, *said):
-            take(upstream, *said)
-            heard.put_nowait(upstream)
+        def apply_and_record(upstream, *args):
+            apply(upstream, *args)
+            applied.put_nowait(upstream)
 
-        self.desk.statements.take = note
-        return heard
+        self.service.notices.apply = apply_and_record
+        return applied
 
     def announce(self, identity, address, phase=RosterPhase.READY, slots=4):
         record = UpstreamRecord(identity, 's', address, 'dc-a', slots, phase)
@@ -239,9 +241,9 @@
 async def running(
     *scripts, table=TABLE, stop_within_s=2.0, slots=4, listener=None
 ):
-    """Run a relay before upstreams that follow these scripts.
+    """Run a relay with upstreams that follow these scripts.
 
-    It draws the same numbers on every run.
+    Its random numbers are the same in every run.
     """
     cfg = RelaySettings(
         process=ProcessSection(name='entry-1', data_center='dc-a'),
@@ -251,19 +253,19 @@
     )
     registry = Registry(SystemClock(), TaskSupervisor())
     follower = HostFollower('hosts', cfg, RpcClients(), read_table=None)
-    desk = RelayDesk('relay', cfg, Dialect())
-    desk._rng.seed(SEED)
+    relay_service = RelayService('relay', cfg, Dialect())
+    relay_service._rng.seed(SEED)
     server = RelayServer('callers', cfg, listener)
-    for service in (follower, desk, server):
+    for service in (follower, relay_service, server):
         registry.register(service)
     follower._clock = registry.clock
     follower.index = HostIndex(table) if table else None
-    relay = Relay(follower, desk, server)
+    relay = Relay(follower, relay_service, server)
     async with AsyncExitStack() as stack:
-        await desk.start(registry)
+        await relay_service.start(registry)
         await server.start(registry)
         stack.push_async_callback(registry.tasks.stop)
-        stack.push_async_callback(desk.stop)
+        stack.push_async_callback(relay_service.stop)
         stack.push_async_callback(server.stop)
         for number, script in enumerate(scripts):
             upstream = FakeUpstream(script)
@@ -289,27 +291,27 @@
 
 
 async def read_response(reader):
-    """Read one answer; ``whole`` tells whether it ended as it should."""
+    """Read one response; ``complete`` is whether it ended properly."""
     try:
         head = (await reader.readuntil(b'\r\n\r\n')).decode()
     except asyncio.IncompleteReadError:
-        return SimpleNamespace(status=0, headers={}, body=b'', whole=False)
+        return SimpleNamespace(status=0, headers={}, body=b'', complete=False)
     lines = head.strip().split('\r\n')
     headers = {}
     for line in lines[1:]:
         name, _, text = line.partition(':')
         headers[name.lower()] = text.strip()
-    body, whole = await _read_body(reader, headers)
+    body, complete = await _read_body(reader, headers)
     status = int(lines[0].split()[1])
     return SimpleNamespace(
-        status=status, headers=headers, body=body, whole=whole
+        status=status, headers=headers, body=body, complete=complete
     )
 
 
 async def _read_body(reader, headers):
-    told = headers.get('content-length')
-    if told is not None:
-        length = int(told)
+    content_length = headers.get('content-length')
+    if content_length is not None:
+        length = int(content_length)
         body = await reader.read(length) if length else b''
         while len(body) < length:
             more = await reader.read(length - len(body))
@@ -331,11 +333,11 @@
             return body, True
 
 
-async def ask(relay, data):
-    """Send bytes over a new connection and read one answer."""
+async def send_request(relay, data):
+    """Send bytes over a new connection and read one response."""
     reader, writer = await relay.connect()
     writer.write(data)
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         got = await read_response(reader)
     writer.close()
     return got
--- a/tests/edge/test_caller_side.py
+++ b/tests/edge/test_caller_side.py
@@ -5,18 +5,18 @@
 import asyncio
 import unittest
 
-from tests.edge.rig import (
+from tests.edge.relay_fixture import (
     HOST,
-    answer,
-    ask,
+    encode_response,
     read_response,
     request,
     running,
+    send_request,
 )
 
 
-async def whole(req, writer):
-    writer.write(answer(req))
+async def respond_ok(req, writer):
+    writer.write(encode_response(req))
     return True
 
 
@@ -24,10 +24,10 @@
 
 
 class TestFraming(unittest.IsolatedAsyncioTestCase):
-    """What could be read in two ways is refused, and nothing of it runs."""
+    """Requests with ambiguous framing are refused, and no part of them runs."""
 
     async def _refused(self, data, status):
-        async with running(whole) as relay:
+        async with running(respond_ok) as relay:
             reader, writer = await relay.connect()
             writer.write(data)
             async with asyncio.timeout(8):
@@ -36,9 +36,9 @@
                 self.assertEqual(got.headers['connection'], 'close')
                 self.assertEqual(await reader.read(), b'')
             writer.close()
-            self.assertEqual(relay.upstreams[0].seen, [])
+            self.assertEqual(relay.upstreams[0].requests, [])
 
-    async def test_ambiguous_bodies(self):
+    async def test_ambiguous_body_lengths(self):
         bodies = (
             'Content-Length: 3\r\nTransfer-Encoding: chunked\r\n',
             'Content-Length: 3\r\nContent-Length: 4\r\n',
@@ -54,7 +54,7 @@
             with self.subTest(lines=lines):
                 await self._refused(f'{HEAD}{lines}\r\nask'.encode(), 400)
 
-    async def test_hosts(self):
+    async def test_missing_or_repeated_host(self):
         for lines in (f'Host: {HOST}\r\n', ''):
             head = HEAD if lines else HEAD.replace(f'Host: {HOST}\r\n', '')
             with self.subTest(lines=lines):
@@ -63,14 +63,14 @@
     async def test_not_http(self):
         await self._refused(b'\x16\x03\x01\x02\x00\x01\x00\r\n\r\n', 400)
 
-    async def test_targets(self):
+    async def test_absolute_target(self):
         data = request('/safe/').replace(b'/safe/', b'http://h.example/safe/')
         await self._refused(data, 400)
 
     async def test_oversized_heads(self):
         await self._refused(request('/safe/', x_long='a' * 3000), 431)
 
-    async def test_an_oversized_head_without_an_end(self):
+    async def test_oversized_head_without_an_end(self):
         await self._refused(f'{HEAD}X-Long: {"a" * 5000}'.encode(), 431)
 
     async def test_oversized_bodies(self):
@@ -78,23 +78,23 @@
         chunked = f'{HEAD}Transfer-Encoding: chunked\r\n\r\n'.encode()
         await self._refused(b'%b1400\r\n%b' % (chunked, b'a' * 5120), 413)
 
-    async def test_a_slow_head(self):
+    async def test_slow_head(self):
         await self._refused(HEAD.encode(), 408)
 
-    async def test_a_smuggled_request_is_no_request(self):
+    async def test_smuggled_request_does_not_run(self):
         inner = request('/unsafe/', x_id='smuggled')
-        async with running(whole) as relay:
-            got = await ask(relay, request('/safe/', body=inner))
+        async with running(respond_ok) as relay:
+            got = await send_request(relay, request('/safe/', body=inner))
             self.assertEqual(got.status, 200)
-            seen = relay.upstreams[0].seen
+            seen = relay.upstreams[0].requests
             self.assertEqual([one.body for one in seen], [inner])
 
 
 class TestConnections(unittest.IsolatedAsyncioTestCase):
-    """Kept connections, chunks and early senders."""
+    """Persistent connections, chunked bodies and pipelined requests."""
 
-    async def test_requests_follow_each_other(self):
-        async with running(whole) as relay:
+    async def test_several_requests_on_one_connection(self):
+        async with running(respond_ok) as relay:
             reader, writer = await relay.connect()
             for _ in range(3):
                 writer.write(request('/safe/'))
@@ -102,9 +102,9 @@
                 self.assertEqual(got.body, b'whole')
             writer.close()
 
-    async def test_pipelined_requests_are_answered_in_order(self):
+    async def test_pipelined_requests_are_served_in_order(self):
         async def echo(req, writer):
-            writer.write(answer(req, req.headers['x-id'].encode()))
+            writer.write(encode_response(req, req.headers['x-id'].encode()))
             return True
 
         async with running(echo, echo) as relay:
@@ -116,15 +116,15 @@
             writer.close()
 
     async def test_chunked_bodies(self):
-        async with running(whole) as relay:
+        async with running(respond_ok) as relay:
             head = f'{HEAD}Transfer-Encoding: chunked\r\n\r\n'.encode()
             chunks = b'3\r\nask\r\n2\r\n!!\r\n0\r\n\r\n'
-            got = await ask(relay, b'%b%b' % (head, chunks))
+            got = await send_request(relay, b'%b%b' % (head, chunks))
             self.assertEqual(got.status, 200)
-            self.assertEqual(relay.upstreams[0].seen[0].body, b'ask!!')
+            self.assertEqual(relay.upstreams[0].requests[0].body, b'ask!!')
 
-    async def test_a_caller_that_waits_for_a_go_ahead(self):
-        async with running(whole) as relay:
+    async def test_expect_100_continue(self):
+        async with running(respond_ok) as relay:
             reader, writer = await relay.connect()
             data = request('/safe/', Expect='100-continue')
             head, _, body = data.partition(b'\r\n\r\n')
@@ -137,8 +137,8 @@
             self.assertEqual(got.status, 200)
             writer.close()
 
-    async def test_a_caller_that_wants_the_end(self):
-        async with running(whole) as relay:
+    async def test_connection_close(self):
+        async with running(respond_ok) as relay:
             reader, writer = await relay.connect()
             writer.write(request('/safe/', Connection='close'))
             got = await read_response(reader)
--- a/tests/edge/test_document_fetcher.py
+++ b/tests/edge/test_document_fetcher.py
@@ -1,4 +1,4 @@
-"""What becomes of parts that are late, of no use or damaged."""
+"""Document parts that are late, don't continue the document or are damaged."""
 
 from __future__ import annotations
 
@@ -21,70 +21,72 @@
 
 
 class FakeClients:
-    """Daemons with a shelf each; some don't answer, or answer wrongly."""
+    """Daemons with a shelf each; some don't respond, or respond wrongly."""
 
     def __init__(self):
         self.shelves = {address: DocumentShelf() for address in DAEMONS}
-        self.answers = {}
-        self.asked = []
+        self.replies = {}
+        self.requested = []
 
     async def call(self, peer, method, req, *, timeout):
-        self.asked.append(peer)
-        answer = self.answers.get(peer)
-        if answer is not None:
-            return answer
+        self.requested.append(peer)
+        encode_response = self.replies.get(peer)
+        if encode_response is not None:
+            return encode_response
         return Ok(self.shelves[peer].part(req))
 
 
 class TestFetcher(unittest.IsolatedAsyncioTestCase):
-    """Two daemons that tell of one document."""
+    """Two daemons that announce the same document."""
 
     async def asyncSetUp(self):
         self.enterContext(
             mock.patch.object(document_fetcher, 'DAMAGED_RETRY_S', 0)
         )
         self.clients = FakeClients()
-        self.taken = asyncio.Queue()
+        self.documents = asyncio.Queue()
         self.fetcher = DocumentFetcher(
-            'e', self.clients, lambda *told: self.taken.put_nowait(told)
+            'e', self.clients, lambda *args: self.documents.put_nowait(args)
         )
         running = asyncio.create_task(self.fetcher.run(SystemClock()))
         self.addCleanup(running.cancel)
         for shelf in self.clients.shelves.values():
             shelf.put(4, BODY)
-        #: Asked first.
+        #: The daemon that is asked first.
         self.first = min(DAEMONS, key=lambda address: weigh(address, 'e'))
 
     async def fetch(self):
         for address in DAEMONS:
-            self.fetcher.note_told(address, 4)
-        return await asyncio.wait_for(self.taken.get(), PATIENCE_S)
+            self.fetcher.record_document(address, 4)
+        return await asyncio.wait_for(self.documents.get(), PATIENCE_S)
 
-    async def test_a_document_is_handed_on_once(self):
+    async def test_document_is_passed_on_once(self):
         number, body, _ = await self.fetch()
         self.assertEqual((number, body), (4, BODY))
-        self.fetcher.note_told(DAEMONS[0], 4)
-        self.assertEqual(len(self.clients.asked), 1)
+        self.fetcher.record_document(DAEMONS[0], 4)
+        self.assertEqual(len(self.clients.requested), 1)
 
-    async def test_a_daemon_that_does_not_answer_is_left(self):
-        self.clients.answers[self.first] = Err(
+    async def test_unresponsive_daemon_is_avoided(self):
+        self.clients.replies[self.first] = Err(
             UnavailableError('late', step='fetch')
         )
         _, body, source = await self.fetch()
         self.assertEqual(body, BODY)
         self.assertNotEqual(source, self.first)
 
-    async def test_a_damaged_document_is_fetched_again_elsewhere(self):
-        """Left out, a change would be in force here with the next one only."""
-        wrong = DocumentPart(4, 7, 3, 0, b'bad')
-        self.clients.answers[self.first] = Ok(wrong)
+    async def test_damaged_document_is_fetched_from_another_daemon(self):
+        """Otherwise a change would come into force only with the next one."""
+        damaged = DocumentPart(4, 7, 3, 0, b'bad')
+        self.clients.replies[self.first] = Ok(damaged)
         _, body, source = await self.fetch()
         self.assertEqual(body, BODY)
         self.assertNotEqual(source, self.first)
-        self.assertEqual(len(self.clients.asked), 2)
+        self.assertEqual(len(self.clients.requested), 2)
 
-    async def test_a_daemon_that_has_less_than_it_told_is_left(self):
-        self.clients.answers[self.first] = Ok(DocumentPart(0))
+    async def test_daemon_with_an_older_document_than_announced_is_avoided(
+        self,
+    ):
+        self.clients.replies[self.first] = Ok(DocumentPart(0))
         _, body, source = await self.fetch()
         self.assertEqual(body, BODY)
         self.assertNotEqual(source, self.first)
--- a/tests/edge/test_document_sources.py
+++ b/tests/edge/test_document_sources.py
@@ -1,54 +1,54 @@
-"""Whom to ask for a document."""
+"""The daemon that is asked for a document."""
 
 from __future__ import annotations
 
 import unittest
 
-from snipebend.edge.document_sources import PAUSE_S, DocumentSources
+from snipebend.edge.document_sources import FAILURE_PAUSE_S, DocumentSources
 
 DAEMONS = ('a:1', 'b:1', 'c:1')
 
 
 class TestSources(unittest.TestCase):
-    """Three daemons that tell of documents."""
+    """Three daemons that announce documents."""
 
     def setUp(self):
         self.sources = DocumentSources('entry-1')
         for address in DAEMONS:
-            self.sources.note_told(address, 4)
+            self.sources.record_document(address, 4)
 
-    def test_only_who_has_a_newer_one_is_asked(self):
-        self.sources.note_told('b:1', 5)
+    def test_only_daemons_with_a_newer_document_are_asked(self):
+        self.sources.record_document('b:1', 5)
         self.assertEqual(self.sources.newest, 5)
-        self.assertEqual(self.sources.choose(4, 0), 'b:1')
+        self.assertEqual(self.sources.select(4, 0), 'b:1')
 
-    def test_the_same_one_is_asked_on(self):
-        first = self.sources.choose(3, 0)
-        self.assertEqual(self.sources.choose(3, 1), first)
+    def test_same_daemon_is_asked_again(self):
+        first = self.sources.select(3, 0)
+        self.assertEqual(self.sources.select(3, 1), first)
 
-    def test_one_that_failed_goes_behind_for_a_while(self):
+    def test_failed_daemon_is_asked_last_for_a_while(self):
         asked = []
         for _ in DAEMONS:
-            asked.append(self.sources.choose(3, 0))
-            self.sources.note_failure(asked[-1], 0)
+            asked.append(self.sources.select(3, 0))
+            self.sources.record_failure(asked[-1], 0)
         self.assertEqual(set(asked), set(DAEMONS))
-        # All failed: the last is as good as the others, and is asked on.
-        self.assertEqual(self.sources.choose(3, 0), asked[-1])
-        self.sources.note_failure(asked[-1], 1)
-        self.assertNotEqual(self.sources.choose(3, PAUSE_S), asked[-1])
+        # All have failed: the last one is as good as the others, and is kept.
+        self.assertEqual(self.sources.select(3, 0), asked[-1])
+        self.sources.record_failure(asked[-1], 1)
+        self.assertNotEqual(self.sources.select(3, FAILURE_PAUSE_S), asked[-1])
 
-    def test_a_lost_one_is_not_asked(self):
+    def test_removed_daemon_is_not_asked(self):
         for address in DAEMONS[1:]:
-            self.sources.note_lost(address)
-        self.assertEqual(self.sources.choose(3, 0), DAEMONS[0])
-        self.sources.note_lost(DAEMONS[0])
+            self.sources.remove_daemon(address)
+        self.assertEqual(self.sources.select(3, 0), DAEMONS[0])
+        self.sources.remove_daemon(DAEMONS[0])
         self.assertEqual(self.sources.newest, 0)
 
-    def test_processes_ask_different_ones(self):
+    def test_processes_ask_different_daemons(self):
         asked = set()
         for number in range(20):
             sources = DocumentSources(f'entry-{number}')
             for address in DAEMONS:
-                sources.note_told(address, 4)
-            asked.add(sources.choose(3, 0))
+                sources.record_document(address, 4)
+            asked.add(sources.select(3, 0))
         self.assertEqual(asked, set(DAEMONS))
