--- a/tests/edge/test_early_listener.py
+++ b/tests/edge/test_early_listener.py
@@ -1,4 +1,4 @@
-"""Callers that come before the entry is loaded."""
+"""Callers that connect before the entry is loaded."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from subprocess import run
 
 from snipebend.edge.early_listener import open_early
-from tests.edge.rig import read_response, request, running
+from tests.edge.relay_fixture import read_response, request, running
 
 
 class TestEarlyListener(unittest.IsolatedAsyncioTestCase):
-    """The kernel takes connections, and the entry serves them later."""
+    """The kernel accepts connections, and the entry serves them later."""
 
     def open(self, text):
         folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -23,32 +23,32 @@
         path.write_text(text, encoding='utf-8')
         return open_early(path)
 
-    async def test_a_request_from_before_the_start_is_served(self):
+    async def test_request_sent_before_the_start_is_served(self):
         listener = self.open('callers = "127.0.0.1:0"')
         early = socket.create_connection(listener.getsockname())
         early.sendall(request('/safe/'))
 
-        async def answer(_, writer):
+        async def encode_response(_, writer):
             writer.write(
                 b'HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Proof: p\r\n'
                 b'Content-Length: 2\r\n\r\nok'
             )
 
-        async with running(answer, listener=listener):
+        async with running(encode_response, listener=listener):
             early.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=early)
             got = await read_response(reader)
             writer.close()
         self.assertEqual((got.status, got.body), (200, b'ok'))
 
-    def test_settings_that_are_wrong_are_left_to_the_entry(self):
+    def test_invalid_settings_are_left_to_the_entry(self):
         for text in ('', 'callers = 7', 'callers = "nowhere"', 'a = = 1'):
             with self.subTest(text=text):
                 self.assertIsNone(self.open(text))
         self.assertIsNone(open_early(Path('/nonexistent/entry.toml')))
 
-    def test_it_loads_nothing_heavy(self):
-        """What it is for: nothing that takes long is imported before it."""
+    def test_no_heavy_imports(self):
+        """Its purpose: no module that takes long to load is imported before."""
         code = (
             'import sys; import snipebend.edge.early_listener; '
             + 'print([one for one in ("asyncio", "msgspec", "loguru", '
--- a/tests/edge/test_gossip.py
+++ b/tests/edge/test_gossip.py
@@ -1,4 +1,4 @@
-"""Entries that tell each other their calls."""
+"""Entries that report their calls to each other."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from msgspec import msgpack
 
-from snipebend.edge.gossip import CallsTold, Gossip
+from snipebend.edge.gossip import Gossip, GossipMessage
 from snipebend.edge.host_follower import HostFollower
 from snipebend.kernel.clock import SystemClock
 from snipebend.kernel.registry import Registry
@@ -18,11 +18,11 @@
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
 from snipebend.transport.rpc_clients import RpcClients
-from tests.edge.books import Books
+from tests.edge.gossip_state import FakeGossipState
 
 
 class TestGossip(unittest.IsolatedAsyncioTestCase):
-    """Over datagrams on loopback, and from single ones."""
+    """Over datagrams on loopback, and with single datagrams."""
 
     async def start(self, name, calls, data_center='dc'):
         cfg = RelaySettings(
@@ -32,84 +32,92 @@
         registry = Registry(SystemClock(), TaskSupervisor())
         follower = HostFollower('hosts', cfg, RpcClients(), read_table=None)
         registry.register(follower)
-        books = Books(calls)
-        gossip = Gossip('gossip', name, ('127.0.0.1', 0), books)
+        state = FakeGossipState(calls)
+        gossip = Gossip('gossip', name, ('127.0.0.1', 0), state)
         await gossip.start(registry)
         self.addAsyncCleanup(registry.tasks.stop)
         self.addAsyncCleanup(gossip.stop)
-        self.books[name] = books
-        return gossip, follower, books.heard
+        self.gossip_state[name] = state
+        return gossip, follower, state.calls_received
 
     def setUp(self):
-        self.books = {}
+        self.gossip_state = {}
 
-    async def test_calls_reach_the_others(self):
+    async def test_calls_reach_other_entries(self):
         calls = {'i-1': 2}
         _, sender, _ = await self.start('a', calls)
-        _, receiver, heard = await self.start('b', {})
+        _, receiver, received = await self.start('b', {})
         sender.entries = frozenset((receiver.gossip_address,))
-        told = await asyncio.wait_for(heard.get(), 10)
-        self.assertEqual(told, ('a', {'i-1': 2}))
+        message = await asyncio.wait_for(received.get(), 10)
+        self.assertEqual(message, ('a', {'i-1': 2}))
         calls['i-1'] = 5
-        while told[1]['i-1'] != 5:
-            told = await asyncio.wait_for(heard.get(), 10)
+        while message[1]['i-1'] != 5:
+            message = await asyncio.wait_for(received.get(), 10)
 
-    async def test_limits_reach_the_others(self):
+    async def test_limits_reach_other_entries(self):
         _, sender, _ = await self.start('a', {})
         _, receiver, _ = await self.start('b', {})
         sender.entries = frozenset((receiver.gossip_address,))
-        self.books['a'].limits['i-1'] = LimitReport(3, 0.5, 2.0)
-        told = await asyncio.wait_for(self.books['b'].heard_limits.get(), 10)
-        self.assertEqual(told, ('a', {'i-1': LimitReport(3, 0.5, 2.0)}))
-        # It hears nobody of one other.
-        self.assertEqual(self.books['a'].share, 0.5)
+        self.gossip_state['a'].limits['i-1'] = LimitReport(3, 0.5, 2.0)
+        message = await asyncio.wait_for(
+            self.gossip_state['b'].limits_received.get(), 10
+        )
+        self.assertEqual(message, ('a', {'i-1': LimitReport(3, 0.5, 2.0)}))
+        # This entry receives nothing from the one other entry.
+        self.assertEqual(self.gossip_state['a'].share, 0.5)
 
-    async def test_refusals_reach_the_others(self):
+    async def test_refusals_reach_other_entries(self):
         _, sender, _ = await self.start('a', {})
         _, receiver, _ = await self.start('b', {})
         sender.entries = frozenset((receiver.gossip_address,))
-        self.books['a'].refusals['i-1'] = RefusalReport(3, 0.5)
-        told = await asyncio.wait_for(self.books['b'].heard_refusals.get(), 10)
-        self.assertEqual(told, ('a', {'i-1': RefusalReport(3, 0.5)}))
+        self.gossip_state['a'].refusals['i-1'] = RefusalReport(3, 0.5)
+        message = await asyncio.wait_for(
+            self.gossip_state['b'].refusals_received.get(), 10
+        )
+        self.assertEqual(message, ('a', {'i-1': RefusalReport(3, 0.5)}))
 
-    async def test_an_entry_of_an_earlier_version_tells_no_limits(self):
-        gossip, _, heard = await self.start('b', {})
+    async def test_earlier_versions_send_no_limits(self):
+        gossip, _, received = await self.start('b', {})
         former = ('a', 10.0, 1, {'i': 2}, False)
         gossip.datagram_received(msgpack.encode(former), ('h', 1))
-        self.assertEqual(heard.get_nowait(), ('a', {'i': 2}))
-        self.assertTrue(self.books['b'].heard_limits.empty())
-        self.assertTrue(self.books['b'].heard_refusals.empty())
+        self.assertEqual(received.get_nowait(), ('a', {'i': 2}))
+        self.assertTrue(self.gossip_state['b'].limits_received.empty())
+        self.assertTrue(self.gossip_state['b'].refusals_received.empty())
 
-    async def test_calls_are_told_on_in_another_data_center(self):
+    async def test_calls_are_forwarded_in_another_data_center(self):
         _, sender, _ = await self.start('a', {'i-1': 2})
-        _, far, heard = await self.start('b', {}, 'dc-2')
-        _, near_far, heard_on = await self.start('c', {}, 'dc-2')
-        addresses = (far.gossip_address, near_far.gossip_address)
+        _, remote, received = await self.start('b', {}, 'dc-2')
+        _, remote_neighbour, received_by_forward = await self.start(
+            'c', {}, 'dc-2'
+        )
+        addresses = (remote.gossip_address, remote_neighbour.gossip_address)
         data_centers = dict.fromkeys(addresses, 'dc-2')
         data_centers[sender.gossip_address] = 'dc'
-        for follower in (sender, far, near_far):
+        for follower in (sender, remote, remote_neighbour):
             follower.data_centers = data_centers
         sender.entries = frozenset(addresses)
-        far.entries = frozenset((sender.gossip_address, addresses[1]))
-        near_far.entries = frozenset((sender.gossip_address, addresses[0]))
-        for queue in (heard, heard_on):
-            told = await asyncio.wait_for(queue.get(), 10)
-            while told[0] != 'a':
-                told = await asyncio.wait_for(queue.get(), 10)
-            self.assertEqual(told, ('a', {'i-1': 2}))
-
-    async def test_late_copies_and_noise_change_nothing(self):
-        gossip, _, heard = await self.start('b', {})
-
-        def tell(started_at, number):
-            message = CallsTold('a', started_at, number, {'i': number})
+        remote.entries = frozenset((sender.gossip_address, addresses[1]))
+        remote_neighbour.entries = frozenset(
+            (sender.gossip_address, addresses[0])
+        )
+        for queue in (received, received_by_forward):
+            message = await asyncio.wait_for(queue.get(), 10)
+            while message[0] != 'a':
+                message = await asyncio.wait_for(queue.get(), 10)
+            self.assertEqual(message, ('a', {'i-1': 2}))
+
+    async def test_late_copies_and_invalid_datagrams_change_nothing(self):
+        gossip, _, received = await self.start('b', {})
+
+        def receive(started_at, number):
+            message = GossipMessage('a', started_at, number, {'i': number})
             gossip.datagram_received(msgpack.encode(message), ('h', 1))
 
-        tell(10.0, 2)
-        tell(10.0, 1)
-        tell(10.0, 2)
-        tell(9.0, 7)
+        receive(10.0, 2)
+        receive(10.0, 1)
+        receive(10.0, 2)
+        receive(9.0, 7)
         gossip.datagram_received(b'noise', ('h', 1))
-        tell(11.0, 1)
-        told = [heard.get_nowait() for _ in range(heard.qsize())]
-        self.assertEqual(told, [('a', {'i': 2}), ('a', {'i': 1})])
+        receive(11.0, 1)
+        message = [received.get_nowait() for _ in range(received.qsize())]
+        self.assertEqual(message, [('a', {'i': 2}), ('a', {'i': 1})])
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -1,90 +1,94 @@
-"""Requests through a relay to upstreams that say in answers that they leave."""
+"""Requests to upstreams that announce their shutdown in responses."""
 
 from __future__ import annotations
 
 import asyncio
 import unittest
 
-from tests.edge.rig import (
-    PATIENCE_S,
-    answering,
-    ask,
-    chunk,
-    event,
+from tests.edge.relay_fixture import (
+    TIMEOUT_S,
+    encode_chunk,
+    make_event,
     request,
+    respond_ok,
+    respond_with,
     running,
+    send_request,
     stream_head,
-    whole,
 )
 
-LEAVES = 'X-Proof: p\r\nX-Leaving: 1\r\n'
+LEAVING_HEADERS = 'X-Proof: p\r\nX-Leaving: 1\r\n'
 
 
-leaving = answering(extra=LEAVES)
-leaving_and_failing = answering(b'', '500 Failed', LEAVES)
-of_another_life = answering(b'', '421 Other', 'X-Leaving: 1\r\n')
+leaving = respond_with(extra=LEAVING_HEADERS)
+leaving_and_failing = respond_with(b'', '500 Failed', LEAVING_HEADERS)
+other_incarnation = respond_with(b'', '421 Other', 'X-Leaving: 1\r\n')
 
 
 async def leaving_stream(req, writer):
     head = stream_head(req).replace(b'X-Proof', b'X-Leaving: 1\r\nX-Proof')
-    writer.write(head + chunk(event(1)) + chunk(b''))
+    writer.write(head + encode_chunk(make_event(1)) + encode_chunk(b''))
     return True
 
 
 class TestLeaving(unittest.IsolatedAsyncioTestCase):
-    """One that leaves gets no new work, whoever else knows of it."""
+    """An upstream gets no new work once this entry knows that it leaves."""
 
-    async def seen(self, script, path, number=8):
+    async def requests(self, script, path, number=8):
         """Return how many requests each upstream got."""
-        async with running(script, whole) as relay:
+        async with running(script, respond_ok) as relay:
             for _ in range(number):
-                await ask(relay, request(path))
-            return [len(one.seen) for one in relay.upstreams]
+                await send_request(relay, request(path))
+            return [len(one.requests) for one in relay.upstreams]
 
-    async def test_no_calls_of_an_upstream_that_said_it_leaves(self):
-        self.assertEqual(await self.seen(leaving, '/unsafe/'), [1, 7])
+    async def test_no_calls_after_a_notice(self):
+        self.assertEqual(await self.requests(leaving, '/unsafe/'), [1, 7])
 
-    async def test_said_as_it_fails(self):
-        self.assertEqual(await self.seen(leaving_and_failing, '/safe/'), [1, 8])
+    async def test_notice_in_a_failure(self):
+        self.assertEqual(
+            await self.requests(leaving_and_failing, '/safe/'), [1, 8]
+        )
 
-    async def test_said_at_the_head_of_a_stream(self):
-        self.assertEqual(await self.seen(leaving_stream, '/stream/'), [1, 7])
+    async def test_notice_in_the_head_of_a_stream(self):
+        self.assertEqual(
+            await self.requests(leaving_stream, '/stream/'), [1, 7]
+        )
 
-    async def test_refused_at_once_where_all_leave(self):
+    async def test_refused_at_once_if_all_leave(self):
         async with running(leaving) as relay:
-            await ask(relay, request('/unsafe/'))
-            got = await ask(relay, request('/unsafe/'))
-            seen = len(relay.upstreams[0].seen)
-        self.assertEqual((got.status, seen), (503, 1))
+            await send_request(relay, request('/unsafe/'))
+            got = await send_request(relay, request('/unsafe/'))
+            count_requests = len(relay.upstreams[0].requests)
+        self.assertEqual((got.status, count_requests), (503, 1))
         self.assertIn(b'not-run', got.body)
 
-    async def test_another_lifes_words_are_not_its_own(self):
-        async with running(of_another_life, whole) as relay:
+    async def test_notice_of_another_incarnation_is_ignored(self):
+        async with running(other_incarnation, respond_ok) as relay:
             for _ in range(4):
-                await ask(relay, request('/safe/'))
-            upstream = relay.desk._upstreams.find('i-0')
+                await send_request(relay, request('/safe/'))
+            upstream = relay.service._upstreams.find('i-0')
         self.assertTrue(upstream.displaced)
         self.assertFalse(upstream.leaving)
 
-    async def test_heard_after_its_caller_has_left(self):
+    async def test_notice_after_the_caller_has_disconnected(self):
         started = asyncio.Event()
-        go_on = asyncio.Event()
+        proceed = asyncio.Event()
 
-        async def late(req, writer):
+        async def respond_late(req, writer):
             started.set()
-            await go_on.wait()
+            await proceed.wait()
             return await leaving(req, writer)
 
-        async with running(late) as relay:
-            heard = relay.hear_answers()
+        async with running(respond_late) as relay:
+            applied = relay.watch_responses()
             _, writer = await relay.connect()
             writer.write(request('/unsafe/'))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 await started.wait()
                 writer.close()
                 await writer.wait_closed()
-                go_on.set()
-                upstream = await heard.get()
+                proceed.set()
+                upstream = await applied.get()
             self.assertTrue(upstream.leaving)
 
 
--- /dev/null
+++ b/tests/edge/test_refusal_causes.py
@@ -0,0 +1,44 @@
+"""Refusals that name the upstream that caused them."""
+
+from __future__ import annotations
+
+import unittest
+
+from snipebend.relay.upstream_groups import LOST_RANK_AVOIDANCE_S
+from snipebend.state.host_news import GroupPhase, GroupStanding
+from tests.edge.relay_fixture import read_response, request, running
+from tests.edge.test_relay import encode_response
+
+#: Address of a rank that is not called.
+OTHER_RANK = '10.9.9.9:80'
+
+
+class TestBlame(unittest.IsolatedAsyncioTestCase):
+    """A group is avoided if another rank is lost, not if one is full."""
+
+    async def send_request(self, faulty_address):
+        """Be refused by the only rank; return whether its group is avoided."""
+
+        async def refuse(req, writer):
+            cause = faulty_address or relay.upstreams[0].address
+            lines = f'X-Not-Run: 1\r\nX-At-Fault: {cause}\r\n'
+            writer.write(encode_response(req, b'', '503 Busy', lines))
+
+        async with running(refuse) as relay:
+            status = GroupStanding('g', 's', GroupPhase.OPEN, ('i-0',))
+            relay.service._upstreams.apply_group_statuses([status])
+            group = relay.service._upstreams.find('i-0').group
+            reader, writer = await relay.connect()
+            writer.write(request('/unsafe/'))
+            got = await read_response(reader)
+            writer.close()
+            self.assertEqual(got.status, 503)
+            return group.is_down(
+                relay.service.now() - LOST_RANK_AVOIDANCE_S / 2
+            )
+
+    async def test_full_rank_names_itself(self):
+        self.assertFalse(await self.send_request(''))
+
+    async def test_lost_rank_is_named(self):
+        self.assertTrue(await self.send_request(OTHER_RANK))
--- a/tests/edge/test_paces.py
+++ b/tests/edge/test_step_times.py
@@ -1,4 +1,4 @@
-"""How long passes take, from streams to control daemons."""
+"""Step times of groups, from streams to control daemons."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 from msgspec import msgpack
 
+from snipebend.balancing.pace_listener import PaceListener
 from snipebend.edge.gossip import Gossip
 from snipebend.edge.host_follower import HostFollower
-from snipebend.edge.pace_teller import PaceTeller
+from snipebend.edge.step_time_reporter import StepTimeReporter
 from snipebend.edge.stream_relay import StreamRelay
 from snipebend.experts.group_pace import GroupPaces
 from snipebend.kernel.clock import SystemClock
@@ -21,32 +22,31 @@
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
 from snipebend.state.pace_news import PacesTold
-from snipebend.balancing.pace_listener import PaceListener
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import RpcServer
-from tests.edge.books import Books
+from tests.edge.gossip_state import FakeGossipState
 
 
-class Answer:
-    """Takes what a stream writes."""
+class FakeResponseWriter:
+    """Discards what a stream writes."""
 
-    begun = False
+    started = False
 
     def begin(self, *_):
-        self.begun = True
+        self.started = True
 
     def write(self, data):
-        """Drop it."""
+        """Discard it."""
 
 
 class TestStreams(unittest.TestCase):
-    """Pauses within one call tell the pace, pauses between two don't."""
+    """Pauses within one call are step times, pauses between calls are not."""
 
     def setUp(self):
         self.now = 0.0
         self.meter = StepTimeMeter()
         self.stream = StreamRelay(
-            Answer(),
+            FakeResponseWriter(),
             lambda: self.now,
             lambda events, seconds: (
                 events and self.meter.record('g', events, seconds)
@@ -54,33 +54,34 @@
         )
         self.stream.begin(ResponseHead(200, b'OK', ()))
 
-    def take(self, number, events=1):
+    def feed_events(self, number, events=1):
         data = b''.join(
-            b'id: %d\ndata: x\n\n' % (number + more) for more in range(events)
+            b'id: %d\ndata: x\n\n' % (number + offset)
+            for offset in range(events)
         )
-        self.stream.take(data)
+        self.stream.feed(data)
 
-    def test_events_and_the_time_before_them(self):
-        self.take(1)
+    def test_events_and_preceding_seconds(self):
+        self.feed_events(1)
         self.now += 0.25
-        self.take(2, events=2)
+        self.feed_events(2, events=2)
         self.now += 0.5
-        self.take(4)
+        self.feed_events(4)
         self.assertEqual(self.meter.drain(), {'g': (3, 0.75)})
         self.assertEqual(self.meter.drain(), {})
 
-    def test_the_pause_before_another_call_is_left_out(self):
-        self.take(1)
+    def test_pause_before_another_call_is_ignored(self):
+        self.feed_events(1)
         self.now += 9
         self.stream.begin(ResponseHead(200, b'OK', ()))
-        self.take(2)
+        self.feed_events(2)
         self.now += 0.5
-        self.take(3)
+        self.feed_events(3)
         self.assertEqual(self.meter.drain(), {'g': (1, 0.5)})
 
 
-class TestTelling(unittest.IsolatedAsyncioTestCase):
-    """Over datagrams on loopback, and from single ones."""
+class TestReports(unittest.IsolatedAsyncioTestCase):
+    """Over datagrams on loopback, and with single datagrams."""
 
     async def listen(self):
         registry = Registry(SystemClock(), TaskSupervisor())
@@ -93,7 +94,7 @@
         self.addAsyncCleanup(listener.stop)
         return server, listener
 
-    async def test_an_entry_tells_control(self):
+    async def test_reports_reach_control(self):
         server, _ = await self.listen()
         cfg = RelaySettings(
             process=ProcessSection(name='e', data_center='dc'),
@@ -107,29 +108,29 @@
         registry.register(
             HostFollower('hosts', cfg, RpcClients(), read_table=None)
         )
-        gossip = Gossip('gossip', 'e', ('127.0.0.1', 0), Books({}))
+        gossip = Gossip('gossip', 'e', ('127.0.0.1', 0), FakeGossipState({}))
         registry.register(gossip)
         await gossip.start(registry)
         self.addAsyncCleanup(gossip.stop)
-        teller = PaceTeller('paces', 'e', lambda: {'g': (4, 0.2)})
-        await teller.start(registry)
+        reporter = StepTimeReporter('paces', 'e', lambda: {'g': (4, 0.2)})
+        await reporter.start(registry)
         async with asyncio.timeout(10):
             while self.paces.of_group('g', SystemClock().now()) is None:
                 await asyncio.sleep(0.01)
         pace_s = self.paces.of_group('g', SystemClock().now())
         self.assertAlmostEqual(pace_s, 0.05)
 
-    async def test_late_copies_and_noise_change_nothing(self):
+    async def test_late_copies_and_invalid_datagrams_change_nothing(self):
         _, listener = await self.listen()
 
-        def tell(number, seconds):
-            told = PacesTold('e', 5.0, number, {'g': (1, seconds)})
-            data = msgpack.encode(told)
+        def receive(number, seconds):
+            message = PacesTold('e', 5.0, number, {'g': (1, seconds)})
+            data = msgpack.encode(message)
             listener.datagram_received(data, ('127.0.0.1', 9))
 
-        tell(2, 0.1)
-        tell(2, 0.5)
-        tell(1, 0.5)
+        receive(2, 0.1)
+        receive(2, 0.5)
+        receive(1, 0.5)
         listener.datagram_received(b'noise', ('127.0.0.1', 9))
         pace_s = self.paces.of_group('g', SystemClock().now())
         self.assertAlmostEqual(pace_s, 0.1)
--- a/tests/hosts/test_parts.py
+++ b/tests/hosts/test_parts.py
@@ -91,7 +91,7 @@
         sizes = []
         for _ in range(6):
             sizes.append(self.assembly.request().size)
-            self.assembly.note_failure()
+            self.assembly.record_failure()
         self.assertEqual(sizes[:2], [MOST_PART_BYTES, MOST_PART_BYTES // 2])
         self.assertEqual(sizes[-1], LEAST_PART_BYTES)
         self.shelf.put(4, body(4))
--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -13,7 +13,7 @@
 from aiohttp import ClientSession
 from msgspec import json, msgpack
 
-from tests.edge.rig import FakeUpstream, read_response
+from tests.edge.relay_fixture import FakeUpstream, read_response
 from tests.programs import PATIENCE_S, start_module
 
 if TYPE_CHECKING:
--- a/tests/platform/test_declining.py
+++ b/tests/platform/test_declining.py
@@ -50,11 +50,11 @@
                 for _ in range(NUMBER):
                     got = await made.ask()
                     self.assertEqual(got.status, 200)
-                return len(declining.seen)
+                return len(declining.requests)
 
     async def ask_until_seen(self, made, upstream):
         async with asyncio.timeout(PATIENCE_S):
-            while not upstream.seen:
+            while not upstream.requests:
                 await made.ask_until(200)
 
     async def test_no_request_in_a_rest(self):
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -10,7 +10,7 @@
     PrefixPart,
     RequestHead,
     ResponseHead,
-    UpstreamCall,
+    CallContext,
 )
 from snipebend_platform.dialect import PlatformDialect
 
@@ -27,7 +27,7 @@
     (b'Last-Event-Id', b'12'),
     (b'X-Other', b'kept'),
 )
-CALL = UpstreamCall('i-7f3a', 'hule930', 1.5, 2)
+CALL = CallContext('i-7f3a', 'hule930', 1.5, 2)
 
 
 class TestDialect(unittest.TestCase):
--- a/tests/platform/test_explaining.py
+++ b/tests/platform/test_explaining.py
@@ -6,7 +6,7 @@
 import unittest
 
 from snipebend.telemetry.log_lines import explain, read_line
-from tests.edge.rig import answer as plain_answer
+from tests.edge.relay_fixture import encode_response as plain_answer
 from tests.platform.deployment import config, deployment
 
 PUT = '/-/config/put'
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -54,7 +54,7 @@
         await made.beat('i-1', upstream)
         await made.beat('i-2', upstream)
         await made.ask_until(200)
-        served_by = upstream.seen[-1].headers['snipebend-expect-replica']
+        served_by = upstream.requests[-1].headers['snipebend-expect-replica']
         self.assertEqual(served_by, 'i-2')
 
 
@@ -77,7 +77,7 @@
                 self.assertEqual(await made.call(GET), (200, body))
                 await made.beat('i-1', upstream)
                 await made.ask_until(503)
-                self.assertEqual(upstream.seen, [])
+                self.assertEqual(upstream.requests, [])
 
     async def test_a_wiped_disk_then_another_one(self):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/relay/rate_limit_simulation.py
+++ b/tests/relay/rate_limit_simulation.py
@@ -11,7 +11,11 @@
 from bisect import bisect_left
 from itertools import count
 
-from snipebend.edge.gossip import REPEAT_EVERY_S, SILENT_AFTER_S, TELL_EVERY_S
+from snipebend.edge.gossip import (
+    REPEAT_INTERVAL_S,
+    ENTRY_TIMEOUT_S,
+    SEND_INTERVAL_S,
+)
 from snipebend.relay.facts import AnnouncedLimit, ResponseFacts
 from snipebend.relay.rate_limit_table import RateLimitTable
 
@@ -47,7 +51,7 @@
         requests_per_s,
         seed=1,
         loss=LOSS,
-        repeat_every_s=REPEAT_EVERY_S,
+        repeat_every_s=REPEAT_INTERVAL_S,
     ):
         self.entries = [SimulatedEntry(0.0) for _ in range(entries)]
         self.limit_at = limit_at
@@ -58,12 +62,14 @@
         self._requests_per_s = requests_per_s
         self._loss = loss
         self._repeat_every_s = repeat_every_s
-        self._timeout_s = max(SILENT_AFTER_S, 2 * repeat_every_s)
+        self._timeout_s = max(ENTRY_TIMEOUT_S, 2 * repeat_every_s)
         self._rng = random.Random(seed)
         self._order = count()
         self._events = []
         for at in range(entries):
-            self._schedule(self._rng.random() * TELL_EVERY_S, self._report, at)
+            self._schedule(
+                self._rng.random() * SEND_INTERVAL_S, self._report, at
+            )
         self._schedule(0.0, self._request)
 
     def schedule(self, moment, action):
@@ -123,7 +129,7 @@
         entry.rate_limits.record_response(UPSTREAM, facts, call_started_at, now)
 
     def _report(self, now, number):
-        self._schedule(now + TELL_EVERY_S, self._report, number)
+        self._schedule(now + SEND_INTERVAL_S, self._report, number)
         entry = self.entries[number]
         if now < entry.frozen_until:
             return
--- a/tests/relay/test_refusals.py
+++ b/tests/relay/test_refusals.py
@@ -12,7 +12,7 @@
 from itertools import count
 from unittest import mock
 
-from snipebend.edge.gossip import REPEAT_EVERY_S, TELL_EVERY_S
+from snipebend.edge.gossip import REPEAT_INTERVAL_S, SEND_INTERVAL_S
 from snipebend.edge.relayed_request import MAX_CALLS
 from snipebend.relay.refusals import (
     INITIAL_AVOIDANCE_S,
@@ -64,7 +64,9 @@
         self.last_reports = {}
         self.schedule(0.0, self.request)
         for number in range(entries):
-            self.schedule(self.rng.random() * TELL_EVERY_S, self.report, number)
+            self.schedule(
+                self.rng.random() * SEND_INTERVAL_S, self.report, number
+            )
 
     def schedule(self, moment, action, *args):
         heapq.heappush(self.events, (moment, next(self.order), action, args))
@@ -106,7 +108,7 @@
         self.call(now, table, (*tried, identity))
 
     def report(self, now, number):
-        self.schedule(now + TELL_EVERY_S, self.report, number)
+        self.schedule(now + SEND_INTERVAL_S, self.report, number)
         table = self.tables[number]
         refusals = table.report_refusals(now)
         calls = {
@@ -117,7 +119,7 @@
         }
         known = (calls, numbers)
         last_reports, reported_at = self.last_reports.get(number, (None, 0))
-        if known == last_reports and now < reported_at + REPEAT_EVERY_S:
+        if known == last_reports and now < reported_at + REPEAT_INTERVAL_S:
             return
         self.last_reports[number] = (known, now)
         for other in self.tables:
--- a/tests/transport/test_host_keeper.py
+++ b/tests/transport/test_host_keeper.py
@@ -7,7 +7,7 @@
 
 from snipebend.state.host_news import GroupPhase, GroupStanding, HostWatch
 from snipebend.transport import host_keeper
-from tests.edge.document_rig import Daemon
+from tests.edge.document_fixture import Daemon
 
 
 class TestWatch(unittest.IsolatedAsyncioTestCase):
