--- a/src/snipebend/edge/document_fetcher.py
+++ b/src/snipebend/edge/document_fetcher.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from snipebend.edge.document_sources import DocumentSources
-from snipebend.hosts.parts import Assembly
+from snipebend.hosts.parts import DocumentAssembly
 from snipebend.transport.methods import FETCH_PART
 
 if TYPE_CHECKING:
@@ -72,19 +72,21 @@
         while True:
             await self._newer_available.wait()
             self._newer_available.clear()
-            assembly = Assembly()
+            assembly = DocumentAssembly()
             started_at = clock.now()
             while self._sources.newest > self._latest:
                 await self._fetch_part(assembly, clock)
-                if assembly.whole:
+                if assembly.is_complete:
                     await self._finish(assembly, started_at, clock)
-                    assembly = Assembly()
+                    assembly = DocumentAssembly()
                     started_at = clock.now()
 
-    async def _fetch_part(self, assembly: Assembly, clock: Clock) -> None:
+    async def _fetch_part(
+        self, assembly: DocumentAssembly, clock: Clock
+    ) -> None:
         source = self._sources.select(self._latest, clock.now())
         reply = await self._clients.call(
-            source, FETCH_PART, assembly.request(), timeout=PART_TIMEOUT_S
+            source, FETCH_PART, assembly.next_request(), timeout=PART_TIMEOUT_S
         )
         if reply.is_ok():
             part = reply.unwrap()
@@ -92,7 +94,7 @@
                 # The daemon restarted and has an older document than announced.
                 self._sources.record_document(source, part.number)
                 return
-            if assembly.take(part):
+            if assembly.add(part):
                 return
         reason = str(reply.err() or 'the part does not continue the document')
         self._log_failure(source, assembly, reason)
@@ -100,7 +102,7 @@
         await asyncio.sleep(RETRY_S)
 
     async def _finish(
-        self, assembly: Assembly, started_at: float, clock: Clock
+        self, assembly: DocumentAssembly, started_at: float, clock: Clock
     ) -> None:
         """Pass the document on, or have it fetched again if it is damaged."""
         source = self._sources.current
@@ -108,7 +110,7 @@
             'event=document_fetched number={} packed_bytes={} parts={} '
             + 'took_ms={:.0f} peer={}',
             assembly.number,
-            assembly.arrived,
+            assembly.received_bytes,
             assembly.parts,
             1000 * (clock.now() - started_at),
             source,
@@ -128,9 +130,9 @@
         await asyncio.sleep(DAMAGED_RETRY_S)
 
     def _log_failure(
-        self, source: str, assembly: Assembly, reason: str
+        self, source: str, assembly: DocumentAssembly, reason: str
     ) -> None:
-        req = assembly.request()
+        req = assembly.next_request()
         logger.info(
             'event=document_part_failed peer={} number={} offset={} size={} '
             + 'error={!r}',
--- a/src/snipebend/edge/relayed_request.py
+++ b/src/snipebend/edge/relayed_request.py
@@ -18,7 +18,7 @@
 )
 from snipebend.edge.stream_relay import StreamRelay
 from snipebend.errors.hierarchy import UnavailableError
-from snipebend.hosts.model import Kind
+from snipebend.hosts.model import RequestKind
 from snipebend.relay.call_outcomes import (
     CallOutcome,
     NextAction,
@@ -204,7 +204,10 @@
             return CallResult(CallOutcome.NOT_RUN, reason)
         if head.status >= _STATUS_FAILED or not facts.authenticated:
             return await self._read_failure(call, started)
-        if self._route.kind is Kind.STREAM and head.status == HTTPStatus.OK:
+        if (
+            self._route.kind is RequestKind.STREAM
+            and head.status == HTTPStatus.OK
+        ):
             return await self._forward_stream(call, head)
         return await self._forward_complete(call, started)
 
@@ -346,7 +349,7 @@
 
     def _abandon(self, call: Call) -> None:
         """Abort an unneeded call, unless its request may run only once."""
-        if self._route.idempotent or self._route.kind is Kind.STREAM:
+        if self._route.idempotent or self._route.kind is RequestKind.STREAM:
             call.abort()
         else:
             self._relay.finish_in_background(call, self._admitted.deadline)
--- a/src/snipebend/hosts/__init__.py
+++ b/src/snipebend/hosts/__init__.py
@@ -1,1 +1,1 @@
-"""Routes by host and path: the table, its checks and its look-ups (pure)."""
+"""Routes by host and path: the table, its validation and its look-ups."""
--- a/src/snipebend/hosts/checks.py
+++ b/src/snipebend/hosts/checks.py
@@ -1,4 +1,4 @@
-"""Checks across the entries of a host table."""
+"""Validates references and constraints across the parts of a host table."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
     from snipebend.hosts.model import HostRoute, HostTable
 
 
-def problems(table: HostTable) -> tuple[str, ...]:
-    """Return all that forbids the table, one sentence each; empty: none."""
+def find_problems(table: HostTable) -> tuple[str, ...]:
+    """Return all faults of the table, one sentence each; empty if valid."""
     return (
         *_unknown_services(table),
-        *_repeated_places(table),
-        *_bad_routes(table),
+        *_duplicate_routes(table),
+        *_invalid_routes(table),
         *_shared_keys(table),
     )
 
@@ -29,19 +29,21 @@
                 yield f'route {route.name}: unknown service {split.service!r}'
 
 
-def _repeated_places(table: HostTable) -> Iterator[str]:
-    places = Counter((route.host, route.prefix) for route in table.routes)
-    for (host, prefix), times in places.items():
+def _duplicate_routes(table: HostTable) -> Iterator[str]:
+    locations = Counter((route.host, route.prefix) for route in table.routes)
+    for (host, prefix), times in locations.items():
         if times > 1:
             yield f'{times} routes have host {host!r} and prefix {prefix!r}'
 
 
-def _bad_routes(table: HostTable) -> Iterator[str]:
+def _invalid_routes(table: HostTable) -> Iterator[str]:
     for route in table.routes:
-        yield from (f'route {route.name}: {fault}' for fault in _faults(route))
+        yield from (
+            f'route {route.name}: {fault}' for fault in _route_faults(route)
+        )
 
 
-def _faults(route: HostRoute) -> Iterator[str]:
+def _route_faults(route: HostRoute) -> Iterator[str]:
     weights = [split.weight for split in route.splits]
     if sum(weights) <= 0 or min(weights) < 0:
         yield 'the weights must not be negative and must not add up to 0'
@@ -57,5 +59,5 @@
         for key in set(workspace.keys):
             owner = owners.setdefault(key, workspace.name)
             if owner != workspace.name:
-                # The key itself is a secret and stays out of messages.
+                # The key itself is a secret and must not appear in messages.
                 yield f'workspaces {owner} and {workspace.name} share a key'
--- a/src/snipebend/hosts/lookup.py
+++ b/src/snipebend/hosts/lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups that each request needs, over indexes built once per table."""
+"""Look-ups for each request, over indexes built once per table."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """A host table with its indexes."""
 
     def __init__(self, table: HostTable) -> None:
-        """Index routes by place, workspaces by key, services by name."""
+        """Index routes by location, workspaces by key, services by name."""
         self.table = table
         self.services: dict[str, HostService] = {
             service.name: service for service in table.services
@@ -25,39 +25,39 @@
         self._routes = {
             (route.host, route.prefix): route for route in table.routes
         }
-        self._owners = {
+        self._workspace_by_key = {
             key: workspace
             for workspace in table.workspaces
             for key in workspace.keys
         }
 
     @property
-    def needs_keys(self) -> bool:
-        """Tell whether requests carry keys at all."""
+    def requires_keys(self) -> bool:
+        """Return whether requests need an API key in general."""
         return bool(self.table.workspaces)
 
     def find_route(self, host: str, path: str) -> HostRoute | None:
         """Return the host's route with the longest prefix of the path."""
         prefix = path.partition('?')[0]
         while True:
-            cut = prefix.rfind('/')
-            if cut < 0:
+            last_slash = prefix.rfind('/')
+            if last_slash < 0:
                 return None
-            route = self._routes.get((host, prefix[: cut + 1]))
+            route = self._routes.get((host, prefix[: last_slash + 1]))
             if route is not None:
                 return route
-            prefix = prefix[:cut]
+            prefix = prefix[:last_slash]
 
     def find_workspace(self, key: str) -> HostWorkspace | None:
-        """Return the workspace that holds a key."""
-        return self._owners.get(key)
+        """Return the workspace that an API key belongs to."""
+        return self._workspace_by_key.get(key)
 
 
 def pick_service(route: HostRoute, sample: float) -> str:
-    """Return the service for a number drawn evenly from [0, 1)."""
-    left = sample * sum(split.weight for split in route.splits)
+    """Return a service by weight; ``sample`` is uniform over [0, 1)."""
+    remaining = sample * sum(split.weight for split in route.splits)
     for split in route.splits:
-        left -= split.weight
-        if left < 0:
+        remaining -= split.weight
+        if remaining < 0:
             return split.service
     return route.splits[-1].service
--- a/src/snipebend/hosts/model.py
+++ b/src/snipebend/hosts/model.py
@@ -1,4 +1,4 @@
-"""The table that tells which service takes a request, by host and path."""
+"""The table that maps requests to services, by host and path."""
 
 from __future__ import annotations
 
@@ -6,77 +6,77 @@
 from typing import NamedTuple
 
 
-class Kind(Enum):
-    """What may be done again with a request."""
+class RequestKind(Enum):
+    """Whether a request may run again."""
 
     #: Idempotent: may run more than once.
     SAFE = 'safe'
-    #: Runs once at most.
+    #: Not idempotent: may run at most once.
     UNSAFE = 'unsafe'
-    #: Answered by a stream of events; runs once unless it can be resumed.
+    #: The response is a stream of events; runs once unless it can be resumed.
     STREAM = 'stream'
 
 
-class Split(NamedTuple):
-    """A service's part of a route's requests."""
+class TrafficSplit(NamedTuple):
+    """The share of a route's requests that a service gets."""
 
     service: str
     weight: int
 
 
 class HostRoute(NamedTuple):
-    """Requests of one host below one path prefix; times in seconds."""
+    """Requests to one host below one path prefix; times in seconds."""
 
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RequestKind
     timeout_s: float
-    #: An answer within it is worth its full value.
+    #: A response within this time has its full value.
     target_s: float
     #: 0 is the most urgent.
     priority: int
-    splits: tuple[Split, ...]
+    splits: tuple[TrafficSplit, ...]
     #: Upstreams that one request may be sent to.
     max_attempts: int
-    #: Whether a request without a key is taken.
+    #: Whether requests without an API key are admitted.
     anonymous: bool = False
-    #: Whether a stream may go on at another upstream after its last event.
+    #: Whether a stream may resume at another upstream after its last event.
     resumable: bool = False
     #: Longest pause between two events of a stream that is still on time.
     gap_s: float = 0
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         match self.kind:
-            case Kind.SAFE:
+            case RequestKind.SAFE:
                 return True
-            case Kind.STREAM:
+            case RequestKind.STREAM:
                 return self.resumable
-            case Kind.UNSAFE:
+            case RequestKind.UNSAFE:
                 return False
 
 
 class EngineProfile(NamedTuple):
-    """What a service's model engines declare of themselves."""
+    """The capabilities that a service's model engines declare."""
 
     #: Requests that one engine batches.
     slots: int
-    #: Tokens that fit one engine's memory.
+    #: Tokens that fit into the memory of one engine.
     memory_tokens: int
-    #: Tensor sets whose experts are placed separately; 0: no experts.
+    #: Tensor sets whose experts are placed independently; 0: no experts.
     layers: int = 0
     experts: int = 0
-    #: Experts of one layer that one rank holds at most.
+    #: Experts of one layer that one rank can hold.
     places: int = 0
-    #: Experts of one layer that one change may bring to a rank at most.
+    #: Experts of one layer that one change can bring to a rank.
     spare: int = 0
-    #: Seconds to bring one expert to a rank.
+    #: Seconds to transfer one expert to a rank.
     fetch_s: float = 0
     #: Share of a token's work that its experts do.
     expert_share: float = 0
-    #: Seconds by which reports are old.
+    #: Age of an engine's reports in seconds.
     report_lag_s: float = 0.5
 
 
@@ -91,16 +91,16 @@
 
 
 class HostWorkspace(NamedTuple):
-    """A workspace and the keys that prove it."""
+    """A workspace and its API keys."""
 
     name: str
     keys: tuple[str, ...]
-    #: Goes before the route's; absent: the route's holds.
+    #: Overrides the priority of the route unless None.
     priority: int | None = None
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take; in bytes, seconds."""
+    """Limits on what a caller sends, in bytes and seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -109,7 +109,7 @@
 
 
 class HostTable(NamedTuple):
-    """One numbered document as a whole."""
+    """One numbered document."""
 
     number: int
     routes: tuple[HostRoute, ...] = ()
--- a/src/snipebend/hosts/parts.py
+++ b/src/snipebend/hosts/parts.py
@@ -1,9 +1,11 @@
-"""Documents packed and cut into parts (pure).
+"""Compresses documents and splits them into parts.
 
-A document of thousands of routes is long for the links of entries. It crosses
-one once, packed, and what has arrived of it stays when a connection ends: with
-each daemon sending it whole, five copies of 0.62 MB filled a link of 20 Mbit/s
-for 1.24 s, each time that a reader lost patience anew.
+Performs no I/O.
+
+A document of thousands of routes is large for the links of entries. It crosses
+a link once, compressed, and received parts are kept when a connection ends:
+when each daemon sent the complete document, five copies of 0.62 MB filled a
+link of 20 Mbit/s for 1.24 s, again after each time-out of a reader.
 """
 
 from __future__ import annotations
@@ -16,81 +18,82 @@
 
 from snipebend.errors.hierarchy import InvalidInputError
 
-#: Bytes of a part at most, and of the first: 26 ms of a link of 20 Mbit/s, so
-#: that answers to callers don't wait long behind one.
-MOST_PART_BYTES = 65_536
+#: Largest part, and the first one: takes 26 ms on a link of 20 Mbit/s, so that
+#: responses to callers are not delayed for long.
+MAX_PART_BYTES = 65_536
 
-#: Bytes of a part at least: 0.5 s of a link of 65 kbit/s.
-LEAST_PART_BYTES = 4096
+#: Smallest part: takes 0.5 s on a link of 65 kbit/s.
+MIN_PART_BYTES = 4096
 
-#: Documents that a daemon keeps packed. Changes of 3 a second, the most that
-#: was seen, leave a reader 1.3 s for the one that it has begun.
-SHELVED = 4
+#: Compressed documents that a daemon keeps. At three changes per second, the
+#: highest rate observed, a reader has 1.3 s to finish the document that it has
+#: begun.
+MAX_KEPT_DOCUMENTS = 4
 
-#: Of ``zlib``: routes repeat each other, 366 KB become 22 KB in 1.5 ms; the
-#: best level saves 3 in 100 of that more for twice the time.
-_PACK_LEVEL = 1
+#: Level of ``zlib``: routes are repetitive, 366 KB are compressed to 22 KB in
+#: 1.5 ms; the best level saves a further 3 % in twice the time.
+_COMPRESSION_LEVEL = 1
 
 _STEP = 'unpack-document'
 
 
 class PartRequest(Struct, frozen=True):
-    """Ask for the next part of a packed document."""
+    """Requests the next part of a compressed document."""
 
-    #: Of the document that was begun; 0: the newest.
+    #: Number of the document that was begun; 0: the newest.
     number: int = 0
-    #: Of the packed bytes, as the first part told it.
+    #: CRC-32 of the compressed document, as sent with the first part.
     digest: int = 0
-    #: Bytes that are there already.
+    #: Bytes received so far.
     offset: int = 0
-    #: Bytes that are wanted.
-    size: int = MOST_PART_BYTES
+    #: Bytes requested.
+    size: int = MAX_PART_BYTES
 
 
 class DocumentPart(Struct, frozen=True):
-    """A part of a packed document.
+    """A part of a compressed document.
 
-    It is the first one of the newest document where another was asked for that
-    isn't held any more, and has no length where there is none.
+    If the requested document is no longer kept, this is the first part of the
+    newest one; without any document it is empty.
     """
 
     number: int
     digest: int = 0
-    #: Bytes of the packed document.
+    #: Size of the compressed document in bytes.
     total: int = 0
     offset: int = 0
     data: bytes = b''
 
 
 class PackedDocument(NamedTuple):
-    """A document as it crosses links."""
+    """A document in compressed form."""
 
     number: int
     digest: int
     data: bytes
 
 
-class DocumentShelf:
-    """The newest documents, packed once each."""
+class DocumentStore:
+    """The newest documents, each compressed once."""
 
     def __init__(self) -> None:
-        """Hold none."""
+        """Start without documents."""
         self._packed: dict[int, PackedDocument] = {}
 
     @property
     def newest(self) -> int:
-        """Return the number of the newest document; 0: none is held."""
+        """Return the number of the newest document; 0: there is none."""
         return max(self._packed, default=0)
 
     def put(self, number: int, body: bytes) -> None:
-        """Pack a document, and drop the oldest of too many."""
-        data = zlib.compress(body, _PACK_LEVEL)
+        """Compress a document, and drop the oldest beyond the limit."""
+        data = zlib.compress(body, _COMPRESSION_LEVEL)
         self._packed[number] = PackedDocument(number, zlib.crc32(data), data)
-        while len(self._packed) > SHELVED:
+        while len(self._packed) > MAX_KEPT_DOCUMENTS:
             self._packed.pop(min(self._packed))
 
-    def part(self, req: PartRequest) -> DocumentPart:
-        """Cut the part that is asked for, or begin the newest document."""
+    def get_part(self, req: PartRequest) -> DocumentPart:
+        """Return the requested part, or the first one of the newest."""
         packed = self._packed.get(req.number)
         if packed is None or packed.digest != req.digest:
             packed = self._packed.get(self.newest)
@@ -99,7 +102,7 @@
             offset = req.offset
         if packed is None:
             return DocumentPart(0)
-        size = min(max(req.size, LEAST_PART_BYTES), MOST_PART_BYTES)
+        size = min(max(req.size, MIN_PART_BYTES), MAX_PART_BYTES)
         return DocumentPart(
             packed.number,
             packed.digest,
@@ -109,61 +112,68 @@
         )
 
 
-class Assembly:
-    """What has arrived of a document."""
+class DocumentAssembly:
+    """The received parts of a document."""
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Start without parts."""
         self.number = 0
         self.parts = 0
         self._digest = 0
         self._total = 0
         self._data = bytearray()
-        self._size = MOST_PART_BYTES
+        self._size = MAX_PART_BYTES
 
     @property
-    def arrived(self) -> int:
-        """Return the bytes that are there."""
+    def received_bytes(self) -> int:
+        """Return the number of bytes received."""
         return len(self._data)
 
     @property
-    def whole(self) -> bool:
-        """Tell whether all parts are there."""
-        return bool(self._total) and self.arrived >= self._total
-
-    def request(self) -> PartRequest:
-        """Return what to ask for next."""
-        return PartRequest(self.number, self._digest, self.arrived, self._size)
+    def is_complete(self) -> bool:
+        """Return whether all parts have been received."""
+        return bool(self._total) and self.received_bytes >= self._total
+
+    def next_request(self) -> PartRequest:
+        """Return the request for the next part."""
+        return PartRequest(
+            self.number, self._digest, self.received_bytes, self._size
+        )
 
-    def take(self, part: DocumentPart) -> bool:
-        """Add a part; one of another document begins that one instead.
+    def add(self, part: DocumentPart) -> bool:
+        """Add a part; one of another document restarts with that document.
 
-        Tell whether it was of use.
+        Return whether the part was usable.
         """
         if (part.number, part.digest) != (self.number, self._digest):
-            self._begin(part)
-        if part.offset != self.arrived or not part.data:
+            self._start(part)
+        if part.offset != self.received_bytes or not part.data:
             return False
-        self._size = min(MOST_PART_BYTES, 2 * self._size)
+        self._size = min(MAX_PART_BYTES, 2 * self._size)
         self.parts += 1
         self._data += part.data
         return True
 
     def record_failure(self) -> None:
-        """Ask for less: on a slow link a shorter part comes in time."""
-        self._size = max(LEAST_PART_BYTES, self._size // 2)
+        """Request less: on a slow link a smaller part arrives in time."""
+        self._size = max(MIN_PART_BYTES, self._size // 2)
 
     def unpack(self) -> Result[bytes, InvalidInputError]:
-        """Return the document, which is whole."""
+        """Decompress the document, which must be complete."""
         data = bytes(self._data)
         if zlib.crc32(data) != self._digest:
-            return Err(InvalidInputError('the digest differs', step=_STEP))
+            return Err(
+                InvalidInputError(
+                    'the CRC-32 of the packed document does not match',
+                    step=_STEP,
+                )
+            )
         try:
             return Ok(zlib.decompress(data))
         except zlib.error as exc:
             return Err(InvalidInputError(str(exc), step=_STEP))
 
-    def _begin(self, part: DocumentPart) -> None:
+    def _start(self, part: DocumentPart) -> None:
         self.number = part.number
         self.parts = 0
         self._digest = part.digest
--- a/src/snipebend/relay/admission.py
+++ b/src/snipebend/relay/admission.py
@@ -52,7 +52,7 @@
     if route is None:
         return problems.no_route()
     workspace = index.find_workspace(facts.key) if facts.key else None
-    if workspace is None and index.needs_keys and not route.anonymous:
+    if workspace is None and index.requires_keys and not route.anonymous:
         return problems.unknown_key()
     priority = route.priority
     if workspace is not None and workspace.priority is not None:
--- a/src/snipebend/transport/host_keeper.py
+++ b/src/snipebend/transport/host_keeper.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from snipebend.errors.hierarchy import UnavailableError
-from snipebend.hosts.parts import DocumentPart, DocumentShelf, PartRequest
+from snipebend.hosts.parts import DocumentPart, DocumentStore, PartRequest
 from snipebend.kernel.service import Service
 from snipebend.state.commands import PutDocument, RecordUpstream
 from snipebend.state.documents import DocumentBook, PutReply, PutRequest
@@ -68,7 +68,7 @@
         #: Grow with each change of what is told of groups, and of watchers.
         self._groups_changed = 0
         self._watchers_changed = 0
-        self._shelf = DocumentShelf()
+        self._shelf = DocumentStore()
         server.add(
             Endpoint(WATCH_HOSTS, self.watch),
             Endpoint(FETCH_PART, self.fetch_part),
@@ -208,7 +208,7 @@
         book = self.book
         if book.number > self._shelf.newest:
             self._shelf.put(book.number, book.body)
-        part = self._shelf.part(req)
+        part = self._shelf.get_part(req)
         if not part.offset:
             logger.info(
                 'event=document_asked number={} packed_bytes={}',
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -34,8 +34,8 @@
     HostRoute,
     HostService,
     HostTable,
-    Kind,
-    Split,
+    RequestKind,
+    TrafficSplit,
 )
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
@@ -89,11 +89,11 @@
             'r',
             'h',
             '/',
-            Kind.STREAM,
+            RequestKind.STREAM,
             8.0,
             0.6,
             1,
-            (Split('s', 1),),
+            (TrafficSplit('s', 1),),
             2,
             gap_s=self.pause_s,
         )
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -23,8 +23,8 @@
     HostRoute,
     HostService,
     HostTable,
-    Kind,
-    Split,
+    RequestKind,
+    TrafficSplit,
 )
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
@@ -51,11 +51,11 @@
     'r',
     'h',
     '/',
-    Kind.STREAM,
+    RequestKind.STREAM,
     8.0,
     0.4,
     1,
-    (Split('s', 1),),
+    (TrafficSplit('s', 1),),
     2,
     gap_s=ALLOWED_S,
 )
--- a/tests/edge/relay_fixture.py
+++ b/tests/edge/relay_fixture.py
@@ -16,8 +16,8 @@
     HostService,
     HostTable,
     HostWorkspace,
-    Kind,
-    Split,
+    RequestKind,
+    TrafficSplit,
 )
 from snipebend.kernel.clock import SystemClock
 from snipebend.kernel.registry import Registry
@@ -183,7 +183,7 @@
 def make_route(name, kind, **fields):
     """Return a route whose path prefix is its name."""
     made = HostRoute(
-        name, HOST, f'/{name}/', kind, 2.0, 0.5, 1, (Split('s', 1),), 2
+        name, HOST, f'/{name}/', kind, 2.0, 0.5, 1, (TrafficSplit('s', 1),), 2
     )
     return made._replace(**fields)
 
@@ -191,12 +191,12 @@
 TABLE = HostTable(
     7,
     (
-        make_route('safe', Kind.SAFE),
-        make_route('unsafe', Kind.UNSAFE),
-        make_route('stream', Kind.STREAM, resumable=True),
-        make_route('once', Kind.STREAM),
-        make_route('short', Kind.SAFE, timeout_s=0.2),
-        make_route('open', Kind.SAFE, anonymous=True),
+        make_route('safe', RequestKind.SAFE),
+        make_route('unsafe', RequestKind.UNSAFE),
+        make_route('stream', RequestKind.STREAM, resumable=True),
+        make_route('once', RequestKind.STREAM),
+        make_route('short', RequestKind.SAFE, timeout_s=0.2),
+        make_route('open', RequestKind.SAFE, anonymous=True),
     ),
     (HostService('s', '/healthz', 10),),
     (HostWorkspace('w', ('key',)),),
--- a/tests/edge/test_document_fetcher.py
+++ b/tests/edge/test_document_fetcher.py
@@ -12,7 +12,7 @@
 from snipebend.edge.document_fetcher import DocumentFetcher
 from snipebend.errors.hierarchy import UnavailableError
 from snipebend.hashing.rendezvous import weigh
-from snipebend.hosts.parts import DocumentPart, DocumentShelf
+from snipebend.hosts.parts import DocumentPart, DocumentStore
 from snipebend.kernel.clock import SystemClock
 from tests.programs import PATIENCE_S
 
@@ -21,10 +21,10 @@
 
 
 class FakeClients:
-    """Daemons with a shelf each; some don't respond, or respond wrongly."""
+    """Daemons with document stores; some don't respond, or wrongly."""
 
     def __init__(self):
-        self.shelves = {address: DocumentShelf() for address in DAEMONS}
+        self.stores = {address: DocumentStore() for address in DAEMONS}
         self.replies = {}
         self.requested = []
 
@@ -33,7 +33,7 @@
         encode_response = self.replies.get(peer)
         if encode_response is not None:
             return encode_response
-        return Ok(self.shelves[peer].part(req))
+        return Ok(self.stores[peer].get_part(req))
 
 
 class TestFetcher(unittest.IsolatedAsyncioTestCase):
@@ -50,8 +50,8 @@
         )
         running = asyncio.create_task(self.fetcher.run(SystemClock()))
         self.addCleanup(running.cancel)
-        for shelf in self.clients.shelves.values():
-            shelf.put(4, BODY)
+        for store in self.clients.stores.values():
+            store.put(4, BODY)
         #: The daemon that is asked first.
         self.first = min(DAEMONS, key=lambda address: weigh(address, 'e'))
 
--- a/tests/hosts/test_lookup.py
+++ b/tests/hosts/test_lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups by host, path and key."""
+"""Look-ups by host, path and API key."""
 
 from __future__ import annotations
 
@@ -10,14 +10,22 @@
     HostRoute,
     HostTable,
     HostWorkspace,
-    Kind,
-    Split,
+    RequestKind,
+    TrafficSplit,
 )
 
 
 def route(name, host, prefix):
     return HostRoute(
-        name, host, prefix, Kind.SAFE, 1.0, 0.2, 1, (Split('s', 1),), 2
+        name,
+        host,
+        prefix,
+        RequestKind.SAFE,
+        1.0,
+        0.2,
+        1,
+        (TrafficSplit('s', 1),),
+        2,
     )
 
 
@@ -36,7 +44,7 @@
 
 
 class TestFindRoute(unittest.TestCase):
-    """The longest prefix that begins the path."""
+    """The route with the longest matching prefix is found."""
 
     def test_longest_prefix(self):
         cases = {
@@ -60,22 +68,26 @@
 
 
 class TestWorkspaces(unittest.TestCase):
-    """Keys and their owners."""
+    """API keys and their workspaces."""
 
     def test_owner(self):
         self.assertEqual(INDEX.find_workspace('k2').name, 'w')
         self.assertIsNone(INDEX.find_workspace('k3'))
-        self.assertTrue(INDEX.needs_keys)
+        self.assertTrue(INDEX.requires_keys)
 
 
 class TestPickService(unittest.TestCase):
-    """Splits by weight."""
+    """Services are selected by weight."""
 
     def test_shares(self):
         split = route('r', 'h', '/')._replace(
-            splits=(Split('s', 90), Split('none', 0), Split('t', 10))
+            splits=(
+                TrafficSplit('s', 90),
+                TrafficSplit('none', 0),
+                TrafficSplit('t', 10),
+            )
         )
-        drawn = Counter(
+        selected = Counter(
             pick_service(split, number / 1000) for number in range(1000)
         )
-        self.assertEqual(drawn, {'s': 900, 't': 100})
+        self.assertEqual(selected, {'s': 900, 't': 100})
--- a/tests/hosts/test_parts.py
+++ b/tests/hosts/test_parts.py
@@ -1,4 +1,4 @@
-"""Documents packed, cut into parts and put together again."""
+"""Documents compressed, split into parts and reassembled."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import unittest
 
 from snipebend.hosts.parts import (
-    LEAST_PART_BYTES,
-    MOST_PART_BYTES,
-    SHELVED,
-    Assembly,
+    MAX_KEPT_DOCUMENTS,
+    MAX_PART_BYTES,
+    MIN_PART_BYTES,
+    DocumentAssembly,
     DocumentPart,
-    DocumentShelf,
+    DocumentStore,
     PartRequest,
 )
 
@@ -19,99 +19,101 @@
 
 
 def body(number):
-    """Return a document that can't be packed into less."""
+    """Return an incompressible document."""
     return random.Random(number).randbytes(SIZE)
 
 
 class TestParts(unittest.TestCase):
-    """A shelf and what a reader makes of its parts."""
+    """A store of documents, and a reader that assembles their parts."""
 
     def setUp(self):
-        self.shelf = DocumentShelf()
-        self.assembly = Assembly()
+        self.store = DocumentStore()
+        self.assembly = DocumentAssembly()
 
     def fetch(self, parts=99):
         for _ in range(parts):
-            if self.assembly.whole:
+            if self.assembly.is_complete:
                 break
-            self.assembly.take(self.shelf.part(self.assembly.request()))
+            self.assembly.add(self.store.get_part(self.assembly.next_request()))
 
-    def test_all_parts_make_the_document(self):
-        self.shelf.put(4, body(4))
+    def test_all_parts_form_the_document(self):
+        self.store.put(4, body(4))
         self.fetch()
         self.assertEqual(self.assembly.number, 4)
-        self.assertEqual(self.assembly.parts, -(-SIZE // MOST_PART_BYTES))
+        self.assertEqual(self.assembly.parts, -(-SIZE // MAX_PART_BYTES))
         self.assertEqual(self.assembly.unpack().unwrap(), body(4))
 
-    def test_routes_that_repeat_each_other_need_a_tenth(self):
+    def test_repetitive_routes_are_compressed(self):
         text = b''.join(b'{"prefix":"/%d/","ms":8000},' % n for n in range(999))
-        self.shelf.put(4, text)
+        self.store.put(4, text)
         self.fetch()
-        self.assertLess(self.assembly.arrived, len(text) / 5)
+        self.assertLess(self.assembly.received_bytes, len(text) / 5)
         self.assertEqual(self.assembly.unpack().unwrap(), text)
 
-    def test_what_was_begun_can_be_ended_while_newer_ones_come(self):
-        self.shelf.put(4, body(4))
+    def test_fetch_can_be_finished_while_newer_documents_arrive(self):
+        self.store.put(4, body(4))
         self.fetch(parts=1)
-        for newer in range(5, 4 + SHELVED):
-            self.shelf.put(newer, body(newer))
+        for newer in range(5, 4 + MAX_KEPT_DOCUMENTS):
+            self.store.put(newer, body(newer))
         self.fetch()
         self.assertEqual(self.assembly.number, 4)
         self.assertEqual(self.assembly.unpack().unwrap(), body(4))
 
-    def test_the_newest_begins_when_the_one_begun_is_gone(self):
-        self.shelf.put(4, body(4))
+    def test_fetch_restarts_with_the_newest_if_its_document_was_dropped(self):
+        self.store.put(4, body(4))
         self.fetch(parts=1)
-        for newer in range(5, 5 + SHELVED):
-            self.shelf.put(newer, body(newer))
+        for newer in range(5, 5 + MAX_KEPT_DOCUMENTS):
+            self.store.put(newer, body(newer))
         self.fetch()
-        self.assertEqual(self.assembly.number, 4 + SHELVED)
-        self.assertEqual(self.assembly.unpack().unwrap(), body(4 + SHELVED))
-
-    def test_another_daemon_goes_on_where_one_ended(self):
-        other = DocumentShelf()
-        self.shelf.put(4, body(4))
+        self.assertEqual(self.assembly.number, 4 + MAX_KEPT_DOCUMENTS)
+        self.assertEqual(
+            self.assembly.unpack().unwrap(), body(4 + MAX_KEPT_DOCUMENTS)
+        )
+
+    def test_fetch_continues_at_another_daemon(self):
+        other = DocumentStore()
+        self.store.put(4, body(4))
         other.put(4, body(4))
         self.fetch(parts=2)
-        self.shelf = other
+        self.store = other
         self.fetch()
-        self.assertEqual(self.assembly.parts, -(-SIZE // MOST_PART_BYTES))
+        self.assertEqual(self.assembly.parts, -(-SIZE // MAX_PART_BYTES))
         self.assertEqual(self.assembly.unpack().unwrap(), body(4))
 
-    def test_parts_of_other_bytes_are_never_mixed(self):
-        other = DocumentShelf()
-        self.shelf.put(4, body(4))
+    def test_parts_of_different_bytes_are_never_mixed(self):
+        other = DocumentStore()
+        self.store.put(4, body(4))
         other.put(4, body(5))
         self.fetch(parts=2)
-        self.shelf = other
+        self.store = other
         self.fetch()
         self.assertEqual(self.assembly.unpack().unwrap(), body(5))
 
-    def test_failures_ask_for_less_and_success_for_more(self):
+    def test_failures_halve_and_successes_double_the_size(self):
         sizes = []
         for _ in range(6):
-            sizes.append(self.assembly.request().size)
+            sizes.append(self.assembly.next_request().size)
             self.assembly.record_failure()
-        self.assertEqual(sizes[:2], [MOST_PART_BYTES, MOST_PART_BYTES // 2])
-        self.assertEqual(sizes[-1], LEAST_PART_BYTES)
-        self.shelf.put(4, body(4))
+        self.assertEqual(sizes[:2], [MAX_PART_BYTES, MAX_PART_BYTES // 2])
+        self.assertEqual(sizes[-1], MIN_PART_BYTES)
+        self.store.put(4, body(4))
         self.fetch(parts=1)
-        self.assertEqual(self.assembly.request().size, 2 * LEAST_PART_BYTES)
-
-    def test_what_adds_nothing_is_told(self):
-        self.shelf.put(4, body(4))
-        first = self.shelf.part(PartRequest())
-        self.assertTrue(self.assembly.take(first))
-        self.assertFalse(self.assembly.take(first))
-        self.assertFalse(self.assembly.take(DocumentPart(0)))
-
-    def test_damage_is_an_error(self):
-        self.shelf.put(4, body(4))
-        part = self.shelf.part(PartRequest())
+        self.assertEqual(self.assembly.next_request().size, 2 * MIN_PART_BYTES)
+
+    def test_part_that_adds_nothing_is_rejected(self):
+        self.store.put(4, body(4))
+        part = self.store.get_part(PartRequest())
+        self.assertTrue(self.assembly.add(part))
+        self.assertFalse(self.assembly.add(part))
+        self.assertFalse(self.assembly.add(DocumentPart(0)))
+
+    def test_damaged_document_is_an_error(self):
+        self.store.put(4, body(4))
+        part = self.store.get_part(PartRequest())
         damaged = DocumentPart(4, part.digest, 3, 0, b'bad')
-        self.assembly.take(damaged)
-        self.assertTrue(self.assembly.whole)
+        self.assembly.add(damaged)
+        self.assertTrue(self.assembly.is_complete)
         self.assertTrue(self.assembly.unpack().is_err())
 
-    def test_an_empty_shelf(self):
-        self.assertEqual(self.shelf.part(PartRequest()), DocumentPart(0))
+    def test_empty_store(self):
+        self.assertEqual(self.store.get_part(PartRequest()), DocumentPart(0))
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -7,7 +7,7 @@
 
 from msgspec import json, msgpack
 
-from snipebend.hosts.model import Kind, Split
+from snipebend.hosts.model import RequestKind, TrafficSplit
 from snipebend_platform.documents import read_table
 
 CONFIG = MappingProxyType(
@@ -86,14 +86,16 @@
         first, second = table.routes
         self.assertEqual(table.number, 7)
         self.assertEqual(first.host, 'ficu95.example')
-        self.assertIs(first.kind, Kind.STREAM)
+        self.assertIs(first.kind, RequestKind.STREAM)
         self.assertTrue(first.resumable)
         self.assertEqual(first.timeout_s, 8.0)
         self.assertEqual(first.target_s, 0.502)
         self.assertEqual(first.gap_s, 0.12)
-        self.assertEqual(first.splits, (Split('s-1', 90), Split('s-2', 10)))
-        self.assertEqual(second.splits, (Split('s-2', 1),))
-        self.assertIs(second.kind, Kind.UNSAFE)
+        self.assertEqual(
+            first.splits, (TrafficSplit('s-1', 90), TrafficSplit('s-2', 10))
+        )
+        self.assertEqual(second.splits, (TrafficSplit('s-2', 1),))
+        self.assertIs(second.kind, RequestKind.UNSAFE)
         engine = table.services[0].engine
         self.assertEqual((engine.layers, engine.experts), (4, 64))
         self.assertAlmostEqual(engine.fetch_s, 0.1111, 4)
@@ -103,7 +105,7 @@
 
     def test_an_unknown_kind_must_not_run_twice(self):
         table = read_table(self.changed('kind', 'new')).unwrap()
-        self.assertIs(table.routes[0].kind, Kind.UNSAFE)
+        self.assertIs(table.routes[0].kind, RequestKind.UNSAFE)
 
     def test_invalid(self):
         double_key = [
