--- a/src/snipebend/edge/final_response.py
+++ b/src/snipebend/edge/final_response.py
@@ -82,7 +82,7 @@
         elif tried:
             self._refuse_for_outage('no other upstream is free')
         else:
-            retry_after_s = self._refusal_writer.busy_wait_s()
+            retry_after_s = self._refusal_writer.busy_retry_s()
             self._refuse(problems.busy(retry_after_s, 'no upstream is free'))
 
     def time_out(self, *, may_have_run: bool) -> None:
@@ -97,13 +97,13 @@
         return self._response.started
 
     def _refuse_until(self, no_capacity: NoCapacity) -> None:
-        retry_after_s = self._refusal_writer.capacity_wait_s(
+        retry_after_s = self._refusal_writer.capacity_retry_s(
             no_capacity.retry_after_s
         )
         self._refuse(problems.busy(retry_after_s, no_capacity.detail))
 
     def _refuse_for_outage(self, reason: str) -> None:
-        retry_after_s = self._refusal_writer.outage_wait_s(self._time_left_s())
+        retry_after_s = self._refusal_writer.outage_retry_s(self._time_left_s())
         self._refuse(problems.busy(retry_after_s, reason))
 
     def _refuse(self, refusal: Refusal) -> None:
--- a/src/snipebend/edge/gossip.py
+++ b/src/snipebend/edge/gossip.py
@@ -79,7 +79,7 @@
         """Apply another entry's refusal reports."""
 
     def record_reachable_share(self, share: float) -> None:
-        """Record the part of all entries that can be received here."""
+        """Record the share of entries whose messages are received here."""
 
 
 class _Digest(NamedTuple):
--- a/src/snipebend/edge/host_follower.py
+++ b/src/snipebend/edge/host_follower.py
@@ -275,7 +275,7 @@
         self.on_update()
 
     def _update_entries(self) -> None:
-        self.data_centers = self._entry_directory.data_centers()
+        self.data_centers = self._entry_directory.merge_data_centers()
         self.entries = frozenset(self.data_centers) - {self.gossip_address}
 
     def _apply_groups(
--- a/src/snipebend/edge/rate_limit_tracker.py
+++ b/src/snipebend/edge/rate_limit_tracker.py
@@ -38,10 +38,12 @@
             self._record_change(change)
 
     def apply_report(
-        self, entry: str, started_at: float, told: dict[str, LimitReport]
+        self, entry: str, started_at: float, reports: dict[str, LimitReport]
     ) -> None:
         """Apply another entry's reports."""
-        changes = self.table.apply_report(entry, started_at, told, self._now())
+        changes = self.table.apply_report(
+            entry, started_at, reports, self._now()
+        )
         for change in changes:
             self._record_change(change)
 
@@ -62,11 +64,13 @@
             if self.table.has_room(one.record.identity, now)
         ]
 
-    def wait_for_room_s(self, upstream: Upstream | None) -> float:
+    def seconds_until_room(self, upstream: Upstream | None) -> float:
         """Return seconds until an upstream's limit allows a call; 0: now."""
         if upstream is None:
             return 0
-        return self.table.wait_for_room_s(upstream.record.identity, self._now())
+        return self.table.seconds_until_room(
+            upstream.record.identity, self._now()
+        )
 
     def log_diverted_call(
         self, request: str, service: str, upstream: Upstream
@@ -79,7 +83,7 @@
             request,
             service,
             upstream.record.identity,
-            1000 * self.wait_for_room_s(upstream),
+            1000 * self.seconds_until_room(upstream),
             self.table.share,
         )
 
--- a/src/snipebend/edge/refusal_writer.py
+++ b/src/snipebend/edge/refusal_writer.py
@@ -41,15 +41,15 @@
         age_ms = -1 if update_age_s < 0 else round(1000 * update_age_s)
         return f'document={self._follower.number} news_age_ms={age_ms}'
 
-    def busy_wait_s(self) -> float:
+    def busy_retry_s(self) -> float:
         """Return seconds until a caller retries when all slots are occupied."""
         return busy_retry_after_s(self._rng.random())
 
-    def capacity_wait_s(self, retry_after_s: float) -> float:
+    def capacity_retry_s(self, retry_after_s: float) -> float:
         """Return seconds until a caller retries after a known wait."""
         return capacity_retry_after_s(retry_after_s, self._rng.random())
 
-    def outage_wait_s(self, time_left_s: float) -> float:
+    def outage_retry_s(self, time_left_s: float) -> float:
         """Return seconds until a caller retries during an outage."""
         return outage_retry_after_s(time_left_s, self._rng.random())
 
--- a/src/snipebend/edge/relay_meters.py
+++ b/src/snipebend/edge/relay_meters.py
@@ -22,7 +22,7 @@
     """Functions that are called when the gauges are read."""
 
     requests_in_progress: Callable[[], int]
-    document: Callable[[], int]
+    document_number: Callable[[], int]
     #: Seconds since the last update from control; -1: none yet.
     update_age_s: Callable[[], float]
     #: By service.
@@ -96,7 +96,7 @@
         sources = self._sources
         single = {
             'snipebend_relay_requests_in_flight': sources.requests_in_progress,
-            'snipebend_relay_document_number': sources.document,
+            'snipebend_relay_document_number': sources.document_number,
             'snipebend_relay_news_age_seconds': sources.update_age_s,
         }
         for name, read in single.items():
--- a/src/snipebend/edge/relay_service.py
+++ b/src/snipebend/edge/relay_service.py
@@ -152,7 +152,7 @@
         if not self.limits.table:
             return self._select_upstream(admitted, tried)
         selected = self._select_upstream(admitted, tried)
-        if selected is None or not self.limits.wait_for_room_s(selected):
+        if selected is None or not self.limits.seconds_until_room(selected):
             return selected
         self.limits.log_diverted_call(
             admitted.facts.request_id, admitted.service, selected
@@ -175,7 +175,7 @@
             return NoCapacity(
                 'all upstreams asked for a rest', backoff_ends_at - now
             )
-        wait_s = self.limits.wait_for_room_s(
+        wait_s = self.limits.seconds_until_room(
             self._select_upstream(admitted, tried)
         )
         if wait_s:
@@ -241,7 +241,7 @@
             )
 
     def record_reachable_share(self, share: float) -> None:
-        """Record the part of all entries that can be received here."""
+        """Record the share of entries whose messages are received here."""
         self.limits.table.share = share
 
     def finish_in_background(self, call: Call, deadline: float) -> None:
--- a/src/snipebend/edge/step_time_reporter.py
+++ b/src/snipebend/edge/step_time_reporter.py
@@ -47,11 +47,13 @@
         number = 0
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            paces = self._drain()
-            if not paces:
+            step_times = self._drain()
+            if not step_times:
                 continue
             number += 1
-            told = PacesTold(self._process, self._started_at, number, paces)
+            message = PacesTold(
+                self._process, self._started_at, number, step_times
+            )
             self._gossip.send_to(
-                self._follower.control_addresses, msgpack.encode(told)
+                self._follower.control_addresses, msgpack.encode(message)
             )
--- a/src/snipebend/relay/call_outcomes.py
+++ b/src/snipebend/relay/call_outcomes.py
@@ -35,7 +35,7 @@
     """Conditions on which a retry after a failed call depends."""
 
     idempotent: bool
-    #: Runs that the route still allows; calls that may have run are counted.
+    #: Further runs that the route allows, besides those that may have begun.
     runs_left: int
     #: Calls left, whether or not the earlier ones ran.
     attempts_left: int
--- a/src/snipebend/relay/entry_directory.py
+++ b/src/snipebend/relay/entry_directory.py
@@ -34,7 +34,7 @@
         """Remove the list of a daemon that is unreachable."""
         self._by_daemon.pop(daemon, None)
 
-    def data_centers(self) -> dict[str, str]:
+    def merge_data_centers(self) -> dict[str, str]:
         """Return the data centre of each entry; empty if unknown."""
         data_centers: dict[str, str] = {}
         for data_center_by_entry in self._by_daemon.values():
--- a/src/snipebend/relay/facts.py
+++ b/src/snipebend/relay/facts.py
@@ -11,9 +11,9 @@
 def header_values(headers: Headers, name: bytes) -> list[str]:
     """Return the values of a header, in the order of its lines."""
     return [
-        sent.decode('latin-1')
-        for each, sent in headers
-        if each.lower() == name.lower()
+        header_value.decode('latin-1')
+        for header_name, header_value in headers
+        if header_name.lower() == name.lower()
     ]
 
 
--- a/src/snipebend/relay/rate_limit.py
+++ b/src/snipebend/relay/rate_limit.py
@@ -65,7 +65,7 @@
     def refill(self, now: float, share: float) -> None:
         """Refill the bucket up to the current time.
 
-        ``share`` is the part of all entries that can be received here, this
+        ``share`` is the share of entries whose messages are received here, this
         entry included: entries that are cut off from each other each use no
         more than their part of the limit.
         """
@@ -78,7 +78,7 @@
         """Return whether a call may begin, as of the last refill."""
         return self.balance >= 1
 
-    def wait_for_room_s(self, share: float) -> float:
+    def seconds_until_room(self, share: float) -> float:
         """Return seconds until a call may begin if other entries begin none."""
         return max(0, 1 - self.balance) / (share * self.per_s)
 
--- a/src/snipebend/relay/rate_limit_table.py
+++ b/src/snipebend/relay/rate_limit_table.py
@@ -18,7 +18,7 @@
 
 #: For how long an entry reports that a limit was lifted: several repeats, since
 #: any datagram may be lost.
-REPORT_REMOVED_S = 5.0
+REPORT_LIFTED_S = 5.0
 
 
 class LimitReport(Struct, frozen=True, array_like=True):
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         """Start without limits."""
-        #: The part of all entries that can be received here, this one included.
+        #: Share of entries whose messages are received here, this one included.
         self.share = 1.0
         self._limits: dict[str, RateLimit] = {}
         #: The latest notice of each upstream, whichever entry received it.
@@ -120,7 +120,7 @@
             reports[upstream] = LimitReport(rate_limit.own_calls)
         for upstream, notice in tuple(self._own_notices.items()):
             age_s = now - notice.received_at
-            if notice.per_s is None and age_s > REPORT_REMOVED_S:
+            if notice.per_s is None and age_s > REPORT_LIFTED_S:
                 self._own_notices.pop(upstream)
                 continue
             calls = reports[upstream].calls if upstream in reports else 0
@@ -135,11 +135,11 @@
         rate_limit.refill(now, self.share)
         return rate_limit.has_room()
 
-    def wait_for_room_s(self, upstream: str, now: float) -> float:
+    def seconds_until_room(self, upstream: str, now: float) -> float:
         """Return seconds until an upstream's limit allows a call; 0: now."""
         if self.has_room(upstream, now):
             return 0
-        return self._limits[upstream].wait_for_room_s(self.share)
+        return self._limits[upstream].seconds_until_room(self.share)
 
     def record_call(self, upstream: str, now: float) -> None:
         """Deduct a call of this entry from the upstream's limit."""
@@ -171,11 +171,11 @@
         """Apply a notice unless a later one is known."""
         if not entry:
             self._own_notices[upstream] = notice
-        before = self._notices.get(upstream)
-        if before is not None and before.received_at > notice.received_at:
+        previous = self._notices.get(upstream)
+        if previous is not None and previous.received_at > notice.received_at:
             return None
         self._notices[upstream] = notice
-        known_per_s = None if before is None else before.per_s
+        known_per_s = None if previous is None else previous.per_s
         if notice.per_s is None:
             self._limits.pop(upstream, None)
         else:
--- a/src/snipebend/relay/retry_after.py
+++ b/src/snipebend/relay/retry_after.py
@@ -21,9 +21,9 @@
 
 
 #: Share of its time left for which a request is held until the entry has a
-#: document: 1.6 s of 8 s. After all processes were killed, a leader is elected
-#: and its address received 0.2 to 1.2 s after entries listen; callers abandon
-#: requests that are held for 2 s.
+#: document: 1.6 s of 8 s. After all processes were killed, entries receive the
+#: first update of an elected leader 0.2 to 1.2 s after they listen; callers
+#: abandon requests that are held for 2 s.
 DOCUMENT_WAIT_SHARE = 0.2
 
 
--- a/src/snipebend/relay/upstream_groups.py
+++ b/src/snipebend/relay/upstream_groups.py
@@ -73,8 +73,8 @@
         ``allowed_pause_s`` is the longest pause allowed between two events; 0:
         any. Steps that are long for another reason, after a shift in demand,
         are so in all groups and only for a short time: avoiding such a group
-        overloaded the other one and made the streams of both late in turn (the
-        streams' value fell from 1.0 to 0.72 for the 2 s of a shift).
+        overloaded the other one and made the streams of both late in turn (they
+        had 0.72 to 1.0 of their value in the 2 s of a shift).
         """
         if not self.has_slow_rank or not allowed_pause_s:
             return False
--- a/src/snipebend/relay/upstream_selection.py
+++ b/src/snipebend/relay/upstream_selection.py
@@ -45,8 +45,8 @@
     is_avoided: bool
     is_slow: bool
     load: float
-    is_far: bool
-    sample: float
+    is_remote: bool
+    tie_breaker: float
 
 
 def select_upstream(
@@ -70,7 +70,7 @@
         for upstream in candidates
         if upstream.is_open(now)
         and upstream.record.identity not in requirements.tried
-        and _has_room(upstream)
+        and _has_free_slot(upstream)
     ]
     if not ranked:
         return None
@@ -93,7 +93,7 @@
     return min(ends, default=None)
 
 
-def _has_room(upstream: Upstream) -> bool:
+def _has_free_slot(upstream: Upstream) -> bool:
     limit = upstream.record.slots * (1 + QUEUE_SHARE)
     return upstream.calls < limit
 
--- a/src/snipebend/relay/upstreams.py
+++ b/src/snipebend/relay/upstreams.py
@@ -195,16 +195,16 @@
             upstream = self._by_identity.get(identity)
             if upstream is None:
                 continue
-            before = upstream.refusals.is_avoided(now)
+            was_avoided = upstream.refusals.is_avoided(now)
             upstream.refusals.apply_report(report, now)
-            if upstream.refusals.is_avoided(now) and not before:
+            if upstream.refusals.is_avoided(now) and not was_avoided:
                 avoided.append(upstream)
         return avoided
 
     def count_statuses(self, now: float) -> dict[str, int]:
         """Return the number of upstreams by status."""
-        found = Counter(one.status(now) for one in self._by_identity.values())
-        return dict(found)
+        counts = Counter(one.status(now) for one in self._by_identity.values())
+        return dict(counts)
 
     def dump(self) -> dict[str, object]:
         """Return the state of each upstream."""
--- a/tests/edge/test_backoff.py
+++ b/tests/edge/test_backoff.py
@@ -66,10 +66,10 @@
 
             relay.service.pool.acquire = acquire_during_backoff
             got = await send_request(relay, request('/safe/'))
-            counts = relay.upstreams[0].requests
+            received = relay.upstreams[0].requests
             idle = relay.service.pool.count_idle()
         self.assertEqual(got.status, 503)
-        self.assertEqual(counts, [])
+        self.assertEqual(received, [])
         self.assertEqual(idle, {'i-0': 1})
 
     async def test_call_that_was_not_sent_spends_no_retry(self):
--- a/tests/edge/test_caller_side.py
+++ b/tests/edge/test_caller_side.py
@@ -26,7 +26,7 @@
 class TestFraming(unittest.IsolatedAsyncioTestCase):
     """Requests with ambiguous framing are refused, and no part of them runs."""
 
-    async def _refused(self, data, status):
+    async def _check_refused(self, data, status):
         async with running(respond_ok) as relay:
             reader, writer = await relay.connect()
             writer.write(data)
@@ -52,42 +52,42 @@
         )
         for lines in bodies:
             with self.subTest(lines=lines):
-                await self._refused(f'{HEAD}{lines}\r\nask'.encode(), 400)
+                await self._check_refused(f'{HEAD}{lines}\r\nask'.encode(), 400)
 
     async def test_missing_or_repeated_host(self):
         for lines in (f'Host: {HOST}\r\n', ''):
             head = HEAD if lines else HEAD.replace(f'Host: {HOST}\r\n', '')
             with self.subTest(lines=lines):
-                await self._refused(f'{head}{lines}\r\n'.encode(), 400)
+                await self._check_refused(f'{head}{lines}\r\n'.encode(), 400)
 
     async def test_not_http(self):
-        await self._refused(b'\x16\x03\x01\x02\x00\x01\x00\r\n\r\n', 400)
+        await self._check_refused(b'\x16\x03\x01\x02\x00\x01\x00\r\n\r\n', 400)
 
     async def test_absolute_target(self):
         data = request('/safe/').replace(b'/safe/', b'http://h.example/safe/')
-        await self._refused(data, 400)
+        await self._check_refused(data, 400)
 
     async def test_oversized_heads(self):
-        await self._refused(request('/safe/', x_long='a' * 3000), 431)
+        await self._check_refused(request('/safe/', x_long='a' * 3000), 431)
 
     async def test_oversized_head_without_an_end(self):
-        await self._refused(f'{HEAD}X-Long: {"a" * 5000}'.encode(), 431)
+        await self._check_refused(f'{HEAD}X-Long: {"a" * 5000}'.encode(), 431)
 
     async def test_oversized_bodies(self):
-        await self._refused(request('/safe/', body=b'a' * 5000), 413)
+        await self._check_refused(request('/safe/', body=b'a' * 5000), 413)
         chunked = f'{HEAD}Transfer-Encoding: chunked\r\n\r\n'.encode()
-        await self._refused(b'%b1400\r\n%b' % (chunked, b'a' * 5120), 413)
+        await self._check_refused(b'%b1400\r\n%b' % (chunked, b'a' * 5120), 413)
 
     async def test_slow_head(self):
-        await self._refused(HEAD.encode(), 408)
+        await self._check_refused(HEAD.encode(), 408)
 
     async def test_smuggled_request_does_not_run(self):
         inner = request('/unsafe/', x_id='smuggled')
         async with running(respond_ok) as relay:
             got = await send_request(relay, request('/safe/', body=inner))
             self.assertEqual(got.status, 200)
-            seen = relay.upstreams[0].requests
-            self.assertEqual([one.body for one in seen], [inner])
+            received = relay.upstreams[0].requests
+            self.assertEqual([one.body for one in received], [inner])
 
 
 class TestConnections(unittest.IsolatedAsyncioTestCase):
--- a/tests/edge/test_document_fetcher.py
+++ b/tests/edge/test_document_fetcher.py
@@ -30,9 +30,9 @@
 
     async def call(self, peer, method, req, *, timeout):
         self.requested.append(peer)
-        encode_response = self.replies.get(peer)
-        if encode_response is not None:
-            return encode_response
+        reply = self.replies.get(peer)
+        if reply is not None:
+            return reply
         return Ok(self.stores[peer].get_part(req))
 
 
--- a/tests/edge/test_early_listener.py
+++ b/tests/edge/test_early_listener.py
@@ -28,13 +28,13 @@
         early = socket.create_connection(listener.getsockname())
         early.sendall(request('/safe/'))
 
-        async def encode_response(_, writer):
+        async def respond(_, writer):
             writer.write(
                 b'HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Proof: p\r\n'
                 b'Content-Length: 2\r\n\r\nok'
             )
 
-        async with running(encode_response, listener=listener):
+        async with running(respond, listener=listener):
             early.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=early)
             got = await read_response(reader)
--- a/tests/edge/test_gossip.py
+++ b/tests/edge/test_gossip.py
@@ -37,11 +37,11 @@
         await gossip.start(registry)
         self.addAsyncCleanup(registry.tasks.stop)
         self.addAsyncCleanup(gossip.stop)
-        self.gossip_state[name] = state
+        self.states[name] = state
         return gossip, follower, state.calls_received
 
     def setUp(self):
-        self.gossip_state = {}
+        self.states = {}
 
     async def test_calls_reach_other_entries(self):
         calls = {'i-1': 2}
@@ -58,21 +58,21 @@
         _, sender, _ = await self.start('a', {})
         _, receiver, _ = await self.start('b', {})
         sender.entries = frozenset((receiver.gossip_address,))
-        self.gossip_state['a'].limits['i-1'] = LimitReport(3, 0.5, 2.0)
+        self.states['a'].limits['i-1'] = LimitReport(3, 0.5, 2.0)
         message = await asyncio.wait_for(
-            self.gossip_state['b'].limits_received.get(), 10
+            self.states['b'].limits_received.get(), 10
         )
         self.assertEqual(message, ('a', {'i-1': LimitReport(3, 0.5, 2.0)}))
         # This entry receives nothing from the one other entry.
-        self.assertEqual(self.gossip_state['a'].share, 0.5)
+        self.assertEqual(self.states['a'].share, 0.5)
 
     async def test_refusals_reach_other_entries(self):
         _, sender, _ = await self.start('a', {})
         _, receiver, _ = await self.start('b', {})
         sender.entries = frozenset((receiver.gossip_address,))
-        self.gossip_state['a'].refusals['i-1'] = RefusalReport(3, 0.5)
+        self.states['a'].refusals['i-1'] = RefusalReport(3, 0.5)
         message = await asyncio.wait_for(
-            self.gossip_state['b'].refusals_received.get(), 10
+            self.states['b'].refusals_received.get(), 10
         )
         self.assertEqual(message, ('a', {'i-1': RefusalReport(3, 0.5)}))
 
@@ -81,8 +81,8 @@
         former = ('a', 10.0, 1, {'i': 2}, False)
         gossip.datagram_received(msgpack.encode(former), ('h', 1))
         self.assertEqual(received.get_nowait(), ('a', {'i': 2}))
-        self.assertTrue(self.gossip_state['b'].limits_received.empty())
-        self.assertTrue(self.gossip_state['b'].refusals_received.empty())
+        self.assertTrue(self.states['b'].limits_received.empty())
+        self.assertTrue(self.states['b'].refusals_received.empty())
 
     async def test_calls_are_forwarded_in_another_data_center(self):
         _, sender, _ = await self.start('a', {'i-1': 2})
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -34,7 +34,7 @@
 class TestLeaving(unittest.IsolatedAsyncioTestCase):
     """An upstream gets no new work once this entry knows that it leaves."""
 
-    async def requests(self, script, path, number=8):
+    async def count_requests(self, script, path, number=8):
         """Return how many requests each upstream got."""
         async with running(script, respond_ok) as relay:
             for _ in range(number):
@@ -42,24 +42,24 @@
             return [len(one.requests) for one in relay.upstreams]
 
     async def test_no_calls_after_a_notice(self):
-        self.assertEqual(await self.requests(leaving, '/unsafe/'), [1, 7])
+        self.assertEqual(await self.count_requests(leaving, '/unsafe/'), [1, 7])
 
     async def test_notice_in_a_failure(self):
         self.assertEqual(
-            await self.requests(leaving_and_failing, '/safe/'), [1, 8]
+            await self.count_requests(leaving_and_failing, '/safe/'), [1, 8]
         )
 
     async def test_notice_in_the_head_of_a_stream(self):
         self.assertEqual(
-            await self.requests(leaving_stream, '/stream/'), [1, 7]
+            await self.count_requests(leaving_stream, '/stream/'), [1, 7]
         )
 
     async def test_refused_at_once_if_all_leave(self):
         async with running(leaving) as relay:
             await send_request(relay, request('/unsafe/'))
             got = await send_request(relay, request('/unsafe/'))
-            count_requests = len(relay.upstreams[0].requests)
-        self.assertEqual((got.status, count_requests), (503, 1))
+            count = len(relay.upstreams[0].requests)
+        self.assertEqual((got.status, count), (503, 1))
         self.assertIn(b'not-run', got.body)
 
     async def test_notice_of_another_incarnation_is_ignored(self):
--- a/tests/edge/test_refusal_causes.py
+++ b/tests/edge/test_refusal_causes.py
@@ -13,10 +13,10 @@
 OTHER_RANK = '10.9.9.9:80'
 
 
-class TestBlame(unittest.IsolatedAsyncioTestCase):
+class TestRefusalCauses(unittest.IsolatedAsyncioTestCase):
     """A group is avoided if another rank is lost, not if one is full."""
 
-    async def send_request(self, faulty_address):
+    async def is_group_avoided(self, faulty_address):
         """Be refused by the only rank; return whether its group is avoided."""
 
         async def refuse(req, writer):
@@ -38,7 +38,7 @@
             )
 
     async def test_full_rank_names_itself(self):
-        self.assertFalse(await self.send_request(''))
+        self.assertFalse(await self.is_group_avoided(''))
 
     async def test_lost_rank_is_named(self):
-        self.assertTrue(await self.send_request(OTHER_RANK))
+        self.assertTrue(await self.is_group_avoided(OTHER_RANK))
--- a/tests/edge/test_refusals.py
+++ b/tests/edge/test_refusals.py
@@ -37,8 +37,8 @@
         async with running(refuse) as relay:
             for _ in range(2):
                 await send_request(relay, request('/unsafe/'))
-            counts = len(relay.upstreams[0].requests)
-        self.assertEqual(counts, 2)
+            count = len(relay.upstreams[0].requests)
+        self.assertEqual(count, 2)
 
 
 if __name__ == '__main__':
--- a/tests/edge/test_relay.py
+++ b/tests/edge/test_relay.py
@@ -253,7 +253,9 @@
             self.assertEqual(
                 got.body, make_event(1) + make_event(2) + make_event(3)
             )
-            received = [one for up in relay.upstreams for one in up.requests]
+            received = [
+                one for upstream in relay.upstreams for one in upstream.requests
+            ]
             self.assertEqual(
                 sorted(one.headers.get('x-after', '-') for one in received),
                 ['-', '2'],
@@ -341,7 +343,7 @@
             self.assertIn(b'unknown', got.body)
 
 
-class TestLeaving(unittest.IsolatedAsyncioTestCase):
+class TestDisconnects(unittest.IsolatedAsyncioTestCase):
     """Callers that disconnect, and an entry that shuts down."""
 
     async def test_idempotent_request_is_aborted(self):
--- a/tests/relay/test_entry_directory.py
+++ b/tests/relay/test_entry_directory.py
@@ -15,7 +15,7 @@
         directory.update('a', ('e:1', 'e:2', 'e:3'), ('x', 'y', 'y'))
         directory.update('b', ('e:1',), ('x',))
         self.assertEqual(
-            directory.data_centers(), {'e:1': 'x', 'e:2': 'y', 'e:3': 'y'}
+            directory.merge_data_centers(), {'e:1': 'x', 'e:2': 'y', 'e:3': 'y'}
         )
 
     def test_entry_that_no_daemon_lists_is_removed(self):
@@ -23,22 +23,24 @@
         for daemon in ('a', 'b'):
             directory.update(daemon, ('e:1', 'e:2'), ('x', 'y'))
         directory.update('a', ('e:1',), ('x',))
-        self.assertIn('e:2', directory.data_centers())
+        self.assertIn('e:2', directory.merge_data_centers())
         directory.update('b', ('e:1',), ('x',))
-        self.assertEqual(directory.data_centers(), {'e:1': 'x'})
+        self.assertEqual(directory.merge_data_centers(), {'e:1': 'x'})
 
     def test_list_of_lost_daemon_is_removed(self):
         directory = EntryDirectory()
         directory.update('a', ('e:1',), ('x',))
         directory.update('b', ('e:2',), ('y',))
         directory.remove_daemon('a')
-        self.assertEqual(directory.data_centers(), {'e:2': 'y'})
+        self.assertEqual(directory.merge_data_centers(), {'e:2': 'y'})
 
     def test_earlier_versions_send_no_data_centers(self):
         directory = EntryDirectory()
         directory.update('a', ('e:1',), ('x',))
         directory.update('b', ('e:1', 'e:2'), ())
-        self.assertEqual(directory.data_centers(), {'e:1': 'x', 'e:2': ''})
+        self.assertEqual(
+            directory.merge_data_centers(), {'e:1': 'x', 'e:2': ''}
+        )
 
 
 if __name__ == '__main__':
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -224,8 +224,10 @@
 
     def test_wait_for_room(self):
         self.respond(2.0, 1.0)
-        self.assertAlmostEqual(self.table.wait_for_room_s(UPSTREAM, 1.0), 0.5)
-        self.assertEqual(self.table.wait_for_room_s(UPSTREAM, 2.0), 0)
+        self.assertAlmostEqual(
+            self.table.seconds_until_room(UPSTREAM, 1.0), 0.5
+        )
+        self.assertEqual(self.table.seconds_until_room(UPSTREAM, 2.0), 0)
 
 
 if __name__ == '__main__':
