--- a/src/snipebend/daemons/host_control.py
+++ b/src/snipebend/daemons/host_control.py
@@ -17,14 +17,14 @@
 from snipebend.transport.rpc_server import RpcServer
 
 if TYPE_CHECKING:
-    from snipebend.edge.host_follower import ReadTable
+    from snipebend.edge.host_follower import TableParser
     from snipebend.hosts.model import HostTable
     from snipebend.balancing.group_eyes import EngineLink
     from snipebend.settings.model import ControlSettings
 
 
 def build_host_control(
-    cfg: ControlSettings, link: EngineLink, read_table: ReadTable
+    cfg: ControlSettings, link: EngineLink, read_table: TableParser
 ) -> tuple[Process, HostKeeper, HttpServer]:
     """Build the process, its keeper and the server of its outer calls."""
     admin = build_admin(cfg.listen)
@@ -50,7 +50,7 @@
 class TableReader:
     """Reads the document in force once for each number."""
 
-    def __init__(self, keeper: HostKeeper, read_table: ReadTable) -> None:
+    def __init__(self, keeper: HostKeeper, read_table: TableParser) -> None:
         """Start without a document."""
         self._keeper = keeper
         self._read_table = read_table
--- a/src/snipebend/daemons/relay_entry.py
+++ b/src/snipebend/daemons/relay_entry.py
@@ -6,7 +6,7 @@
 
 from snipebend.daemons.running import build_admin, connect_admin
 from snipebend.edge.gossip import Gossip
-from snipebend.edge.host_follower import HostFollower, ReadTable
+from snipebend.edge.host_follower import HostFollower, TableParser
 from snipebend.edge.relay_server import RelayServer
 from snipebend.edge.relay_service import RelayService
 from snipebend.edge.step_time_reporter import StepTimeReporter
@@ -28,7 +28,7 @@
 def build_relay_entry(
     cfg: RelaySettings,
     dialect: Dialect,
-    read_table: ReadTable,
+    read_table: TableParser,
     listener: socket.socket | None = None,
 ) -> tuple[Process, HttpServer]:
     """Build the process, and the server that tells whether it is ready.
--- a/src/snipebend/edge/gossip.py
+++ b/src/snipebend/edge/gossip.py
@@ -83,7 +83,7 @@
 
 
 class _Digest(NamedTuple):
-    """The content of a message that is sent at once when it changes."""
+    """The content of a message; a change triggers the next message."""
 
     calls: dict[str, int]
     #: Without ages.
--- a/src/snipebend/edge/host_follower.py
+++ b/src/snipebend/edge/host_follower.py
@@ -36,7 +36,7 @@
     from snipebend.state.roster import UpstreamRecord
 
 #: Parses the body of a document.
-ReadTable = Callable[[bytes], Result[HostTable, InvalidInputError]]
+TableParser = Callable[[bytes], Result[HostTable, InvalidInputError]]
 
 #: Seconds without an update, of which one is sent every half second, after
 #: which a watch is reopened: including the reconnect, this stays within the 2 s
@@ -73,7 +73,7 @@
         name: str,
         cfg: RelaySettings,
         clients: RpcClients,
-        read_table: ReadTable,
+        read_table: TableParser,
     ) -> None:
         """Keep the seeds; ``read_table`` parses a document."""
         super().__init__(name)
--- a/src/snipebend/relay/rate_limit.py
+++ b/src/snipebend/relay/rate_limit.py
@@ -88,7 +88,7 @@
         self.balance -= 1
 
     def apply_call_count(self, entry: str, spent: CallCount) -> None:
-        """Deduct the calls that another entry began since its report."""
+        """Deduct the calls another entry began since its previous report."""
         known = self._others.get(entry)
         self._others[entry] = spent
         if known is None or known.started_at != spent.started_at:
--- a/src/snipebend/relay/rate_limit_table.py
+++ b/src/snipebend/relay/rate_limit_table.py
@@ -26,8 +26,7 @@
 
     #: Calls begun since this entry has tracked the limit.
     calls: int
-    #: Age of this entry's last response from the upstream; None if there is
-    #: none.
+    #: Seconds since this entry's last response from the upstream, if any.
     age_s: float | None = None
     #: The limit in that response; None if there was none.
     per_s: float | None = None
