--- a/src/snipebend/balancing/engine_http.py
+++ b/src/snipebend/balancing/engine_http.py
@@ -13,7 +13,7 @@
 
 from snipebend.balancing.engine_backoffs import EngineBackoffs
 from snipebend.balancing.order_dispatcher import OrderDispatcher
-from snipebend.relay.statement_reading import read_rest
+from snipebend.relay.backpressure_headers import parse_backoff
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -126,7 +126,9 @@
     def _record_backoff(
         self, upstream: UpstreamRecord, resp: ClientResponse
     ) -> None:
-        backoff = read_rest(resp.status, resp.headers.getall('Retry-After', ()))
+        backoff = parse_backoff(
+            resp.status, resp.headers.getall('Retry-After', ())
+        )
         if backoff is None:
             return
         logger.info(
--- /dev/null
+++ b/src/snipebend/edge/relay_service.py
@@ -0,0 +1,336 @@
+"""Admits requests, selects their upstreams, and counts the calls."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from typing import TYPE_CHECKING
+
+from loguru import logger
+
+from snipebend.edge.host_follower import HostFollower
+from snipebend.edge.outage_wait import OutageWait
+from snipebend.edge.rate_limit_tracker import RateLimitTracker
+from snipebend.edge.refusal_writer import RefusalWriter
+from snipebend.edge.relay_meters import GaugeSources, RelayMeters
+from snipebend.edge.relayed_request import RelayedRequest
+from snipebend.edge.upstream_notices import UpstreamNotices
+from snipebend.edge.upstream_pool import UpstreamPool
+from snipebend.kernel.service import Service
+from snipebend.relay import problems
+from snipebend.relay.admission import DEFAULT_TIMEOUT_S, Admitted, admit
+from snipebend.relay.facts import CallerFacts
+from snipebend.relay.retry_after import document_wait_deadline
+from snipebend.relay.step_times import StepTimeMeter
+from snipebend.relay.upstream_selection import (
+    CallRequirements,
+    NoCapacity,
+    earliest_backoff_end,
+    select_upstream,
+)
+from snipebend.relay.upstreams import UpstreamTable
+from snipebend.routing.retry_budget import RetryBudget, balance_cap_per_entry
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    from snipebend.edge.call import Call
+    from snipebend.edge.caller_parser import CompleteRequest
+    from snipebend.edge.response_writer import ResponseWriter
+    from snipebend.hosts.lookup import HostIndex
+    from snipebend.kernel.registry import Registry
+    from snipebend.relay.facts import Dialect
+    from snipebend.relay.rate_limit_table import LimitReport
+    from snipebend.relay.refusals import RefusalReport
+    from snipebend.relay.upstreams import Upstream
+    from snipebend.settings.relay import RelaySettings
+    from snipebend.state.roster import UpstreamRecord
+
+#: Seconds between two checks of idle connections.
+SWEEP_INTERVAL_S = 1.0
+
+
+class RelayService(Service):
+    """Serves requests."""
+
+    def __init__(self, name: str, cfg: RelaySettings, dialect: Dialect) -> None:
+        """Keep the settings."""
+        super().__init__(name)
+        self.dialect = dialect
+        self._cfg = cfg
+        self._upstreams = UpstreamTable()
+        self.step_times = StepTimeMeter()
+        self._budgets: dict[str, RetryBudget] = {}
+        # Only spreads choices of entries; predictable numbers do no harm.
+        self._rng = random.Random()
+        self._in_progress = 0
+
+    async def start(self, registry: Registry) -> None:
+        """Follow the document and the roster."""
+        self._clock = registry.clock
+        self._tasks = registry.tasks
+        self.pool = UpstreamPool(self._cfg.relay, self.dialect, self._clock)
+        self._follower = registry.find('hosts', HostFollower)
+        self._follower.on_upstreams = self._apply_upstreams
+        self._follower.on_groups = self._upstreams.apply_group_statuses
+        self.outage_wait = OutageWait(self.now)
+        self._follower.on_update = self.outage_wait.wake
+        self.meters = RelayMeters(
+            GaugeSources(
+                lambda: self._in_progress,
+                lambda: self._follower.number,
+                lambda: self._follower.update_age_s,
+                self._retries_left,
+                lambda: self._upstreams.count_statuses(self.now()),
+            )
+        )
+        self.refusal_writer = RefusalWriter(
+            self.dialect, self._follower, self.meters
+        )
+        self.limits = RateLimitTracker(self.now, self.meters)
+        self.notices = UpstreamNotices(self.now, self.meters, self.limits)
+        self._tasks.start('sweep', self._sweep_forever)
+
+    async def stop(self) -> None:
+        """Close idle connections."""
+        self.pool.close()
+
+    def ready(self) -> bool:
+        """Return whether there are upstreams to call."""
+        return any(True for _ in self._upstreams)
+
+    def dump(self) -> Mapping[str, object]:
+        """Return calls and upstreams."""
+        return {
+            'in_work': self._in_progress,
+            'idle_to_upstreams': self.pool.count_idle(),
+            'upstreams': self._upstreams.dump(),
+            'limits': self.limits.table.dump(),
+        }
+
+    @property
+    def index(self) -> HostIndex | None:
+        """Return the document in force, if one is known."""
+        return self._follower.index
+
+    async def serve(
+        self, req: CompleteRequest, response: ResponseWriter
+    ) -> None:
+        """Serve one request."""
+        facts = self.dialect.read_caller(req.head)
+        if facts is None:
+            self.refusal_writer.refuse(
+                response, problems.malformed(), CallerFacts()
+            )
+            return
+        arrived_at = self.now()
+        if self.index is None:
+            await self._wait_for_document(facts)
+        target = req.head.target.decode('latin-1')
+        admitted = admit(
+            self.index, facts, target, arrived_at, self._rng.random()
+        )
+        if not isinstance(admitted, Admitted):
+            self.refusal_writer.refuse(response, admitted, facts)
+            return
+        self._budget(admitted.service).record_request()
+        self._in_progress += 1
+        try:
+            await RelayedRequest(self, req, response, admitted).run()
+        finally:
+            self._in_progress -= 1
+            self._log_request_ended(admitted, response)
+
+    def now(self) -> float:
+        """Return monotonic seconds."""
+        return self._clock.now()
+
+    def select_upstream(
+        self, admitted: Admitted, tried: Sequence[str]
+    ) -> Upstream | None:
+        """Return an upstream for a call, or None if none has capacity."""
+        if not self.limits.table:
+            return self._select_upstream(admitted, tried)
+        selected = self._select_upstream(admitted, tried)
+        if selected is None or not self.limits.seconds_until_room(selected):
+            return selected
+        self.limits.log_diverted_call(
+            admitted.facts.request_id, admitted.service, selected
+        )
+        return self._select_upstream(admitted, tried, within_limits=True)
+
+    def has_alternative(self, admitted: Admitted, tried: Sequence[str]) -> bool:
+        """Return whether another upstream can accept a call now."""
+        found = self._select_upstream(admitted, tried, within_limits=True)
+        return found is not None
+
+    def find_capacity_wait(
+        self, admitted: Admitted, tried: Sequence[str]
+    ) -> NoCapacity | None:
+        """Return why and until when upstreams accept no calls, if known."""
+        now = self.now()
+        candidates = self._upstreams.list_service(admitted.service)
+        backoff_ends_at = earliest_backoff_end(candidates, now)
+        if backoff_ends_at is not None:
+            return NoCapacity(
+                'all upstreams asked for a rest', backoff_ends_at - now
+            )
+        wait_s = self.limits.seconds_until_room(
+            self._select_upstream(admitted, tried)
+        )
+        if wait_s:
+            return NoCapacity('limits leave no room', wait_s)
+        return None
+
+    def record_pause(
+        self, upstream: Upstream, events: int, seconds: float
+    ) -> None:
+        """Record the time before the latest events of a stream."""
+        self.meters.record_pause(seconds)
+        group = upstream.group
+        if group is not None and events:
+            group.record_steps(events, seconds, self.now())
+            self.step_times.record(group.name, events, seconds)
+
+    def acquire_retry(self, service: str) -> bool:
+        """Spend one retry of a service's budget, if there is one left."""
+        acquired = self._budget(service).take(self.now())
+        if not acquired:
+            self.meters.count_refused_retry(service)
+            logger.info('event=retry_refused service={}', service)
+        return acquired
+
+    def own_calls(self) -> dict[str, int]:
+        """Return this entry's calls in progress, by upstream identity."""
+        return {
+            upstream.record.identity: upstream.own_calls
+            for upstream in self._upstreams
+            if upstream.own_calls
+        }
+
+    def make_limit_reports(self) -> dict[str, LimitReport]:
+        """Return the rate limit reports for others, by upstream identity."""
+        return self.limits.table.make_report(self.now())
+
+    def apply_calls(self, entry: str, calls: dict[str, int]) -> None:
+        """Apply the calls that another entry has in progress."""
+        self._upstreams.apply_calls(entry, calls)
+
+    def apply_limits(
+        self, entry: str, started_at: float, limits: dict[str, LimitReport]
+    ) -> None:
+        """Apply another entry's rate limit reports."""
+        self.limits.apply_report(entry, started_at, limits)
+
+    def make_refusal_reports(self) -> dict[str, RefusalReport]:
+        """Return the refusal reports for others, by upstream identity."""
+        return self._upstreams.report_refusals(self.now())
+
+    def apply_refusals(
+        self, entry: str, refusals: dict[str, RefusalReport]
+    ) -> None:
+        """Apply another entry's refusal reports."""
+        for upstream in self._upstreams.apply_refusals(refusals, self.now()):
+            logger.info(
+                'event=upstream_avoided upstream={} service={} refusals={} '
+                + 'heard_by={}',
+                upstream.record.identity,
+                upstream.record.service,
+                upstream.refusals.consecutive,
+                entry,
+            )
+
+    def record_reachable_share(self, share: float) -> None:
+        """Record the share of entries whose messages are received here."""
+        self.limits.table.share = share
+
+    def finish_in_background(self, call: Call, deadline: float) -> None:
+        """Let a call finish that must not be aborted; discard its response."""
+        if not call.finished:
+            timeout_s = deadline - self.now()
+            self._tasks.once('finish-behind', lambda: call.drain(timeout_s))
+
+    def _select_upstream(
+        self,
+        admitted: Admitted,
+        tried: Sequence[str],
+        *,
+        within_limits: bool = False,
+    ) -> Upstream | None:
+        requirements = CallRequirements(
+            self._cfg.process.data_center, admitted.route.gap_s, tried
+        )
+        candidates: Sequence[Upstream] = self._upstreams.list_service(
+            admitted.service
+        )
+        if within_limits:
+            candidates = self.limits.filter_with_room(candidates)
+        return select_upstream(candidates, requirements, self.now(), self._rng)
+
+    def _retries_left(self) -> dict[str, float]:
+        return {name: one.left for name, one in self._budgets.items()}
+
+    async def _wait_for_document(self, facts: CallerFacts) -> None:
+        """Hold a request for a while until the first document arrives."""
+        began_at = self.now()
+        timeout_s = facts.timeout_s or DEFAULT_TIMEOUT_S
+        deadline = document_wait_deadline(began_at, began_at + timeout_s)
+        available = await self.outage_wait.wait_until(
+            lambda: self.index is not None, deadline
+        )
+        logger.info(
+            'event=waited request={} for=document known={} waited_ms={:.0f} '
+            + 'waiting={}',
+            facts.request_id,
+            available,
+            1000 * (self.now() - began_at),
+            self.outage_wait.waiting,
+        )
+
+    def _log_request_ended(
+        self, admitted: Admitted, response: ResponseWriter
+    ) -> None:
+        now = self.now()
+        self.meters.record_request(admitted, response, now)
+        first_byte_at = response.first_byte_at
+        logger.info(
+            'event=request_ended request={} status={} took_ms={:.0f} '
+            + 'first_ms={:.0f}',
+            admitted.facts.request_id,
+            response.status,
+            1000 * (now - admitted.began_at),
+            -1
+            if first_byte_at is None
+            else 1000 * (first_byte_at - admitted.began_at),
+        )
+
+    def _budget(self, service: str) -> RetryBudget:
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = RetryBudget(self._cfg.relay.retry_ratio)
+            self._budgets[service] = budget
+        entries = len(self._follower.entries) + 1
+        budget.update_balance_cap(
+            balance_cap_per_entry(self._cfg.relay.retry_slack, entries)
+        )
+        return budget
+
+    def _apply_upstreams(self, records: tuple[UpstreamRecord, ...]) -> None:
+        for record in records:
+            logger.info(
+                'event=upstream_seen upstream={} service={} phase={} '
+                + 'address={} roster_revision={}',
+                record.identity,
+                record.service,
+                record.phase.name,
+                record.address,
+                record.revision,
+            )
+        for ended in self._upstreams.apply_records(records):
+            self.pool.close_idle(ended.record.identity)
+            self.limits.table.remove(ended.record.identity)
+
+    async def _sweep_forever(self) -> None:
+        while True:
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            self.pool.close_expired()
--- /dev/null
+++ b/tests/edge/gossip_state.py
@@ -0,0 +1,39 @@
+"""A stand-in for the state that entries exchange by gossip."""
+
+from __future__ import annotations
+
+import asyncio
+
+
+class FakeGossipState:
+    """One entry's calls, and queues of what it received from others."""
+
+    def __init__(self, calls):
+        self.calls = calls
+        self.limits = {}
+        self.refusals = {}
+        self.calls_received = asyncio.Queue()
+        self.limits_received = asyncio.Queue()
+        self.refusals_received = asyncio.Queue()
+        self.share = None
+
+    def own_calls(self):
+        return dict(self.calls)
+
+    def make_limit_reports(self):
+        return dict(self.limits)
+
+    def make_refusal_reports(self):
+        return dict(self.refusals)
+
+    def apply_refusals(self, entry, refusals):
+        self.refusals_received.put_nowait((entry, refusals))
+
+    def apply_calls(self, entry, calls):
+        self.calls_received.put_nowait((entry, calls))
+
+    def apply_limits(self, entry, started_at, limits):
+        self.limits_received.put_nowait((entry, limits))
+
+    def record_reachable_share(self, share):
+        self.share = share
--- a/tests/transport/test_host_keeper.py
+++ b/tests/transport/test_host_keeper.py
@@ -11,7 +11,7 @@
     UpstreamGroupStatus,
 )
 from snipebend.transport import host_keeper
-from tests.edge.document_rig import Daemon
+from tests.edge.document_fixture import Daemon
 
 
 class TestWatch(unittest.IsolatedAsyncioTestCase):
