--- a/src/snipebend/console/__init__.py
+++ b/src/snipebend/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line, one command a module."""
+"""The command line for operators, with one module per command."""
--- a/src/snipebend/console/application.py
+++ b/src/snipebend/console/application.py
@@ -1,4 +1,4 @@
-"""The command line of operators."""
+"""Entry point and argument parser of the ``snipebend`` command line."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Command(NamedTuple):
-    """One command of the application."""
+    """A subcommand with its help texts and functions."""
 
     name: str
     help: str
@@ -22,7 +22,7 @@
     run: Callable[..., int]
 
 
-def _commands() -> tuple[Command, ...]:
+def _list_commands() -> tuple[Command, ...]:
     modules = {
         'check': check,
         'apply': apply,
@@ -41,14 +41,14 @@
 
 
 def build_parser() -> ArgumentParser:
-    """Build the parser with all commands."""
+    """Build the argument parser with all subcommands."""
     parser = ArgumentParser(
         'snipebend',
-        description='Operate a snipebend fleet by applying files.',
+        description='Configure and inspect a snipebend fleet.',
         epilog=EPILOG,
     )
     subparsers = parser.add_subparsers(required=True, metavar='COMMAND')
-    for command in _commands():
+    for command in _list_commands():
         sub = subparsers.add_parser(
             command.name,
             help=command.help,
@@ -62,7 +62,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command and return its exit code."""
+    """Run the command named on the command line and return its exit code."""
     args = build_parser().parse_args(arguments)
     return int(args.run(args))
 
--- a/src/snipebend/console/connection.py
+++ b/src/snipebend/console/connection.py
@@ -1,4 +1,4 @@
-"""Finding and calling the control daemons from the command line."""
+"""Finds and calls the control daemons for the command line."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 Request = TypeVar('Request', bound=Struct)
 Reply = TypeVar('Reply', bound=Struct)
 
-#: Environment variable with control addresses, joined by commas.
+#: Environment variable with the control addresses, separated by commas.
 CONTROL_VARIABLE = 'SNIPEBEND_CONTROL'
 
-#: Settings file of the command line, looked for in the current folder.
+#: Settings file of the command line, in the current folder.
 CONTROL_FILE = 'snipebend.toml'
 
-#: Seconds for one call to one control daemon.
+#: Seconds after which a call to one control daemon times out.
 CALL_TIMEOUT_S = 5.0
 
 
@@ -38,7 +38,7 @@
 
 
 def add_control_option(parser: ArgumentParser) -> None:
-    """Let a command take the control daemons' addresses."""
+    """Add the ``--control`` option to a command's parser."""
     parser.add_argument(
         '--control',
         metavar='IP:PORT[,IP:PORT]',
@@ -49,8 +49,10 @@
     )
 
 
-def find_control(args: Namespace) -> Result[list[str], SnipebendError]:
-    """Take the addresses from the flag, the environment or the settings."""
+def find_control_addresses(
+    args: Namespace,
+) -> Result[list[str], SnipebendError]:
+    """Return the addresses of the flag, the environment or the settings."""
     given: str = args.control or os.environ.get(CONTROL_VARIABLE, '')
     if given:
         return Ok([part.strip() for part in given.split(',')])
@@ -70,8 +72,8 @@
     method: Method[Request, Reply],
     req: Request,
 ) -> Result[Reply, SnipebendError]:
-    """Call the first control daemon that answers."""
-    found = find_control(args)
+    """Call the control daemons in turn until one responds."""
+    found = find_control_addresses(args)
     if found.is_err():
         return Err(found.unwrap_err())
     return asyncio.run(call_any(found.unwrap(), method, req))
@@ -82,36 +84,41 @@
     method: Method[Request, Reply],
     req: Request,
 ) -> Result[Reply, SnipebendError]:
-    """Try one address after the other; return the last failure."""
+    """Call the addresses in turn until one responds.
+
+    If none does, the error of the last call is returned.
+    """
     clients = RpcClients()
-    failure: SnipebendError = InvalidInputError('no address', step='call')
+    error: SnipebendError = InvalidInputError(
+        'no control address given', step='call'
+    )
     try:
         for peer in addresses:
-            answer = await clients.call(
+            reply = await clients.call(
                 peer,
                 method,
                 req,
                 timeout=CALL_TIMEOUT_S,
             )
-            if answer.is_ok():
-                return Ok(answer.unwrap())
-            failure = answer.unwrap_err()
+            if reply.is_ok():
+                return Ok(reply.unwrap())
+            error = reply.unwrap_err()
     finally:
         clients.close()
-    return Err(failure)
+    return Err(error)
 
 
-async def call_each(
+async def call_all(
     addresses: list[str],
     method: Method[Request, Reply],
     req: Request,
     *,
     timeout: float = CALL_TIMEOUT_S,
 ) -> dict[str, Reply | None]:
-    """Ask all addresses at once; ``None`` stands for no answer."""
+    """Call all addresses at once; ``None`` stands for a failed call."""
     clients = RpcClients()
     try:
-        answers = await asyncio.gather(
+        outcomes = await asyncio.gather(
             *(
                 clients.call(peer, method, req, timeout=timeout)
                 for peer in addresses
@@ -119,5 +126,5 @@
         )
     finally:
         clients.close()
-    replies = [answer.unwrap_or(None) for answer in answers]
+    replies = [outcome.unwrap_or(None) for outcome in outcomes]
     return dict(zip(addresses, replies, strict=True))
--- a/src/snipebend/console/demo.py
+++ b/src/snipebend/console/demo.py
@@ -1,4 +1,4 @@
-"""``snipebend demo``: every daemon and two stand-in engines in one process."""
+"""``snipebend demo``: all daemons and two stand-in engines in one process."""
 
 from __future__ import annotations
 
@@ -33,29 +33,29 @@
 from snipebend.transport.methods import APPLY
 from snipebend.transport.rpc_server import RpcServer
 
-HELP = 'run the whole path in one process and print a served answer'
+HELP = 'run all daemons in one process and print one completion'
 EXAMPLES = 'example: snipebend demo --prompt "Describe a crack in a tile"'
 
 _ENGINES = 2
 _ENGINE = EngineConfig(model=MODEL)
 _POLL_S = 0.05
-_PATIENCE_S = 15.0
+_REQUEST_TIMEOUT_S = 15.0
 _DATA_CENTER = 'local-1'
 
 
 class DemoCluster(NamedTuple):
-    """The addresses of a running demonstration."""
+    """Addresses of a running demonstration: control gRPC and entry HTTP."""
 
     control: str
     entry: str
 
 
 def configure(parser: ArgumentParser) -> None:
-    """Add the arguments."""
+    """Add the command's arguments to the parser."""
     parser.add_argument(
         '--prompt',
         default='Describe the scratched door frame in the hall.',
-        help='what to ask',
+        help='the prompt to complete',
     )
     parser.add_argument(
         '--verbose',
@@ -65,8 +65,8 @@
 
 
 def run(args: Namespace) -> int:
-    """Start all, stream one answer, stop all gracefully."""
-    # Standard output is for the answer.
+    """Start all daemons, stream one completion and stop them gracefully."""
+    # Logs go to standard error: standard output holds only the answer.
     set_up_logs('demo', 'INFO' if args.verbose else 'ERROR', STANDARD_ERROR)
     return asyncio.run(_demonstrate(args.prompt))
 
@@ -78,7 +78,9 @@
             APPLY,
             ApplyRequest('demo', 0, FLEET),
         )
-        answer = await asyncio.wait_for(_ask(cluster, prompt), _PATIENCE_S)
+        answer = await asyncio.wait_for(
+            _request_completion(cluster, prompt), _REQUEST_TIMEOUT_S
+        )
         print_line(f'answer:{answer}')
         print_line(f'revision in force: {applied.unwrap().revision}')
     return ExitCode.DONE
@@ -90,22 +92,22 @@
     async with AsyncExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         control = build_control(_control_settings(folder))
-        await stack.enter_async_context(_started(control))
+        await stack.enter_async_context(_running(control))
         address = control.registry.find('grpc', RpcServer).address
         for number in range(_ENGINES):
             engine = await stack.enter_async_context(EmbeddedEngine(_ENGINE))
             agent = build_agent(
                 _agent_settings(f'engine-{number}', address, engine.address),
             )
-            await stack.enter_async_context(_started(agent))
+            await stack.enter_async_context(_running(agent))
         entry = build_entry(_entry_settings(address))
-        await stack.enter_async_context(_started(entry))
-        callers = entry.registry.find('http', HttpServer).address
-        yield DemoCluster(address, callers)
+        await stack.enter_async_context(_running(entry))
+        entry_address = entry.registry.find('http', HttpServer).address
+        yield DemoCluster(address, entry_address)
 
 
 @asynccontextmanager
-async def _started(process: Process) -> AsyncIterator[Process]:
+async def _running(process: Process) -> AsyncIterator[Process]:
     await process.start()
     try:
         yield process
@@ -113,12 +115,13 @@
         await process.stop()
 
 
-async def _ask(cluster: DemoCluster, prompt: str) -> str:
+async def _request_completion(cluster: DemoCluster, prompt: str) -> str:
     headers = {'authorization': f'Bearer {API_KEY}'}
     body = {'model': MODEL, 'prompt': prompt, 'max_tokens': 12, 'stream': True}
     url = f'http://{cluster.entry}/v1/completions'
     async with ClientSession(headers=headers) as session:
-        # Right after an apply the entry may not have the revision yet.
+        # Right after an apply the entry may not have the revision yet and
+        # refuses the request, so it is sent again until it succeeds.
         while True:
             async with session.post(url, json=body) as response:
                 if response.ok:
@@ -135,7 +138,7 @@
     return ''.join(tokens)
 
 
-def _base(name: str) -> dict[str, object]:
+def _common_sections(name: str) -> dict[str, object]:
     return {
         'process': {'name': name, 'data_center': _DATA_CENTER},
         'listen': {'grace_s': float(0)},
@@ -144,20 +147,20 @@
 
 def _control_settings(folder: str) -> ControlSettings:
     return ControlSettings.from_table(
-        {**_base('control'), 'storage': {'folder': folder}},
+        {**_common_sections('control'), 'storage': {'folder': folder}},
     )
 
 
 def _entry_settings(control: str) -> EntrySettings:
     return EntrySettings.from_table(
-        {**_base('entry'), 'control': {'addresses': [control]}},
+        {**_common_sections('entry'), 'control': {'addresses': [control]}},
     )
 
 
 def _agent_settings(name: str, control: str, engine: str) -> AgentSettings:
     return AgentSettings.from_table(
         {
-            **_base(name),
+            **_common_sections(name),
             'control': {'addresses': [control]},
             'upstream': {'policy': 'drafting', 'address': engine},
         },
--- a/src/snipebend/console/demo_fleet.py
+++ b/src/snipebend/console/demo_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet file that the demonstration applies."""
+"""The fleet file that ``snipebend demo`` applies."""
 
 from __future__ import annotations
 
--- a/src/snipebend/console/dump.py
+++ b/src/snipebend/console/dump.py
@@ -9,34 +9,34 @@
 from result import Err, Ok, Result
 
 from snipebend.console.exit_codes import ExitCode
-from snipebend.console.output import fail, print_line
+from snipebend.console.output import print_error, print_line
 from snipebend.errors.hierarchy import UnavailableError
 
 HELP = "print a process's state as JSON"
 EXAMPLES = 'example: snipebend dump 127.0.0.1:9100'
 
-#: Seconds for the whole call.
+#: Seconds after which the request times out.
 TIMEOUT_S = 5.0
 
 _STEP = 'dump'
 
 
 def configure(parser: ArgumentParser) -> None:
-    """Add the arguments."""
+    """Add the command's arguments to the parser."""
     parser.add_argument('address', help="the process's admin IP:PORT")
 
 
 def run(args: Namespace) -> int:
-    """Print the document as it comes."""
+    """Print the JSON document as the process returns it."""
     fetched = asyncio.run(fetch_dump(args.address))
     if fetched.is_err():
-        return fail(fetched.unwrap_err())
+        return print_error(fetched.unwrap_err())
     print_line(fetched.unwrap())
     return ExitCode.DONE
 
 
 async def fetch_dump(address: str) -> Result[str, UnavailableError]:
-    """Fetch the dump as JSON text."""
+    """Fetch the dump of the process at an admin address as JSON text."""
     timeout = ClientTimeout(total=TIMEOUT_S)
     try:
         async with ClientSession(timeout=timeout) as session:
--- a/src/snipebend/console/exit_codes.py
+++ b/src/snipebend/console/exit_codes.py
@@ -1,4 +1,4 @@
-"""The exit codes of every command."""
+"""Exit codes shared by all commands."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ExitCode(IntEnum):
-    """What a script can tell from a command's end."""
+    """The result of a command as scripts see it."""
 
     DONE = 0
-    #: The daemons answered, but not with what was asked for.
+    #: The daemons responded, but the command did not reach its goal.
     FAILED = 1
-    #: A file, a setting or an argument is wrong; nothing was changed.
+    #: A file, a setting or an argument is invalid; nothing was changed.
     BAD_INPUT = 2
-    #: Another change won; the answer shows the winner.
+    #: Another change was applied first; the reply holds its configuration.
     CONFLICT = 3
-    #: No daemon answered, or not enough of them in time.
+    #: No daemon responded, or too few of them in time.
     UNAVAILABLE = 4
 
 
--- a/src/snipebend/console/fleet_file.py
+++ b/src/snipebend/console/fleet_file.py
@@ -1,4 +1,4 @@
-"""Reading a fleet file for a command."""
+"""Reads and checks the fleet file that a command names."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 class FleetFile(NamedTuple):
-    """A checked file and its text."""
+    """The text of a fleet file and the fleet parsed from it."""
 
     text: str
     fleet: Fleet
 
 
 def read_fleet_file(path: Path) -> Result[FleetFile, SnipebendError]:
-    """Read and check a file; a file that is too large isn't even read."""
+    """Read and check a file; one above the size limit is not read at all."""
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
-            return Err(_bad(path, f'larger than {MAX_FILE_BYTES} bytes'))
+            return Err(_file_error(path, f'larger than {MAX_FILE_BYTES} bytes'))
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
-        return Err(_bad(path, str(exc)))
+        return Err(_file_error(path, str(exc)))
     parsed = parse_fleet(text, str(path))
     if parsed.is_err():
         return Err(parsed.unwrap_err())
@@ -46,5 +46,5 @@
     return Ok(FleetFile(text, fleet))
 
 
-def _bad(path: Path, message: str) -> InvalidInputError:
+def _file_error(path: Path, message: str) -> InvalidInputError:
     return InvalidInputError(f'{path}: -: {message}', step=_STEP)
--- a/src/snipebend/console/in_force.py
+++ b/src/snipebend/console/in_force.py
@@ -1,4 +1,4 @@
-"""Waits until a revision is in force everywhere, for ``apply --wait``."""
+"""Polls until a revision is in force everywhere, for ``apply --wait``."""
 
 from __future__ import annotations
 
@@ -6,65 +6,69 @@
 import time
 from typing import NamedTuple
 
-from snipebend.console.connection import call_each
+from snipebend.console.connection import call_all
 from snipebend.state.messages import ShowReply, ShowRequest
 from snipebend.transport.methods import SHOW
 
-#: Seconds between two looks.
-LOOK_EVERY_S = 0.1
+#: Seconds between two polls of the control daemons.
+POLL_INTERVAL_S = 0.1
 
-#: Seconds for one daemon's answer.
-LOOK_TIMEOUT_S = 1.0
+#: Seconds after which a call to one control daemon times out.
+POLL_TIMEOUT_S = 1.0
 
 
-class InForce(NamedTuple):
-    """Who has a revision in force, as all reachable daemons know it.
+class InForceStatus(NamedTuple):
+    """Which processes have confirmed a revision, by all reachable daemons.
 
-    ``behind`` holds the processes that may still work on an older revision,
-    with the one they have; ``lapsed`` those that fell silent, so that their
-    lease is over; ``complete`` tells whether any daemon that answered has been
-    up for long enough to have heard all others.
+    ``outdated`` maps the processes that may still use an older revision to
+    the revision that they confirmed. ``expired`` holds the processes whose
+    configuration lease expired because they stopped confirming, and
+    ``unreachable`` the control daemons that did not respond. ``is_complete``
+    is true if a daemon that responded has been running long enough to have
+    received a confirmation from every process.
     """
 
-    processes: int
-    behind: dict[str, int]
-    lapsed: tuple[str, ...]
+    process_count: int
+    outdated: dict[str, int]
+    expired: tuple[str, ...]
     unreachable: tuple[str, ...]
-    complete: bool
+    is_complete: bool
 
     @property
-    def everywhere(self) -> bool:
-        """Tell whether nobody may work on an older revision."""
-        return self.complete and not self.behind
+    def is_everywhere(self) -> bool:
+        """Return whether no process may still use an older revision."""
+        return self.is_complete and not self.outdated
 
 
 async def wait_in_force(
     addresses: list[str], revision: int, deadline: float
-) -> InForce:
-    """Look until the revision is in force or until monotonic time's up."""
+) -> InForceStatus:
+    """Poll until the revision is in force or the monotonic deadline passes."""
     while True:
-        shown = await call_each(
-            addresses, SHOW, ShowRequest(), timeout=LOOK_TIMEOUT_S
+        replies = await call_all(
+            addresses, SHOW, ShowRequest(), timeout=POLL_TIMEOUT_S
         )
-        found = judge(shown, revision)
-        if found.everywhere or time.monotonic() >= deadline:
-            return found
-        await asyncio.sleep(LOOK_EVERY_S)
+        status = merge_replies(replies, revision)
+        if status.is_everywhere or time.monotonic() >= deadline:
+            return status
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def judge(shown: dict[str, ShowReply | None], revision: int) -> InForce:
-    """Join what the daemons say; ``None`` stands for no answer."""
-    replies = [reply for reply in shown.values() if reply is not None]
+def merge_replies(
+    replies: dict[str, ShowReply | None], revision: int
+) -> InForceStatus:
+    """Merge the daemons' replies by address; ``None`` means no response."""
+    received = [reply for reply in replies.values() if reply is not None]
     newest: dict[str, int] = {}
-    lapsed: set[str] = set()
-    for one in replies:
-        lapsed.update(one.lapsed)
-        for process, confirmed in one.confirmed.items():
+    expired: set[str] = set()
+    for shown in received:
+        expired.update(shown.lapsed)
+        for process, confirmed in shown.confirmed.items():
             newest[process] = max(confirmed, newest.get(process, 0))
-    return InForce(
+    return InForceStatus(
         len(newest),
         {name: known for name, known in newest.items() if known < revision},
-        tuple(sorted(lapsed - newest.keys())),
-        tuple(peer for peer, reply in shown.items() if reply is None),
-        any(reply.complete for reply in replies),
+        tuple(sorted(expired - newest.keys())),
+        tuple(address for address, reply in replies.items() if reply is None),
+        any(reply.complete for reply in received),
     )
--- a/src/snipebend/console/show.py
+++ b/src/snipebend/console/show.py
@@ -6,7 +6,7 @@
 
 from snipebend.console.connection import add_control_option, call_control
 from snipebend.console.exit_codes import ExitCode
-from snipebend.console.output import fail, print_json, print_line
+from snipebend.console.output import print_error, print_json, print_line
 from snipebend.state.messages import ShowRequest
 from snipebend.transport.methods import SHOW
 
@@ -15,16 +15,16 @@
 
 
 def configure(parser: ArgumentParser) -> None:
-    """Add the arguments."""
+    """Add the command's arguments to the parser."""
     parser.add_argument('--json', action='store_true', help='print JSON')
     add_control_option(parser)
 
 
 def run(args: Namespace) -> int:
-    """Print the file with its revision as a comment."""
+    """Print the configuration text, preceded by its revision as a comment."""
     shown = call_control(args, SHOW, ShowRequest())
     if shown.is_err():
-        return fail(shown.unwrap_err())
+        return print_error(shown.unwrap_err())
     reply = shown.unwrap()
     if args.json:
         print_json({'revision': reply.revision, 'text': reply.text})
--- a/src/snipebend/console/status.py
+++ b/src/snipebend/console/status.py
@@ -1,4 +1,4 @@
-"""``snipebend status``: daemons, upstreams and groups at a glance."""
+"""``snipebend status``: show daemons, upstreams and groups."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from snipebend.console.connection import (
     add_control_option,
     call_control,
-    call_each,
-    find_control,
+    call_all,
+    find_control_addresses,
 )
 from snipebend.console.exit_codes import ExitCode
-from snipebend.console.group_status import MemberStatus, list_members
-from snipebend.console.map_status import ask_groups, print_groups
-from snipebend.console.output import fail, print_json, print_line
+from snipebend.console.member_status import MemberStatus, list_members
+from snipebend.console.map_status import fetch_group_statuses, print_groups
+from snipebend.console.output import print_error, print_json, print_line
 from snipebend.membership.messages import Directory, DirectoryRequest
 from snipebend.state.messages import ShowReply, ShowRequest
 from snipebend.transport.group_messages import GroupQuery
@@ -25,38 +25,41 @@
 HELP = 'show daemons, upstreams and groups'
 EXAMPLES = 'example: snipebend status --json'
 
-#: The name under which the command line asks for the directory.
-_ASKER = ''
+#: The process name in the command line's requests for the directory.
+_REQUESTER = ''
 
 
 def configure(parser: ArgumentParser) -> None:
-    """Add the arguments."""
+    """Add the command's arguments to the parser."""
     parser.add_argument('--json', action='store_true', help='print JSON')
     add_control_option(parser)
 
 
 def run(args: Namespace) -> int:
-    """Print what control knows."""
-    found = find_control(args)
+    """Print the members, processes, upstreams and groups known to control.
+
+    The members are printed first, before the calls that may fail.
+    """
+    found = find_control_addresses(args)
     if found.is_err():
-        return fail(found.unwrap_err())
-    views = asyncio.run(call_each(found.unwrap(), GROUP, GroupQuery()))
-    members = list_members(views)
+        return print_error(found.unwrap_err())
+    replies = asyncio.run(call_all(found.unwrap(), GROUP, GroupQuery()))
+    members = list_members(replies)
     if not args.json:
         _print_members(members)
     shown = call_control(args, SHOW, ShowRequest())
     if shown.is_err():
-        return fail(shown.unwrap_err())
-    listed = call_control(args, DIRECTORY, DirectoryRequest(_ASKER))
+        return print_error(shown.unwrap_err())
+    listed = call_control(args, DIRECTORY, DirectoryRequest(_REQUESTER))
     if listed.is_err():
-        return fail(listed.unwrap_err())
-    groups = ask_groups(found.unwrap())
+        return print_error(listed.unwrap_err())
+    groups = fetch_group_statuses(found.unwrap())
     if args.json:
-        document = _document(shown.unwrap(), listed.unwrap())
+        document = _to_document(shown.unwrap(), listed.unwrap())
         document['groups'] = {
             group.group: msgspec.to_builtins(group) for group in groups
         }
-        document['members'] = [one._asdict() for one in members]
+        document['members'] = [member._asdict() for member in members]
         print_json(document)
     else:
         _print_text(shown.unwrap(), listed.unwrap())
@@ -76,7 +79,7 @@
         print_line(f'{line} storage={error!r}' if error else line)
 
 
-def _document(shown: ShowReply, listed: Directory) -> dict[str, object]:
+def _to_document(shown: ShowReply, listed: Directory) -> dict[str, object]:
     return {
         'revision': shown.revision,
         'confirmed': shown.confirmed,
@@ -99,7 +102,7 @@
         print_line(f'process {process} revision={revision}')
     for process in shown.lapsed:
         print_line(f'process {process} silent, its lease is over')
-    for upstream in sorted(listed.upstreams, key=lambda one: one.upstream):
+    for upstream in sorted(listed.upstreams, key=lambda item: item.upstream):
         print_line(
             f'upstream {upstream.upstream} policy={upstream.policy} '
             + f'data_center={upstream.data_center} '
--- a/tests/console/__init__.py
+++ b/tests/console/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the command line."""
--- a/tests/console/test_application.py
+++ b/tests/console/test_application.py
@@ -1,4 +1,4 @@
-"""Exit codes and messages of the command line."""
+"""Tests of the exit codes and messages of the command line."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 def _closed_port() -> str:
-    """Return a loopback address on which nothing listens."""
+    """Return a loopback address whose port is closed."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         return f'127.0.0.1:{listener.getsockname()[1]}'
 
 
 class ApplicationTest(unittest.TestCase):
-    """Every command tells clearly what went wrong."""
+    """Each command reports failures by its exit code and error message."""
 
     def test_help_has_examples_and_exit_codes(self) -> None:
         for command in _COMMANDS:
@@ -48,7 +48,7 @@
                 self.assertIn('example', out)
                 self.assertIn('exit codes:', out)
 
-    def test_nothing_answers(self) -> None:
+    def test_unreachable_process_gives_exit_code_4(self) -> None:
         address = _closed_port()
         for arguments in (
             ('show', '--control', address),
@@ -60,7 +60,7 @@
                 self.assertEqual(code, 4)
                 self.assertIn(f'peer={address}', err)
 
-    def test_check_counts_or_lists_problems(self) -> None:
+    def test_check_reports_problems_of_the_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'fleet.toml'
             path.write_text(FLEET, encoding='utf-8')
@@ -74,29 +74,33 @@
             self.assertEqual(code, 2)
             self.assertIn('larger than', err)
 
-    def test_check_refuses_a_lease_that_renewal_cannot_keep(self) -> None:
-        least = MIN_CONFIG_LEASE_S
+    def test_check_refuses_a_lease_too_short_to_renew(self) -> None:
+        minimum_s = MIN_CONFIG_LEASE_S
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'fleet.toml'
-            for lease_s, expected in ((least, 0), (least - 0.1, 2), (0.5, 2)):
+            for lease_s, expected in (
+                (minimum_s, 0),
+                (minimum_s - 0.1, 2),
+                (0.5, 2),
+            ):
                 routing = f'[routing]\nconfig_lease_s = {lease_s:.1f}\n'
                 path.write_text(f'{FLEET}\n{routing}', encoding='utf-8')
                 code, _, err = _run('check', str(path))
                 self.assertEqual(code, expected, err)
                 if expected:
                     self.assertIn('routing.config_lease_s: ', err)
-                    self.assertIn(f'at least {least:g} s', err)
+                    self.assertIn(f'at least {minimum_s:g} s', err)
 
-    def test_check_of_a_missing_file(self) -> None:
+    def test_check_reports_a_missing_file(self) -> None:
         code, _, err = _run('check', '/nonexistent/fleet.toml')
         self.assertEqual(code, 2)
         self.assertIn('No such file', err)
 
 
 class ApplyReportTest(unittest.TestCase):
-    """What ``apply`` prints of an answer."""
+    """Output of ``apply`` for a reply."""
 
-    def test_json_of_a_conflict_is_one_document(self) -> None:
+    def test_json_output_of_a_conflict_is_a_single_document(self) -> None:
         reply = ApplyReply(ApplyOutcome.CONFLICT, 7, 'too late', 'name = "x"')
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
--- a/tests/console/test_explain.py
+++ b/tests/console/test_explain.py
@@ -1,4 +1,4 @@
-"""``snipebend explain`` on log files."""
+"""Tests of ``snipebend explain`` on log files."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class TestExplain(unittest.TestCase):
-    """What operators see."""
+    """Output and exit code for requests that are, and are not, in the logs."""
 
     def run_command(self, *arguments):
         out = io.StringIO()
@@ -26,7 +26,7 @@
             code = main(['explain', *arguments])
         return code, out.getvalue(), err.getvalue()
 
-    def test_found_and_not_found(self):
+    def test_prints_lines_of_the_request_or_an_error(self):
         with tempfile.TemporaryDirectory() as name:
             path = Path(name) / 'entry.log'
             path.write_text(LINES)
@@ -37,7 +37,7 @@
             self.assertEqual(out, '')
             self.assertIn("no line about request 'r2'", err)
 
-    def test_a_file_that_is_not_there(self):
+    def test_missing_log_file_gives_an_error(self):
         code, _, err = self.run_command('r1', '/nowhere/entry.log')
         self.assertNotEqual(code, 0)
         self.assertIn('entry.log', err)
