--- a/src/snipebend/console/demo.py
+++ b/src/snipebend/console/demo.py
@@ -25,7 +25,7 @@
     ControlSettings,
     EntrySettings,
 )
-from snipebend.standin.embedding import EmbeddedEngine
+from snipebend.standin.embedded_engine import EmbeddedEngine
 from snipebend.standin.settings import EngineConfig
 from snipebend.state.messages import ApplyRequest
 from snipebend.telemetry.logs import STANDARD_ERROR, set_up_logs
--- a/src/snipebend/standin/__init__.py
+++ b/src/snipebend/standin/__init__.py
@@ -1,1 +1,1 @@
-"""A small stand-in engine for the demo, the tests and the benches."""
+"""Stand-in engine and plain service for the demo, the tests and the benches."""
--- a/src/snipebend/standin/app.py
+++ b/src/snipebend/standin/app.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's HTTP routes."""
+"""Builds the ASGI app of the stand-in engine with its routes."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from snipebend.standin.completions import CHAT_ROUTE, TEXT_ROUTE
 from snipebend.standin.generation import Generation, RequestById
-from snipebend.standin.http import Healthz, ReceivingApp
-from snipebend.standin.reading import (
+from snipebend.standin.http import Healthz, DisconnectAwareApp
+from snipebend.standin.resources import (
     CacheState,
     Executions,
     Experts,
@@ -25,10 +25,10 @@
 
 
 class EngineLifespan:
-    """Starts and stops the engine's loop with the server."""
+    """Middleware that starts and stops the engine with the server."""
 
     def __init__(self, engine: Engine) -> None:
-        """Look after the given engine."""
+        """Manage the given engine."""
         self._engine = engine
 
     async def process_startup(
@@ -36,7 +36,7 @@
         scope: Mapping[str, Any],
         event: Mapping[str, Any],
     ) -> None:
-        """Start the loop."""
+        """Start the batching loop."""
         self._engine.start()
 
     async def process_shutdown(
@@ -44,7 +44,7 @@
         scope: Mapping[str, Any],
         event: Mapping[str, Any],
     ) -> None:
-        """Stop the loop once no request is in flight."""
+        """Stop the batching loop; the server has finished all requests."""
         await self._engine.stop()
 
 
@@ -52,8 +52,11 @@
     cfg: EngineConfig,
     engine: Engine,
 ) -> App[Any, Any]:
-    """Build the engine's app; the engine starts on the first request."""
-    app = ReceivingApp(middleware=[EngineLifespan(engine)])
+    """Build the engine's app.
+
+    Without lifespan events, the engine starts on the first request.
+    """
+    app = DisconnectAwareApp(middleware=[EngineLifespan(engine)])
     cache, experts = CacheState(engine), Experts(engine)
     app.add_route('/v1/completions', Generation(engine, TEXT_ROUTE))
     app.add_route('/v1/chat/completions', Generation(engine, CHAT_ROUTE))
--- a/src/snipebend/standin/batcher.py
+++ b/src/snipebend/standin/batcher.py
@@ -1,4 +1,4 @@
-"""Continuous batching without a clock: one call of ``step`` is one step."""
+"""Continuous batching without a clock; each call of ``step`` runs one step."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 if TYPE_CHECKING:
     from snipebend.standin.prefix_cache import CacheChange, PrefixCache
 
-ANSWER_TAGS = 9973
+#: Number of distinct tags that mark the tokens of a prompt.
+PROMPT_TAG_COUNT = 9973
 CHARS_PER_TOKEN = 4
 
 
 class Submission(NamedTuple):
-    """One request as the batcher sees it; higher priorities go first."""
+    """A request to the batcher; higher priorities are admitted first.
+
+    ``resume_from`` is the number of the first token to generate.
+    """
 
     request_id: str
     prompt: str
@@ -28,7 +32,10 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """A submission on its way through the batch."""
+    """The state of a submission that is queued or running.
+
+    ``next_seq`` numbers its next token; prefill is complete at ``ready_at``.
+    """
 
     ticket: int
     submission: Submission
@@ -38,12 +45,12 @@
 
     @property
     def cached_tokens(self) -> int:
-        """Return the prompt tokens that the cache saved."""
+        """Return the number of prompt tokens whose prefill the cache saved."""
         return self.cached_blocks * BLOCK_CHARS // CHARS_PER_TOKEN
 
 
 class Token(NamedTuple):
-    """One answer token of one sequence."""
+    """A generated token, numbered ``seq`` within its sequence."""
 
     ticket: int
     seq: int
@@ -52,7 +59,7 @@
 
 
 class StepOutcome(NamedTuple):
-    """What one step did."""
+    """The sequences admitted, tokens generated and cache changes of a step."""
 
     admitted: tuple[Sequence, ...]
     tokens: tuple[Token, ...]
@@ -60,13 +67,17 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return the length in tokens of four characters, rounded up."""
+    """Return the number of tokens of four characters, rounded up."""
     return -(-len(text) // CHARS_PER_TOKEN)
 
 
-def token_text(prompt: str, seq: int) -> str:
-    """Return the token at ``seq``; it depends on nothing but the prompt."""
-    tag = crc32(prompt.encode()) % ANSWER_TAGS
+def render_token(prompt: str, seq: int) -> str:
+    """Return the text of the token at ``seq``.
+
+    It depends only on the prompt and ``seq``, so that a resumed request
+    generates the same tokens.
+    """
+    tag = crc32(prompt.encode()) % PROMPT_TAG_COUNT
     return f' w{tag}-{seq}'
 
 
@@ -80,7 +91,11 @@
         batch_size: int,
         prefill_s_per_block: float,
     ) -> None:
-        """Start idle; prefill costs seconds for each block not in the cache."""
+        """Start without sequences.
+
+        Prefill takes ``prefill_s_per_block`` for each prompt block that is not
+        in the cache.
+        """
         self._cache = cache
         self._batch_size = batch_size
         self._prefill_s_per_block = prefill_s_per_block
@@ -90,7 +105,7 @@
 
     @property
     def queued(self) -> int:
-        """Return the number of sequences that wait."""
+        """Return the number of queued sequences."""
         return len(self._waiting)
 
     @property
@@ -99,12 +114,12 @@
         return len(self._running)
 
     @property
-    def idle(self) -> bool:
-        """Tell whether a step would do nothing."""
+    def is_idle(self) -> bool:
+        """Return whether no sequence is queued or running."""
         return not (self._waiting or self._running)
 
     def submit(self, submission: Submission) -> Sequence:
-        """Queue a submission; its ticket is its place among all arrivals."""
+        """Queue a submission; tickets number submissions in arrival order."""
         self._last_ticket += 1
         sequence = Sequence(
             self._last_ticket,
@@ -116,13 +131,13 @@
         return sequence
 
     def cancel(self, ticket: int) -> None:
-        """Forget a sequence, be it queued or running."""
+        """Remove a sequence from the queue or the batch."""
         self._running.pop(ticket, None)
         self._waiting = [entry for entry in self._waiting if entry[1] != ticket]
         heapq.heapify(self._waiting)
 
     def step(self, now: float) -> StepOutcome:
-        """Fill the batch, then give each prefilled sequence one token."""
+        """Fill the batch, then generate a token for each prefilled sequence."""
         admitted: list[Sequence] = []
         changes: list[CacheChange] = []
         while self._waiting and len(self._running) < self._batch_size:
@@ -153,5 +168,5 @@
         last = sequence.next_seq >= submission.max_tokens
         if last:
             self._running.pop(sequence.ticket)
-        text = token_text(submission.prompt, seq)
+        text = render_token(submission.prompt, seq)
         return Token(sequence.ticket, seq, text, last)
--- a/src/snipebend/standin/completions.py
+++ b/src/snipebend/standin/completions.py
@@ -1,4 +1,4 @@
-"""The OpenAI-style messages of the stand-in engine."""
+"""OpenAI-style request and response bodies of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Message(Struct, frozen=True):
-    """One message of a chat."""
+    """A chat message."""
 
     role: str
     content: str
 
 
 class CompletionBody(Struct, frozen=True):
-    """A caller's body for either route."""
+    """The request body of the text and chat completion routes."""
 
     model: str
     prompt: str = ''
@@ -28,19 +28,21 @@
 
     @property
     def full_prompt(self) -> str:
-        """Return the text that the model sees, for a prompt or a chat."""
-        lines = [f'{said.role}: {said.content}' for said in self.messages]
+        """Return the prompt, or the chat messages joined to one."""
+        lines = [
+            f'{message.role}: {message.content}' for message in self.messages
+        ]
         return '\n'.join(lines) or self.prompt
 
 
 class Delta(Struct, frozen=True):
-    """The new part of a streamed chat message."""
+    """The text that a chunk adds to a streamed chat message."""
 
     content: str
 
 
 class Choice(Struct, frozen=True, omit_defaults=True):
-    """The one choice of an answer or of a chunk, as its route shapes it."""
+    """The only choice of a response or chunk; the route sets its fields."""
 
     finish_reason: FinishReason | None
     index: Literal[0] | UnsetType = UNSET
@@ -50,7 +52,7 @@
 
 
 class Usage(Struct, frozen=True):
-    """Counts of tokens; ``cached_tokens`` of the prompt cost no prefill."""
+    """Token counts; ``cached_tokens`` of the prompt needed no prefill."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -59,7 +61,7 @@
 
 
 class Answer(Struct, frozen=True):
-    """A whole answer."""
+    """A complete response."""
 
     id: str
     object: str
@@ -69,7 +71,7 @@
 
 
 class Chunk(Struct, frozen=True):
-    """One streamed token; ``seq`` counts from 0 in the whole answer."""
+    """A streamed token; ``seq`` counts from 0 over the complete response."""
 
     id: str
     object: str
@@ -79,21 +81,21 @@
 
 
 class Route(Struct, frozen=True):
-    """What differs between the two routes."""
+    """The differences between the text and the chat completion route."""
 
     answer_object: str
     chunk_object: str
     chat: bool
 
     def answer_choice(self, text: str) -> Choice:
-        """Shape the choice of a whole answer."""
+        """Return the choice of a complete response."""
         if self.chat:
             message = Message('assistant', text)
             return Choice('length', index=0, message=message)
         return Choice('length', index=0, text=text)
 
     def chunk_choice(self, text: str, *, last: bool) -> Choice:
-        """Shape the choice of a chunk."""
+        """Return the choice of a chunk."""
         reason: FinishReason | None = 'length' if last else None
         if self.chat:
             return Choice(reason, index=0, delta=Delta(text))
--- a/src/snipebend/standin/embedding.py
+++ b/src/snipebend/standin/embedded_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine inside another process, on a port of its own."""
+"""Runs the stand-in engine within the current process, on a free port."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class EmbeddedEngine:
-    """An engine that lives as long as its ``async with`` block."""
+    """An engine that serves HTTP within an ``async with`` block."""
 
     def __init__(self, cfg: EngineConfig | None = None) -> None:
-        """Keep the engine's settings."""
+        """Store the engine's settings, by default those of ``EngineConfig``."""
         self._cfg = cfg or EngineConfig()
         self._server = HttpServer('engine', _HOST, 0)
 
@@ -33,9 +33,11 @@
         return self._server.address
 
     async def __aenter__(self) -> Self:
-        """Start to serve."""
+        """Start the server."""
         clock = SystemClock()
-        self._engine = Engine(self._cfg, clock=clock.now, on_crash=_ignore)
+        self._engine = Engine(
+            self._cfg, clock=clock.now, on_crash=_ignore_crash
+        )
         self._server.serve(build_engine_app(self._cfg, self._engine))
         await self._server.start(Registry(clock, TaskSupervisor()))
         return self
@@ -46,9 +48,9 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Stop to serve."""
+        """Stop the server."""
         await self._server.stop()
 
 
-def _ignore() -> None:
-    """Leave the host process alone."""
+def _ignore_crash() -> None:
+    """Keep the current process running after the engine has crashed."""
--- a/src/snipebend/standin/executions.py
+++ b/src/snipebend/standin/executions.py
@@ -1,4 +1,4 @@
-"""Counts of executions, the tests' proof of what ran and how often."""
+"""Counts executions, so that tests can check what ran and how often."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class ExecutionCounts(Struct, frozen=True):
-    """Executions started (in all, by request id and by idempotency key).
+    """Executions started, in total and by request id, key and body.
 
-    A request counts as started when it enters the batch; one that was
-    cancelled while it still waited is in ``cancelled`` alone.
+    ``by_key`` counts by idempotency key. A request counts as started when it
+    enters the batch; one that was cancelled while queued is counted only in
+    ``cancelled``.
     """
 
     by_request: dict[str, int]
@@ -24,10 +25,10 @@
 
 
 class ExecutionLedger:
-    """Counts executions as they start and end."""
+    """Counts executions as they start, finish or are cancelled."""
 
     def __init__(self) -> None:
-        """Start from zero."""
+        """Start with all counts at zero."""
         self._by_request: Counter[str] = Counter()
         self._by_key: Counter[str] = Counter()
         self._by_body: Counter[str] = Counter()
@@ -35,7 +36,7 @@
         self.cancelled = 0
 
     def start(self, request_id: str, *, key: str = '', body: str = '') -> None:
-        """Count a start; empty names aren't counted by name."""
+        """Count a started execution; an empty key or body is not counted."""
         self._by_request[request_id] += 1
         if key:
             self._by_key[key] += 1
@@ -44,11 +45,11 @@
 
     @property
     def started(self) -> int:
-        """Return the number of executions started in all."""
+        """Return the total number of executions started."""
         return self._by_request.total()
 
     def counts(self, running: int = 0) -> ExecutionCounts:
-        """Return all counts, with the number of those that run now."""
+        """Return all counts, including the given number of running ones."""
         return ExecutionCounts(
             by_request=dict(self._by_request),
             by_key=dict(self._by_key),
--- a/src/snipebend/standin/expert_load.py
+++ b/src/snipebend/standin/expert_load.py
@@ -1,4 +1,4 @@
-"""Made-up expert loads: Zipf-like popularity that drifts with the step."""
+"""Synthetic expert loads: Zipf-like popularity that drifts over the steps."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 
     from snipebend.standin.settings import EngineConfig
 
+#: The share of the expert at popularity rank r is proportional to r**-0.8.
 ZIPF_EXPONENT = 0.8
 
 
 class ExpertLoad(Struct, frozen=True):
-    """Tokens for each layer and expert since the last call, at a step."""
+    """Tokens per layer and expert since the previous call, up to a step."""
 
     step: int
     counts: list[list[int]]
 
 
-class ExpertMeter:
-    """Counts tokens and spreads them over the experts when asked."""
+class ExpertLoadCounter:
+    """Counts tokens and distributes them over the experts when collected."""
 
     def __init__(self, cfg: EngineConfig) -> None:
-        """Start with no token; equal seeds give equal popularity."""
+        """Start without tokens; equal seeds give equal popularity."""
         self._cfg = cfg
         self._rng = np.random.default_rng(cfg.seed)
         self._tokens = 0
@@ -35,29 +36,30 @@
         self._shares = weights / weights.sum()
 
     def add_tokens(self, count: int) -> None:
-        """Count tokens of one step."""
+        """Count the tokens of one step."""
         self._tokens += count
 
     def popularity(self, step: int) -> NDArray[np.float64]:
-        """Return each expert's share of tokens, layers by experts.
+        """Return each expert's share of tokens as layers by experts.
 
-        Two random orders of the same shares are mixed; after ``drift_steps``
-        the second has fully replaced the first, and the next one sets in.
+        The shares are interpolated between two random permutations; after
+        ``drift_steps`` the second has replaced the first, and the
+        interpolation to the next permutation begins.
         """
-        era, offset = divmod(step, self._cfg.drift_steps)
+        period, offset = divmod(step, self._cfg.drift_steps)
         weight = offset / self._cfg.drift_steps
-        before = self._draw_shares(era)
-        after = self._draw_shares(era + 1)
+        before = self._shuffle_shares(period)
+        after = self._shuffle_shares(period + 1)
         return before * (1 - weight) + after * weight
 
-    def take(self, step: int) -> ExpertLoad:
-        """Return the counts since the last call and start over."""
+    def collect(self, step: int) -> ExpertLoad:
+        """Return the counts since the previous call and reset them."""
         picks = self._tokens * self._cfg.experts_per_token
         self._tokens = 0
         counts = self._rng.multinomial(picks, self.popularity(step))
         return ExpertLoad(step, counts.tolist())
 
-    def _draw_shares(self, era: int) -> NDArray[np.float64]:
-        rng = np.random.default_rng((self._cfg.seed, era))
+    def _shuffle_shares(self, period: int) -> NDArray[np.float64]:
+        rng = np.random.default_rng((self._cfg.seed, period))
         rows = [rng.permutation(self._shares) for _ in range(self._cfg.layers)]
         return np.array(rows)
--- a/src/snipebend/standin/generation.py
+++ b/src/snipebend/standin/generation.py
@@ -1,4 +1,4 @@
-"""The two completion routes, whole and streamed, and their cancelling."""
+"""HTTP resources that generate and cancel completions."""
 
 from __future__ import annotations
 
@@ -27,29 +27,33 @@
     from snipebend.standin.engine import Engine, Stream
 
 CANCELLED_STATUS = '499 Cancelled'
-CANCELLED_LINE = b'event: error\ndata: {"error":"cancelled"}\n\n'
-DONE_LINE = b'data: [DONE]\n\n'
+CANCELLED_EVENT = b'event: error\ndata: {"error":"cancelled"}\n\n'
+DONE_EVENT = b'data: [DONE]\n\n'
 
 
 class Generation:
     """``POST`` on a completion route.
 
-    A stream that was cancelled ends with an ``error`` event and without
-    ``[DONE]``; a whole answer that was cancelled has the status 499.
+    A cancelled stream ends with an ``error`` event and without ``[DONE]``; a
+    cancelled request without streaming gets the status 499.
     """
 
     def __init__(self, engine: Engine, route: Route) -> None:
-        """Serve one of the routes from the engine."""
+        """Serve a completion route from the engine."""
         self._engine = engine
         self._route = route
-        self._own_ids = count(1)
+        self._generated_ids = count(1)
 
     async def on_post(
         self,
         req: Request,
         resp: Response,
     ) -> None:
-        """Generate from the body; headers name the request and the resume."""
+        """Generate a completion for the body.
+
+        The headers ``x-request-id``, ``x-resume-from`` and ``idempotency-key``
+        give the request's id, its first token and its key.
+        """
         body, _ = await read_body(req, CompletionBody)
         submission = self._read_submission(req, body)
         key = req.get_header('idempotency-key') or ''
@@ -57,10 +61,10 @@
         watcher = asyncio.create_task(self._cancel_on_disconnect(req, stream))
         if body.stream:
             resp.content_type = 'text/event-stream'
-            resp.stream = self._stream_lines(stream, watcher)
+            resp.stream = self._stream_events(stream, watcher)
             return
         try:
-            await self._answer_whole(resp, stream)
+            await self._send_complete_response(resp, stream)
         finally:
             watcher.cancel()
 
@@ -83,9 +87,9 @@
         )
 
     def _make_id(self) -> str:
-        return f'{self._route.answer_object}-{next(self._own_ids)}'
+        return f'{self._route.answer_object}-{next(self._generated_ids)}'
 
-    async def _answer_whole(
+    async def _send_complete_response(
         self,
         resp: Response,
         stream: Stream,
@@ -112,23 +116,23 @@
         )
         send_json(resp, answer)
 
-    async def _stream_lines(
+    async def _stream_events(
         self,
         stream: Stream,
         watcher: asyncio.Task[None],
     ) -> AsyncIterator[bytes]:
         try:
             async for token in _iterate(stream):
-                yield self._chunk_line(stream, token)
+                yield self._encode_chunk(stream, token)
                 if token.last:
-                    yield DONE_LINE
+                    yield DONE_EVENT
                     return
-            yield CANCELLED_LINE
+            yield CANCELLED_EVENT
         finally:
             watcher.cancel()
             self._engine.cancel_stream(stream)
 
-    def _chunk_line(self, stream: Stream, token: Token) -> bytes:
+    def _encode_chunk(self, stream: Stream, token: Token) -> bytes:
         chunk = Chunk(
             stream.sequence.submission.request_id,
             self._route.chunk_object,
@@ -151,7 +155,7 @@
     """``DELETE /v1/requests/{request_id}``: cancel all its attempts."""
 
     def __init__(self, engine: Engine) -> None:
-        """Cancel in the given engine."""
+        """Cancel requests of the given engine."""
         self._engine = engine
 
     async def on_delete(
@@ -160,12 +164,12 @@
         resp: Response,
         request_id: str,
     ) -> None:
-        """Answer with the number of attempts that this call cancelled."""
+        """Respond with the number of attempts that this call cancelled."""
         send_json(resp, {'cancelled': self._engine.cancel(request_id)})
 
 
 async def _iterate(stream: Stream) -> AsyncIterator[Token]:
-    """Yield tokens up to the last one, or up to the cancelling."""
+    """Yield tokens until the last one or until the stream is cancelled."""
     while True:
         match await stream.tokens.get():
             case Token() as token:
--- a/src/snipebend/standin/http.py
+++ b/src/snipebend/standin/http.py
@@ -1,4 +1,4 @@
-"""Small helpers that the stand-ins' HTTP resources share."""
+"""Helpers shared by the HTTP resources of the stand-ins."""
 
 from __future__ import annotations
 
@@ -18,23 +18,28 @@
 Body = TypeVar('Body')
 
 
-class ReceivingApp(App[Any, Any]):
-    """A falcon app whose resources can wait for the caller's disconnect."""
+class DisconnectAwareApp(App[Any, Any]):
+    """A falcon app whose resources can wait until the caller disconnects."""
 
-    # The typed base is the WSGI app, whose call has another signature.
+    # The base class is typed as the WSGI app, whose __call__ has another
+    # signature.
     async def __call__(  # type: ignore[override]
         self,
         scope: dict[str, Any],
         receive: Callable[[], Awaitable[Any]],
         send: Callable[[Any], Awaitable[None]],
     ) -> None:
-        """Handle one connection event and keep ``receive`` in its scope."""
+        """Handle a request and store ``receive`` in its scope."""
         scope[RECEIVE_KEY] = receive
         await super().__call__(scope, receive, send)
 
 
 async def wait_disconnect(req: Request) -> None:
-    """Return once the caller is gone; its body must have been read."""
+    """Return once the caller has disconnected.
+
+    The request body must have been read: its events come from the same
+    ``receive``.
+    """
     receive = req.scope[RECEIVE_KEY]
     while True:
         event = await receive()
@@ -46,27 +51,27 @@
     req: Request,
     kind: type[Body],
 ) -> tuple[Body, bytes]:
-    """Read and check a JSON body; a bad one is answered with 400."""
+    """Read and decode a JSON body; an invalid one gets the status 400."""
     raw = await req.stream.read()
     try:
         return json.decode(raw, type=kind), raw
     except DecodeError as exc:
-        raise HTTPBadRequest(title='bad body', description=str(exc))
+        raise HTTPBadRequest(title='invalid body', description=str(exc))
 
 
 def send_json(resp: Response, content: object) -> None:
-    """Answer with a message as JSON."""
+    """Respond with an object as JSON."""
     resp.content_type = MEDIA_JSON
     resp.data = json.encode(content)
 
 
 class Healthz:
-    """``GET /healthz``: alive as soon as it answers."""
+    """``GET /healthz``: responds as soon as the server is running."""
 
     async def on_get(
         self,
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer 200."""
+        """Respond with 200."""
         send_json(resp, {'status': 'ok'})
--- a/src/snipebend/standin/main.py
+++ b/src/snipebend/standin/main.py
@@ -1,4 +1,4 @@
-"""The program of the stand-ins: ``python -m snipebend.standin.main``."""
+"""Runs a stand-in as a process: ``python -m snipebend.standin.main``."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 CRASH_CODE = 70
 
 
-class AnnouncingServer(uvicorn.Server):
-    """A server that writes its port into a file once it listens."""
+class PortFileServer(uvicorn.Server):
+    """A server that writes its port to a file once it is listening."""
 
     def __init__(self, config: uvicorn.Config, port_file: Path | None) -> None:
-        """Serve as configured; no file means no announcement."""
+        """Create the server; without a path, no file is written."""
         super().__init__(config)
         self._port_file = port_file
 
@@ -40,7 +40,7 @@
         self,
         sockets: list[socket.socket] | None = None,
     ) -> None:
-        """Listen, then replace the port file as a whole."""
+        """Start listening, then write the port file atomically."""
         await super().startup(sockets)
         if self._port_file is not None and sockets:
             partial = self._port_file.with_suffix('.partial')
@@ -49,7 +49,7 @@
 
 
 def build_parser() -> ArgumentParser:
-    """Build the command line; each setting of the engine is a flag."""
+    """Build the argument parser; each setting of the engine is a flag."""
     parser = ArgumentParser(prog='snipebend.standin.main', description=__doc__)
     parser.add_argument('--port', type=int, default=0)
     parser.add_argument('--port-file', type=Path)
@@ -66,10 +66,10 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Serve until SIGTERM or SIGINT, end the requests in flight, return 0."""
+    """Serve until SIGTERM or SIGINT, finish open requests and return 0."""
     options = build_parser().parse_args(argv)
-    # The server raises the signal that stopped it once more when it is done;
-    # by then it must not kill the process, whose exit code is 0.
+    # After its shutdown, uvicorn raises the signal that stopped it again,
+    # which must not kill the process: its exit code is to be 0.
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, signal.SIG_IGN)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -86,7 +86,7 @@
         access_log=False,
     )
     with socket.create_server((LOOPBACK, options.port)) as listener:
-        server = AnnouncingServer(config, options.port_file)
+        server = PortFileServer(config, options.port_file)
         await server.serve(sockets=[listener])
 
 
@@ -96,11 +96,11 @@
     flags = {name: getattr(options, name) for name in EngineConfig._fields}
     cfg = EngineConfig(**flags)
     clock = asyncio.get_running_loop().time
-    engine = Engine(cfg, clock=clock, on_crash=_exit_hard)
+    engine = Engine(cfg, clock=clock, on_crash=_exit_immediately)
     return build_engine_app(cfg, engine)
 
 
-def _exit_hard() -> None:
+def _exit_immediately() -> None:
     os._exit(CRASH_CODE)
 
 
--- a/src/snipebend/standin/orders.py
+++ b/src/snipebend/standin/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the stand-in engine, with or without a check of the fence."""
+"""Executes orders to the stand-in engine, optionally checking their fence."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 class Order(Struct, frozen=True, rename={'map_action': 'action'}):
-    """An order; the fields of the expert map matter to that kind alone.
+    """An order; the last four fields apply to the kind ``expert-map`` only.
 
-    ``at_step`` is the step that a prepared map holds at until it is activated
-    or aborted, or the step from which an activated one is in force.
+    For a prepared map, ``at_step`` is the step at which the engine holds until
+    the map is activated or aborted; for an activated map, it is the step from
+    which the map is in force.
     """
 
     kind: OrderKind
@@ -34,7 +35,7 @@
 
 
 class RankState(Struct, frozen=True):
-    """The expert map in force on the rank at a step."""
+    """The expert map in force on a rank at a step."""
 
     map_version: int = 0
     incarnation: int = 0
@@ -46,18 +47,18 @@
     incarnation: int
 
 
-class OrderDesk:
-    """Executes orders in memory and remembers them as they were sent."""
+class OrderExecutor:
+    """Executes orders in memory and records their bodies as sent."""
 
     def __init__(self, *, check_fence: bool) -> None:
-        """Start with the empty expert map and no fence seen."""
+        """Start with expert map version 0 and without any fence."""
         self._check_fence = check_fence
         self._fences: dict[str, int] = {}
         self._prepared: set[_MapId] = set()
         self._pending: list[Order] = []
         self._in_force = _MapId(0, 0)
         self.hold_step: int | None = None
-        self._held_for = _MapId(0, 0)
+        self._held_map_id = _MapId(0, 0)
         self.executed: list[Raw] = []
 
     def execute(
@@ -66,17 +67,18 @@
         body: Raw,
         step: int,
     ) -> Result[RankState, ConflictError]:
-        """Execute an order at a step; a refused one changes nothing.
+        """Execute an order at a step; a refused order changes nothing.
 
-        Refused are a fence below the highest seen of its group (if fences are
-        checked) and the activation of a map that was never prepared.
+        An order is refused if its fence is below the highest one received for
+        its group (if fences are checked), or if it activates a map that was
+        never prepared.
         """
         highest = self._fences.get(order.group, 0)
         if self._check_fence and order.fence < highest:
             text = f'stale fence {order.fence}, highest seen {highest}'
             return Err(ConflictError(text, step=STEP_NAME))
         map_id = _MapId(order.map_version, order.incarnation)
-        if _activates(order) and map_id not in self._prepared:
+        if _is_activation(order) and map_id not in self._prepared:
             text = f'map {order.map_version} was never prepared'
             return Err(ConflictError(text, step=STEP_NAME))
         self._fences[order.group] = max(highest, order.fence)
@@ -89,24 +91,25 @@
         match order.map_action:
             case 'prepare':
                 self._prepared.add(map_id)
-                self._held_for = map_id
-                # A hold step that has passed is reported, not obeyed.
+                self._held_map_id = map_id
+                # The engine does not hold at a step that has passed; the
+                # reply reports the current step instead.
                 passed = order.at_step <= step
                 self.hold_step = None if passed else order.at_step
             case 'activate':
                 self._pending.append(order)
-                self._release(map_id)
+                self._end_hold(map_id)
             case 'abort':
                 self._prepared.discard(map_id)
-                self._release(map_id)
+                self._end_hold(map_id)
 
-    def _release(self, map_id: _MapId) -> None:
-        """End the hold for a map; that for a later one goes on."""
-        if self._held_for == map_id:
+    def _end_hold(self, map_id: _MapId) -> None:
+        """End the hold for a map, unless the hold is for a later map."""
+        if self._held_map_id == map_id:
             self.hold_step = None
 
     def rank_state(self, step: int) -> RankState:
-        """Return the rank's state once all due activations are done."""
+        """Apply all activations due at a step; return the rank's state."""
         due = [order for order in self._pending if order.at_step <= step]
         for order in sorted(due, key=_activation_step):
             self._pending.remove(order)
@@ -114,7 +117,7 @@
         return RankState(*self._in_force, step)
 
 
-def _activates(order: Order) -> bool:
+def _is_activation(order: Order) -> bool:
     return order.kind == 'expert-map' and order.map_action == 'activate'
 
 
--- a/src/snipebend/standin/prefix_cache.py
+++ b/src/snipebend/standin/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of the stand-in engine: chained hashes, least recent out."""
+"""Prefix cache of the stand-in engine: LRU over chained block hashes."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class CacheChange(NamedTuple):
-    """One prefix that entered or left the cache."""
+    """A prefix that was stored in the cache or evicted from it."""
 
     kind: Literal['stored', 'evicted']
     prefix: str
 
 
 def hash_chain(prompt: str) -> tuple[str, ...]:
-    """Hash each full block of 64 characters, seeded with the block before.
+    """Hash each full block of 64 characters, seeded with the previous hash.
 
-    Equal entries at equal places mean equal prefixes. The last, partial block
+    Equal hashes at the same index mean equal prefixes. A partial last block
     has no hash. Each hash is xxh64 in 16 hexadecimal digits.
     """
     chain = []
@@ -33,10 +33,10 @@
 
 
 class PrefixCache:
-    """Prompt blocks in memory of a fixed number of blocks."""
+    """An LRU cache for a fixed number of prompt blocks."""
 
     def __init__(self, capacity: int) -> None:
-        """Start empty with room for ``capacity`` blocks."""
+        """Create an empty cache for ``capacity`` blocks."""
         self.capacity = capacity
         self._blocks: OrderedDict[str, None] = OrderedDict()
 
@@ -46,21 +46,21 @@
 
     @property
     def prefixes(self) -> tuple[str, ...]:
-        """Return the hashes in the cache, least recently used first."""
+        """Return the cached hashes, least recently used first."""
         return tuple(self._blocks)
 
     def count_cached(self, chain: tuple[str, ...]) -> int:
-        """Return how many leading blocks of the chain are in the cache."""
+        """Return how many leading blocks of the chain are cached."""
         for index, prefix in enumerate(chain):
             if prefix not in self._blocks:
                 return index
         return len(chain)
 
     def store(self, chain: tuple[str, ...]) -> list[CacheChange]:
-        """Put the chain in and evict what no longer fits.
+        """Store the chain and evict blocks beyond the capacity.
 
-        The chain's first block is touched last, so that a chain loses its
-        tail before its head.
+        The first block is marked as used last, so that the tail of a chain is
+        evicted before its head.
         """
         changes = [
             CacheChange('stored', prefix)
--- a/src/snipebend/standin/reporter.py
+++ b/src/snipebend/standin/reporter.py
@@ -1,4 +1,4 @@
-"""Measures the engine and hands out its late reports."""
+"""Measures the engine's load and cache and returns delayed reports."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Reporter:
-    """Keeps what the engine tells of its load and its cache."""
+    """Records the engine's load and cache changes and reports them late."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         batcher: Batcher,
         cache: PrefixCache,
     ) -> None:
-        """Report on a batcher and a cache."""
+        """Report on the given batcher and cache."""
         self._clock = clock
         self._batcher = batcher
         self._cache = cache
@@ -44,25 +44,25 @@
             gap_rate=cfg.gap_rate,
         )
 
-    def note_load(self) -> None:
-        """Measure the load after something has changed."""
+    def record_load(self) -> None:
+        """Record the current load after a change."""
         self._loads.add(self._measure())
 
-    def note_changes(self, changes: tuple[CacheChange, ...]) -> None:
-        """Take cache changes in, to publish them late or never."""
+    def record_cache_changes(self, changes: tuple[CacheChange, ...]) -> None:
+        """Record cache changes; each is published late or never."""
         for change in changes:
             self._feed.add(change, self._clock.now())
 
     def load(self) -> LoadReport:
-        """Return the load as it was one lag ago."""
+        """Return the load as of one report lag ago."""
         return self._loads.visible(self._clock.now())
 
     def cache_events(self, after: int) -> list[CacheEvent]:
-        """Return the visible cache events with numbers above ``after``."""
+        """Return the published cache events with numbers above ``after``."""
         return self._feed.after(after, self._clock.now())
 
     def cache_snapshot(self) -> CacheSnapshot:
-        """Return the whole cache as it is now."""
+        """Return the current contents of the cache."""
         return CacheSnapshot(self._feed.seq, self._cache.prefixes)
 
     def _measure(self) -> LoadReport:
--- a/src/snipebend/standin/reports.py
+++ b/src/snipebend/standin/reports.py
@@ -1,4 +1,4 @@
-"""What the stand-in engine tells of itself: late, and with gaps."""
+"""Reports of the stand-in engine: delayed, and with gaps in cache events."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LoadReport(Struct, frozen=True):
-    """The engine's load as it was at ``taken_at`` (seconds of its clock)."""
+    """The engine's load at ``taken_at`` (seconds of its clock)."""
 
     running: int
     queued: int
@@ -27,7 +27,10 @@
 
 
 class CacheEvent(Struct, frozen=True):
-    """A published cache change; missing numbers are changes lost for good."""
+    """A published cache change.
+
+    A missing number is a change that is never published.
+    """
 
     seq: int
     kind: Literal['stored', 'evicted']
@@ -35,63 +38,66 @@
 
 
 class CacheSnapshot(Struct, frozen=True):
-    """All prefixes in the cache after the change numbered ``seq``."""
+    """The prefixes in the cache after the change numbered ``seq``."""
 
     seq: int
     prefixes: tuple[str, ...]
 
 
 class LoadHistory:
-    """Load reports held back for a fixed lag."""
+    """Load reports that become visible after a fixed lag."""
 
     def __init__(self, first: LoadReport, lag_s: float) -> None:
-        """Start with the report that holds until another is old enough."""
+        """Start with the report that is visible until another one is."""
         self._lag_s = lag_s
         self._reports = deque([first])
 
     def add(self, report: LoadReport) -> None:
-        """Take the newest report in."""
+        """Add the newest report."""
         self._reports.append(report)
-        self._forget(report.taken_at)
+        self._drop_outdated(report.taken_at)
 
     def visible(self, now: float) -> LoadReport:
-        """Return the state as it was one lag ago."""
-        self._forget(now)
+        """Return the newest report that is at least one lag old."""
+        self._drop_outdated(now)
         return self._reports[0]
 
-    def _forget(self, now: float) -> None:
+    def _drop_outdated(self, now: float) -> None:
         while len(self._reports) > 1:
             if self._reports[1].taken_at > now - self._lag_s:
                 break
             self._reports.popleft()
 
 
-class _HeldEvent(NamedTuple):
+class _DelayedEvent(NamedTuple):
     visible_at: float
     event: CacheEvent
 
 
 class CacheFeed:
-    """Cache events that appear late; a seeded share of them never does."""
+    """Cache events published after a lag; a random share never is.
+
+    The share is ``gap_rate``; the random generator is seeded.
+    """
 
     def __init__(self, rng: Random, *, lag_s: float, gap_rate: float) -> None:
-        """Start with no event; the first change gets number 1."""
+        """Start without events; the first change gets number 1."""
         self._rng = rng
         self._lag_s = lag_s
         self._gap_rate = gap_rate
-        self._held: deque[_HeldEvent] = deque(maxlen=EVENT_HISTORY)
+        self._held: deque[_DelayedEvent] = deque(maxlen=EVENT_HISTORY)
         self.seq = 0
 
     def add(self, change: CacheChange, now: float) -> None:
-        """Number a change and publish it after the lag, or never."""
+        """Number a change; publish it after the lag, or never."""
         self.seq += 1
         if self._rng.random() < self._gap_rate:
             return
         event = CacheEvent(self.seq, change.kind, change.prefix)
-        self._held.append(_HeldEvent(now + self._lag_s, event))
+        self._held.append(_DelayedEvent(now + self._lag_s, event))
 
     def after(self, seq: int, now: float) -> list[CacheEvent]:
-        """Return the events beyond ``seq`` that are visible by now."""
+        """Return the events above ``seq`` that are published by ``now``."""
         return [
             held.event
             for held in self._held
--- a/src/snipebend/standin/reading.py
+++ b/src/snipebend/standin/resources.py
@@ -1,4 +1,4 @@
-"""The engine's resources for load, cache, orders, experts and counts."""
+"""HTTP resources for load, cache, orders, experts and execution counts."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Load:
-    """``GET /load``: the load, late."""
+    """``GET /load``: the load as of one report lag ago."""
 
     def __init__(self, engine: Engine) -> None:
-        """Read from the given engine."""
+        """Serve the state of the given engine."""
         self._engine = engine
 
     async def on_get(
@@ -29,7 +29,7 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with a ``LoadReport``."""
+        """Respond with a ``LoadReport``."""
         send_json(resp, self._engine.reporter.load())
 
 
@@ -37,7 +37,7 @@
     """``GET /cache-events?after=SEQ`` and ``GET /cache-snapshot``."""
 
     def __init__(self, engine: Engine) -> None:
-        """Read from the given engine."""
+        """Serve the state of the given engine."""
         self._engine = engine
 
     async def on_get_events(
@@ -45,7 +45,7 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with a list of ``CacheEvent``."""
+        """Respond with a list of ``CacheEvent``."""
         after = req.get_param_as_int('after', default=0)
         send_json(resp, self._engine.reporter.cache_events(after))
 
@@ -54,15 +54,15 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with a ``CacheSnapshot``."""
+        """Respond with a ``CacheSnapshot``."""
         send_json(resp, self._engine.reporter.cache_snapshot())
 
 
 class Orders:
-    """``/orders``: execute one, or list the executed ones."""
+    """``/orders``: executes an order or lists the executed ones."""
 
     def __init__(self, engine: Engine) -> None:
-        """Give orders to the given engine."""
+        """Execute orders on the given engine."""
         self._engine = engine
 
     async def on_get(
@@ -70,7 +70,7 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with the executed orders as they were sent."""
+        """Respond with the executed orders as they were sent."""
         send_json(resp, self._engine.orders.executed)
 
     async def on_post(
@@ -78,12 +78,12 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Execute an order; answer with the rank's state, or 409."""
+        """Execute an order; respond with the rank's state, or 409."""
         order, raw = await read_body(req, Order)
-        desk = self._engine.orders
-        match desk.execute(order, Raw(raw), self._engine.clock.step):
+        executor = self._engine.orders
+        match executor.execute(order, Raw(raw), self._engine.clock.step):
             case Ok(rank):
-                self._engine.clock.hold_at(desk.hold_step)
+                self._engine.clock.hold_at(executor.hold_step)
                 send_json(resp, rank)
             case Err(error):
                 raise HTTPConflict(description=error.message)
@@ -93,7 +93,7 @@
     """``GET /expert-load`` and ``GET /ranks``."""
 
     def __init__(self, engine: Engine) -> None:
-        """Read from the given engine."""
+        """Serve the state of the given engine."""
         self._engine = engine
 
     async def on_get_load(
@@ -101,15 +101,15 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with the ``ExpertLoad`` since the last call."""
-        send_json(resp, self._engine.experts.take(self._engine.clock.step))
+        """Respond with the ``ExpertLoad`` since the previous call."""
+        send_json(resp, self._engine.experts.collect(self._engine.clock.step))
 
     async def on_get_ranks(
         self,
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with the ``RankState``."""
+        """Respond with the ``RankState``."""
         state = self._engine.orders.rank_state(self._engine.clock.step)
         send_json(resp, state)
 
@@ -118,7 +118,7 @@
     """``GET /executions`` of the engine."""
 
     def __init__(self, engine: Engine) -> None:
-        """Read from the given engine."""
+        """Serve the state of the given engine."""
         self._engine = engine
 
     async def on_get(
@@ -126,6 +126,6 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with the ``ExecutionCounts``."""
+        """Respond with the ``ExecutionCounts``."""
         running = self._engine.batcher.running
         send_json(resp, self._engine.ledger.counts(running))
--- a/src/snipebend/standin/service.py
+++ b/src/snipebend/standin/service.py
@@ -1,4 +1,4 @@
-"""A stand-in plain service: seat holds, confirmations and fares."""
+"""Stand-in for a service without a model: seat holds, confirmations, fares."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from snipebend.standin.executions import ExecutionLedger
 from snipebend.standin.http import (
     Healthz,
-    ReceivingApp,
+    DisconnectAwareApp,
     read_body,
     send_json,
 )
@@ -24,7 +24,7 @@
 
 
 class Booking(Struct, frozen=True):
-    """The answer to a booking call; ``number`` counts its executions."""
+    """The response to a booking; ``number`` counts executions of its kind."""
 
     kind: str
     number: int
@@ -32,14 +32,14 @@
 
 
 class Fare(Struct, frozen=True):
-    """A fare in whole units of the currency, fixed for each id."""
+    """A fare in whole currency units; each id has a fixed price."""
 
     id: str
     price: int
 
 
 class Bookings:
-    """A ``POST`` that must not be repeated: each call is an execution."""
+    """A ``POST`` that is not idempotent: each call is an execution."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         ledger: ExecutionLedger,
         delay_s: float,
     ) -> None:
-        """Count in the ledger; answer ``delay_s`` seconds after the start."""
+        """Count executions in the ledger; respond after ``delay_s``."""
         self._kind = kind
         self._ledger = ledger
         self._delay_s = delay_s
@@ -58,7 +58,7 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Execute and answer with the number of the execution."""
+        """Execute and respond with the number of the execution."""
         body, raw = await read_body(req, Raw)
         self._number += 1
         booking = Booking(self._kind, self._number, body)
@@ -73,7 +73,7 @@
 
 
 class Fares:
-    """``GET /fares/{fare_id}``: safe to repeat."""
+    """``GET /fares/{fare_id}``: idempotent."""
 
     async def on_get(
         self,
@@ -81,15 +81,15 @@
         resp: Response,
         fare_id: str,
     ) -> None:
-        """Answer with the fare."""
+        """Respond with the fare."""
         send_json(resp, Fare(fare_id, crc32(fare_id.encode()) % FARE_RANGE))
 
 
 class ServiceExecutions:
-    """``GET /executions`` of the plain service."""
+    """``GET /executions`` of the service."""
 
     def __init__(self, ledger: ExecutionLedger) -> None:
-        """Read from the given ledger."""
+        """Serve the counts of the given ledger."""
         self._ledger = ledger
 
     async def on_get(
@@ -97,15 +97,15 @@
         req: Request,
         resp: Response,
     ) -> None:
-        """Answer with the ``ExecutionCounts``."""
+        """Respond with the ``ExecutionCounts``."""
         running = self._ledger.started - self._ledger.finished
         send_json(resp, self._ledger.counts(running))
 
 
 def build_service_app(delay_ms: float = 0) -> App[Any, Any]:
-    """Build the service; bookings answer after ``delay_ms``."""
+    """Build the service's app; bookings respond after ``delay_ms``."""
     ledger = ExecutionLedger()
-    app = ReceivingApp()
+    app = DisconnectAwareApp()
     for kind in ('holds', 'confirmations'):
         bookings = Bookings(kind, ledger, delay_ms / MS_PER_S)
         app.add_route(f'/{kind}', bookings)
--- a/src/snipebend/standin/settings.py
+++ b/src/snipebend/standin/settings.py
@@ -8,11 +8,11 @@
 
 
 class EngineConfig(NamedTuple):
-    """How the engine behaves; each field is a flag of the program.
+    """Settings of the engine; each field is a command-line flag.
 
-    Spans are in milliseconds (``_ms``); a cache block holds 64 characters;
+    Durations are in milliseconds (``_ms``). A cache block holds 64 characters.
     ``gap_rate`` is the share of cache events that are never published. A
-    prompt that contains ``crash_marker`` (if not empty) kills the engine.
+    prompt that contains ``crash_marker`` (if not empty) crashes the engine.
     """
 
     model: str = 'standin'
--- a/src/snipebend/standin/step_clock.py
+++ b/src/snipebend/standin/step_clock.py
@@ -1,4 +1,4 @@
-"""The engine's time in seconds and in steps."""
+"""Clock of the stand-in engine, in seconds and in steps."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 class StepClock:
-    """Counts steps of a fixed span since the start.
+    """Counts steps of a fixed duration since the start.
 
-    The step grows while the engine is idle, at no cost.
+    The step is derived from the time, so that it also advances while the
+    engine is idle, without any work.
     """
 
     def __init__(self, now: Callable[[], float], step_s: float) -> None:
-        """Start at step 0; ``now`` gives seconds, as the loop's time does."""
+        """Start at step 0; ``now`` returns seconds like the loop's time."""
         self.now = now
         self._step_s = step_s
         self._started_at = now()
@@ -23,27 +24,31 @@
 
     @property
     def step(self) -> int:
-        """Return the number of the present step."""
+        """Return the number of the current step."""
         if self._hold_step is None:
             return self._due_step()
         return min(self._due_step(), self._hold_step - 1)
 
     @property
-    def held(self) -> bool:
-        """Tell whether the next step is due, but must not start."""
+    def is_held(self) -> bool:
+        """Return whether the next step is due but held back."""
         return self._due_step() > self.step
 
     @property
     def next_step_at(self) -> float:
-        """Return the time at which the next step starts, at the earliest."""
-        if self.held:
+        """Return the earliest time at which the next step may start."""
+        if self.is_held:
             return self.now() + self._step_s
         return self._started_at + (self.step + 1) * self._step_s
 
     def hold_at(self, step: int | None) -> None:
-        """Start no step from this later one on; None goes on from there."""
-        lost = self._due_step() - self.step
-        self._started_at += lost * self._step_s
+        """Hold back this step and all later ones; ``None`` ends the hold.
+
+        After a hold, counting continues from the step that was held, without
+        the steps that were missed.
+        """
+        missed = self._due_step() - self.step
+        self._started_at += missed * self._step_s
         self._hold_step = step
 
     def _due_step(self) -> int:
--- a/tests/daemons/test_requests_under_faults.py
+++ b/tests/daemons/test_requests_under_faults.py
@@ -11,7 +11,7 @@
 
 from aiohttp import ClientError
 
-from snipebend.standin.batcher import token_text
+from snipebend.standin.batcher import render_token
 from tests.loopback import Loopback, completion, until
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 
 def expected(prompt: str, tokens: int = _TOKENS) -> tuple[str, ...]:
     """Return the texts of the whole answer."""
-    return tuple(token_text(prompt, seq) for seq in range(tokens))
+    return tuple(render_token(prompt, seq) for seq in range(tokens))
 
 
 async def stream(
--- a/tests/daemons/test_suspects_alone.py
+++ b/tests/daemons/test_suspects_alone.py
@@ -11,7 +11,7 @@
 
 from snipebend.console.connection import call_any
 from snipebend.routing.quarantine import fingerprint_of
-from snipebend.standin.batcher import token_text
+from snipebend.standin.batcher import render_token
 from snipebend.state.crashes import CrashReport
 from snipebend.transport.methods import REPORT_CRASH
 from tests.loopback import POLL_S, Loopback, completion, until
@@ -148,7 +148,7 @@
 
 def _answers() -> list[str]:
     return [
-        ''.join(token_text(prompt, seq) for seq in range(_TOKENS))
+        ''.join(render_token(prompt, seq) for seq in range(_TOKENS))
         for prompt in _INNOCENT
     ]
 
--- a/tests/standin/__init__.py
+++ b/tests/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the stand-in engine and service."""
--- a/tests/standin/processes.py
+++ b/tests/standin/processes.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins as processes of their own, on ports of the OS."""
+"""Starts stand-ins as separate processes, on ports that the OS assigns."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
     from collections.abc import Callable
 
 SOURCES = Path(__file__).parents[2] / 'src'
-PATIENCE_S = 30
+TIMEOUT_S = 30
 POLL_S = 0.01
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Poll until the condition holds; give up after the patience."""
-    async with asyncio.timeout(PATIENCE_S):
+    """Poll until the condition holds; raise ``TimeoutError`` after 30 s."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(POLL_S)
 
 
 class StandinProcess:
-    """One process of ``snipebend.standin.main`` and a client to it."""
+    """A process of ``snipebend.standin.main`` and an HTTP client for it."""
 
     def __init__(self, *flags: str) -> None:
-        """Remember the flags for the start."""
+        """Store the command-line flags of the process."""
         self._flags = flags
 
     async def __aenter__(self) -> StandinProcess:
-        """Start and wait until the process listens."""
+        """Start the process and wait until it is listening."""
         self._folder = TemporaryDirectory()
         port_file = Path(self._folder.name) / 'port'
         self._process = await asyncio.create_subprocess_exec(
@@ -51,7 +51,7 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End the process, by force if it still runs."""
+        """Kill the process if it is still running."""
         await self.client.close()
         if self._process.returncode is None:
             self._process.kill()
@@ -59,22 +59,22 @@
         self._folder.cleanup()
 
     def terminate(self) -> None:
-        """Ask the process to end gracefully."""
+        """Ask the process to stop gracefully."""
         self._process.terminate()
 
     async def exit_code(self) -> int:
-        """Wait for the end of the process."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Wait until the process has exited; return its exit code."""
+        async with asyncio.timeout(TIMEOUT_S):
             return await self._process.wait()
 
     async def fetch(self, path: str) -> dict:
-        """Read a JSON document."""
+        """Fetch a JSON document."""
         async with self.client.get(path) as resp:
             return await resp.json()
 
-    async def wait_count(self, name: str, expected: int) -> dict:
+    async def wait_for_count(self, name: str, expected: int) -> dict:
         """Wait until a count of ``/executions`` has the expected value."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 counts = await self.fetch('/executions')
                 if counts[name] == expected:
--- a/tests/standin/test_batcher.py
+++ b/tests/standin/test_batcher.py
@@ -1,4 +1,4 @@
-"""Tests of the batcher and its prefix cache."""
+"""Tests of the batcher and the prefix cache."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from snipebend.standin.batcher import Batcher, Submission, Token, token_text
+from snipebend.standin.batcher import Batcher, Submission, Token, render_token
 from snipebend.standin.prefix_cache import PrefixCache, hash_chain
 
 BLOCK = 'x' * 64
@@ -22,14 +22,14 @@
 def drain(batcher: Batcher) -> list[Token]:
     tokens: list[Token] = []
     now = 0
-    while not batcher.idle:
+    while not batcher.is_idle:
         tokens.extend(batcher.step(now).tokens)
         now += 1
     return tokens
 
 
 class BatcherTest(unittest.TestCase):
-    def test_priority_then_arrival(self) -> None:
+    def test_admits_by_priority_then_arrival(self) -> None:
         batcher = make_batcher(batch_size=1)
         for request_id, priority in (('a', 0), ('b', 5), ('c', 5), ('d', 9)):
             batcher.submit(Submission(request_id, '', 1, priority))
@@ -57,7 +57,7 @@
         ready = [now for now in range(5, 9) if batcher.step(now).tokens]
         self.assertEqual((ready, warm.cached_tokens), ([6], 48))
 
-    def test_cancel_frees_the_place(self) -> None:
+    def test_cancel_frees_a_slot_of_the_batch(self) -> None:
         batcher = make_batcher(batch_size=1)
         running = batcher.submit(Submission('a', '', 9))
         batcher.step(0)
@@ -70,7 +70,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.text(), st.integers(1, 20), st.data())
-    def test_resume_gives_the_same_tokens(
+    def test_resumed_sequence_continues_with_the_same_tokens(
         self, prompt: str, length: int, data: st.DataObject
     ) -> None:
         resume_from = data.draw(st.integers(0, length - 1))
@@ -79,7 +79,7 @@
         tokens = drain(batcher)
         self.assertEqual(
             [(token.seq, token.text) for token in tokens],
-            [(seq, token_text(prompt, seq)) for seq in range(length)][
+            [(seq, render_token(prompt, seq)) for seq in range(length)][
                 resume_from:
             ],
         )
@@ -87,14 +87,14 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
-    def test_equal_block_after_another_prefix_is_no_hit(self) -> None:
+    def test_equal_block_after_a_different_prefix_is_a_miss(self) -> None:
         cache = PrefixCache(8)
         cache.store(hash_chain(f'{"y" * 64}{BLOCK}'))
         self.assertEqual(cache.count_cached(hash_chain(BLOCK)), 0)
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.text('ab', max_size=4), max_size=30))
-    def test_changes_replay_to_the_contents(self, words: list[str]) -> None:
+    def test_replayed_changes_give_the_contents(self, words: list[str]) -> None:
         cache = PrefixCache(5)
         replayed: set[str] = set()
         for word in words:
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -1,4 +1,4 @@
-"""Test of the engine inside the process of its caller."""
+"""Test of a crash of an engine within the current process."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 from snipebend.standin.batcher import Submission
 from snipebend.standin.engine import Cancelled, Engine
 from snipebend.standin.settings import EngineConfig
-from tests.standin.processes import PATIENCE_S
+from tests.standin.processes import TIMEOUT_S
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
-    async def test_crash_is_reported_and_ends_all_work(self) -> None:
+    async def test_crash_calls_the_callback_and_stops_all_requests(
+        self,
+    ) -> None:
         crashed = asyncio.Event()
         engine = Engine(
             EngineConfig(crash_marker='BOOM', step_ms=1),
             clock=asyncio.get_running_loop().time,
             on_crash=crashed.set,
         )
-        beside = engine.submit(Submission('innocent', '', 10**6))
-        await beside.tokens.get()
-        suspect = engine.submit(Submission('suspect', 'a BOOM', 1))
-        async with asyncio.timeout(PATIENCE_S):
+        other_stream = engine.submit(Submission('innocent', '', 10**6))
+        await other_stream.tokens.get()
+        crashing_stream = engine.submit(Submission('suspect', 'a BOOM', 1))
+        async with asyncio.timeout(TIMEOUT_S):
             await crashed.wait()
         counts = engine.ledger.counts()
         await engine.stop()
         self.assertEqual(counts.by_request, {'innocent': 1, 'suspect': 1})
-        self.assertEqual(suspect.tokens.get_nowait(), Cancelled())
+        self.assertEqual(crashing_stream.tokens.get_nowait(), Cancelled())
--- a/tests/standin/test_main.py
+++ b/tests/standin/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-ins as processes, over real ports."""
+"""Tests of the stand-ins as processes over TCP."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 from aiohttp import ClientError
 
-from snipebend.standin.batcher import token_text
+from snipebend.standin.batcher import render_token
 from tests.standin.processes import StandinProcess
 
+#: More tokens than the engine generates during a test.
 ENDLESS = 10**6
 
 
@@ -29,7 +30,7 @@
 
 
 def parse_chunks(text: str) -> list[tuple[int, str]]:
-    """Check the form of the stream; return the number and text of each."""
+    """Check the format of a stream; return each chunk's number and text."""
     *events, done, rest = text.split('\n\n')
     assert (done, rest) == ('data: [DONE]', '')
     chunks = [json.loads(event.removeprefix('data: ')) for event in events]
@@ -37,8 +38,8 @@
 
 
 class EngineProcessTest(unittest.IsolatedAsyncioTestCase):
-    async def test_stream_resume_and_whole_answer(self) -> None:
-        expected = [(seq, token_text('hello', seq)) for seq in range(6)]
+    async def test_streamed_resumed_and_complete_responses_agree(self) -> None:
+        expected = [(seq, render_token('hello', seq)) for seq in range(6)]
         async with StandinProcess('--step-ms', '1') as engine:
             for resume_from in (0, 4):
                 headers = {
@@ -65,30 +66,30 @@
         self.assertEqual(counts['by_key'], {'k1': 2})
         self.assertEqual((counts['started'], counts['finished']), (3, 3))
 
-    async def test_disconnect_and_delete_cancel(self) -> None:
+    async def test_disconnect_and_delete_cancel_a_request(self) -> None:
         async with StandinProcess() as engine:
             for stream in (True, False):
                 caller = asyncio.create_task(
                     read_answer(engine, body('left', ENDLESS, stream=stream))
                 )
-                await engine.wait_count('running', 1)
+                await engine.wait_for_count('running', 1)
                 caller.cancel()
-                counts = await engine.wait_count('running', 0)
+                counts = await engine.wait_for_count('running', 0)
             self.assertEqual((counts['cancelled'], counts['finished']), (2, 0))
             caller = asyncio.create_task(
                 read_answer(engine, body('deleted', ENDLESS))
             )
-            await engine.wait_count('running', 1)
+            await engine.wait_for_count('running', 1)
             async with engine.client.delete(
                 '/v1/requests/text_completion-3'
             ) as resp:
                 self.assertEqual(await resp.json(), {'cancelled': 1})
             text = await caller
-            await engine.wait_count('cancelled', 3)
+            await engine.wait_for_count('cancelled', 3)
         self.assertIn('event: error', text)
         self.assertNotIn('[DONE]', text)
 
-    async def test_sigterm_ends_the_stream_in_flight(self) -> None:
+    async def test_sigterm_lets_an_open_stream_finish(self) -> None:
         async with StandinProcess('--step-ms', '20') as engine:
             async with engine.client.post(
                 '/v1/completions', json=body('x', 100)
@@ -104,7 +105,7 @@
                 await read_answer(engine, body('goes BOOM', 3))
             self.assertEqual(await engine.exit_code(), 70)
 
-    async def test_refusals_execute_nothing(self) -> None:
+    async def test_refused_requests_execute_nothing(self) -> None:
         bad_bodies = (
             (b'no json', 400),
             (b'{"model": 3}', 400),
--- a/tests/standin/test_orders.py
+++ b/tests/standin/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders, late reports and the expert loads."""
+"""Tests of orders, delayed reports and expert loads."""
 
 from __future__ import annotations
 
@@ -8,69 +8,79 @@
 from msgspec import Raw
 from result import Result
 
-from snipebend.standin.expert_load import ExpertMeter
-from snipebend.standin.orders import Order, OrderDesk, RankState
+from snipebend.standin.expert_load import ExpertLoadCounter
+from snipebend.standin.orders import Order, OrderExecutor, RankState
 from snipebend.standin.prefix_cache import CacheChange
 from snipebend.standin.reports import CacheFeed, LoadHistory, LoadReport
 from snipebend.standin.settings import EngineConfig
 from snipebend.standin.step_clock import StepClock
 
 
-def give(desk: OrderDesk, order: Order) -> Result:
-    return desk.execute(order, Raw(b'{}'), 0)
+def execute_order(executor: OrderExecutor, order: Order) -> Result:
+    return executor.execute(order, Raw(b'{}'), 0)
 
 
-class OrderDeskTest(unittest.TestCase):
-    def test_fence(self) -> None:
+class OrderExecutorTest(unittest.TestCase):
+    def test_stale_fence_is_refused_only_if_checked(self) -> None:
         for check_fence in (True, False):
             with self.subTest(check_fence=check_fence):
-                desk = OrderDesk(check_fence=check_fence)
-                give(desk, Order('load', 'g', 7))
-                stale = give(desk, Order('load', 'g', 6))
+                executor = OrderExecutor(check_fence=check_fence)
+                execute_order(executor, Order('load', 'g', 7))
+                stale = execute_order(executor, Order('load', 'g', 6))
                 self.assertEqual(stale.is_err(), check_fence)
-                self.assertTrue(give(desk, Order('load', 'g', 7)).is_ok())
-                self.assertTrue(give(desk, Order('load', 'other', 1)).is_ok())
-                self.assertEqual(len(desk.executed), 4 - check_fence)
+                self.assertTrue(
+                    execute_order(executor, Order('load', 'g', 7)).is_ok()
+                )
+                self.assertTrue(
+                    execute_order(executor, Order('load', 'other', 1)).is_ok()
+                )
+                self.assertEqual(len(executor.executed), 4 - check_fence)
 
-    def test_map_changes_at_its_step_and_only_when_prepared(self) -> None:
-        desk = OrderDesk(check_fence=True)
+    def test_map_changes_at_its_step_and_only_if_prepared(self) -> None:
+        executor = OrderExecutor(check_fence=True)
         activate = Order('expert-map', 'g', 1, 'activate', 4, 2, 30)
-        self.assertTrue(give(desk, activate).is_err())
-        give(desk, Order('expert-map', 'g', 1, 'prepare', 4, 2))
-        self.assertTrue(give(desk, activate).is_ok())
-        self.assertEqual(desk.rank_state(29), RankState(0, 0, 29))
-        self.assertEqual(desk.rank_state(30), RankState(4, 2, 30))
+        self.assertTrue(execute_order(executor, activate).is_err())
+        execute_order(executor, Order('expert-map', 'g', 1, 'prepare', 4, 2))
+        self.assertTrue(execute_order(executor, activate).is_ok())
+        self.assertEqual(executor.rank_state(29), RankState(0, 0, 29))
+        self.assertEqual(executor.rank_state(30), RankState(4, 2, 30))
 
-    def test_hold_until_the_decision_on_that_map(self) -> None:
-        desk = OrderDesk(check_fence=True)
-        give(desk, Order('expert-map', 'g', 1, 'prepare', 1, 1, 30))
-        give(desk, Order('expert-map', 'g', 1, 'prepare', 2, 1, 40))
-        give(desk, Order('expert-map', 'g', 1, 'abort', 1, 1))
-        self.assertEqual(desk.hold_step, 40)
-        give(desk, Order('expert-map', 'g', 1, 'activate', 2, 1, 40))
-        self.assertIsNone(desk.hold_step)
-        give(desk, Order('expert-map', 'g', 1, 'prepare', 3, 1, 0))
-        self.assertIsNone(desk.hold_step, 'the step has passed')
+    def test_holds_until_the_prepared_map_is_decided(self) -> None:
+        executor = OrderExecutor(check_fence=True)
+        execute_order(
+            executor, Order('expert-map', 'g', 1, 'prepare', 1, 1, 30)
+        )
+        execute_order(
+            executor, Order('expert-map', 'g', 1, 'prepare', 2, 1, 40)
+        )
+        execute_order(executor, Order('expert-map', 'g', 1, 'abort', 1, 1))
+        self.assertEqual(executor.hold_step, 40)
+        execute_order(
+            executor, Order('expert-map', 'g', 1, 'activate', 2, 1, 40)
+        )
+        self.assertIsNone(executor.hold_step)
+        execute_order(executor, Order('expert-map', 'g', 1, 'prepare', 3, 1, 0))
+        self.assertIsNone(executor.hold_step, 'the step has passed')
         now = 0.0
         clock = StepClock(lambda: now, 1)
         now = 5.5
         clock.hold_at(8)
         now = 20.5
-        self.assertEqual((clock.step, clock.held), (7, True))
+        self.assertEqual((clock.step, clock.is_held), (7, True))
         clock.hold_at(None)
-        self.assertEqual((clock.step, clock.held), (7, False))
+        self.assertEqual((clock.step, clock.is_held), (7, False))
 
 
 class ReportsTest(unittest.TestCase):
-    def test_load_is_late(self) -> None:
+    def test_load_is_reported_after_the_lag(self) -> None:
         reports = [LoadReport(n, 0, 0, 8, n, float(n)) for n in range(5)]
         history = LoadHistory(reports[0], lag_s=2)
         for report in reports[1:]:
             history.add(report)
-        seen = [history.visible(now).running for now in (4, 5, 5.5, 9)]
-        self.assertEqual(seen, [2, 3, 3, 4])
+        running = [history.visible(now).running for now in (4, 5, 5.5, 9)]
+        self.assertEqual(running, [2, 3, 3, 4])
 
-    def test_cache_events_are_late_and_have_gaps(self) -> None:
+    def test_cache_events_are_delayed_and_have_gaps(self) -> None:
         feed = CacheFeed(Random(1), lag_s=1, gap_rate=0.25)
         for now in range(100):
             feed.add(CacheChange('stored', str(now)), now)
@@ -83,16 +93,16 @@
         self.assertEqual(feed.seq, 100)
 
 
-class ExpertMeterTest(unittest.TestCase):
+class ExpertLoadCounterTest(unittest.TestCase):
     def test_counts_are_complete_seeded_and_drift(self) -> None:
         cfg = EngineConfig(layers=3, experts=8)
         loads = []
         for _ in range(2):
-            meter = ExpertMeter(cfg)
-            meter.add_tokens(100)
-            loads.append(meter.take(5))
+            counter = ExpertLoadCounter(cfg)
+            counter.add_tokens(100)
+            loads.append(counter.collect(5))
         self.assertEqual(loads[0], loads[1])
         self.assertEqual([sum(row) for row in loads[0].counts], [200, 200, 200])
-        self.assertEqual(sum(map(sum, meter.take(6).counts)), 0)
-        drift = meter.popularity(cfg.drift_steps) - meter.popularity(0)
+        self.assertEqual(sum(map(sum, counter.collect(6).counts)), 0)
+        drift = counter.popularity(cfg.drift_steps) - counter.popularity(0)
         self.assertGreater(abs(drift).max(), 0.05)
