--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches with regression bounds."""
+"""Benches: bounded ones for regressions, and measurements run by hand."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the quick, bounded benches: ``python -m bench``."""
+"""Runs the quick benches and checks their bounds: ``python -m bench``."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def main() -> int:
-    """Run each module's ``measure`` and compare with ``bounds.toml``.
+    """Run ``measure`` of each ``quick_`` module and check ``bounds.toml``.
 
     ``measure()`` returns figures by name; a bound is a table with ``min``,
-    ``max`` or both.
+    ``max`` or both. The exit code is 1 if a figure is out of its bounds.
     """
     bounds = tomllib.loads((FOLDER / 'bounds.toml').read_text('utf-8'))
     verdicts = [
--- a/bench/calm_days.py
+++ b/bench/calm_days.py
@@ -1,11 +1,11 @@
-"""Plays days without trouble of each deployment, beside what they were worth.
-
-``python -m bench.calm_days PLAYER SITE... --why WHY [--keep]`` prints a row a
-deployment and day: its worth at the last landing, now, and whether it fell by
-more than what one and the same day spreads by. The days are a calm one, and one
-with 1.3 times its requests under a steady demand. ``--keep`` writes the worths
-down for the next landing. The program that plays and the deployments' files are
-named on the command line.
+"""Simulates days without failures and compares their worth with stored values.
+
+``python -m bench.calm_days PLAYER SITE... --why WHY [--keep]`` prints a row per
+deployment and day: the worth stored at the last release, the current one, and
+whether it fell by more than repeated runs of the same day differ. One day is
+calm, the other has 1.3 times its requests under steady demand. ``--keep``
+stores the worths for the next comparison. The simulator and the deployments'
+files are given on the command line.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from types import MappingProxyType
 from typing import NamedTuple
 
-WORTHS = Path(__file__).parent / 'calm_days.toml'
+WORTHS_FILE = Path(__file__).parent / 'calm_days.toml'
 
-#: By name, as the player takes them: a calm day that every deployment has, and
-#: one of our own.
+#: Arguments of the simulator by name of the day: a calm day that every
+#: deployment defines, and one from the ``days`` folder.
 DAYS = MappingProxyType(
     {
         'quiet-1': 'quiet-1',
@@ -36,33 +36,33 @@
     '| deployment | day | before | now | |\n| --- | --- | --- | --- | --- |\n'
 )
 
-#: A larger fall of worth than this is a finding.
-MOST_FALL = 0.03
+#: A day whose worth falls by more than this fails.
+MAX_DROP = 0.03
 
 
 def main() -> int:
-    """Play the days; return 1 if one fell or couldn't be played."""
+    """Simulate the days; return 1 if a worth fell or a simulation failed."""
     parser = ArgumentParser(description=__doc__)
-    parser.add_argument('player', help='the program that plays a day')
+    parser.add_argument('player', help='the program that simulates a day')
     parser.add_argument('sites', nargs='+', help="the deployments' files")
     parser.add_argument('--keep', action='store_true')
     parser.add_argument('--why', required=True)
     args = parser.parse_args()
-    worths = tomllib.loads(WORTHS.read_text(encoding='utf-8'))
+    worths = tomllib.loads(WORTHS_FILE.read_text(encoding='utf-8'))
     sys.stdout.write(HEAD)
-    sound = True
+    all_passed = True
     for site in args.sites:
         for day in DAYS:
-            known = worths.setdefault(day, {})
-            row = _play_row(args.player, site, day, known, args.why)
-            sound = sound and row.verdict == ''
+            worths_of_day = worths.setdefault(day, {})
+            row = _play_row(args.player, site, day, worths_of_day, args.why)
+            all_passed = all_passed and row.verdict == ''
     if args.keep:
-        WORTHS.write_text(_to_toml(worths), encoding='utf-8')
-    return 0 if sound else 1
+        WORTHS_FILE.write_text(_render_toml(worths), encoding='utf-8')
+    return 0 if all_passed else 1
 
 
 class Row(NamedTuple):
-    """One played day beside its last figure."""
+    """The stored and the current worth of a day at a deployment."""
 
     name: str
     day: str
@@ -72,34 +72,36 @@
 
 
 def _play_row(
-    player: str, site: str, day: str, known: dict[str, float], why: str
+    player: str, site: str, day: str, worths_of_day: dict[str, float], why: str
 ) -> Row:
-    """Play one day, print its row and note its worth."""
+    """Simulate one day, print its row and record its worth."""
     name = Path(site).stem
-    before = known.get(name)
+    before = worths_of_day.get(name)
     now = _play(player, site, DAYS[day], why)
-    row = Row(name, day, before, now, _verdict(before, now))
+    row = Row(name, day, before, now, _compare_worths(before, now))
     shown = ['-' if one is None else str(one) for one in row]
     line = ' | '.join(shown)
     sys.stdout.write(f'| {line} |\n')
     sys.stdout.flush()
     if now is not None:
-        known[name] = now
+        worths_of_day[name] = now
     return row
 
 
-def _to_toml(worths: dict[str, dict[str, float]]) -> str:
+def _render_toml(worths: dict[str, dict[str, float]]) -> str:
     parts: list[str] = []
-    for day, known in worths.items():
-        lines = [f'{name} = {worth}' for name, worth in sorted(known.items())]
+    for day, worths_of_day in worths.items():
+        lines = [
+            f'{name} = {worth}' for name, worth in sorted(worths_of_day.items())
+        ]
         parts.append('\n'.join((f'[{day}]', *lines, '')))
     return '\n'.join(parts)
 
 
-def _verdict(before: float | None, now: float | None) -> str:
+def _compare_worths(before: float | None, now: float | None) -> str:
     if now is None:
         return 'not played'
-    if before is not None and now < before - MOST_FALL:
+    if before is not None and now < before - MAX_DROP:
         return 'fell'
     return ''
 
@@ -107,10 +109,14 @@
 def _play(player: str, site: str, day: str, why: str) -> float | None:
     command = [player, 'run', site, day, '--no-cpu', '--jobs', '1']
     command += ['--why', why]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    found = re.search(r'^worth ([\d.]+) =', done.stdout, re.MULTILINE)
-    if found is None or 'BROKEN' in done.stdout:
-        sys.stderr.write(f'{done.stdout[-600:]}{done.stderr[-600:]}\n')
+    completed = subprocess.run(
+        command, capture_output=True, text=True, check=False
+    )
+    found = re.search(r'^worth ([\d.]+) =', completed.stdout, re.MULTILINE)
+    if found is None or 'BROKEN' in completed.stdout:
+        sys.stderr.write(
+            f'{completed.stdout[-600:]}{completed.stderr[-600:]}\n'
+        )
         return None
     return float(found[1])
 
--- a/bench/capacity_control.py
+++ b/bench/capacity_control.py
@@ -1,4 +1,4 @@
-"""The lines of docs/CAPACITY.md on the control daemons."""
+"""Computes the lines of docs/CAPACITY.md on the control daemons."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 )
 
 
-def control_lines(slopes: Slopes) -> list[Line]:
-    """Work out the lines."""
+def compute_control_lines(slopes: Slopes) -> list[Line]:
+    """Return the lines on the control daemons."""
     voters = target.REGION_CONTROL_VMS / target.GROUPS_PER_REGION
     announced = (
         target.REPLICAS_PER_REGION
         / target.GROUPS_PER_REGION
-        / target.REPORT_EVERY_S
+        / target.ANNOUNCE_INTERVAL_S
     )
     announced_us = announced * slopes['announce_us']
     watchers = target.NODES_PER_REGION / target.REGION_CONTROL_VMS
@@ -40,7 +40,7 @@
     )
     keyed = target.REQUESTS_PER_S * target.KEYED_SHARE / target.REGIONS
     commands = keyed * 2 / target.GROUPS_PER_REGION
-    held = keyed / target.GROUPS_PER_REGION * target.CLAIM_LIFE_S
+    held = keyed / target.GROUPS_PER_REGION * target.CLAIM_LIFETIME_S
     return [
         Line(
             CONTROL,
@@ -141,7 +141,7 @@
         Line(
             CONTROL,
             'sum at a leader',
-            _leader_sum(
+            _leader_cpu_percent(
                 slopes,
                 announced_us + watched_us + pushed_us + parsed_us,
                 commands,
@@ -166,8 +166,10 @@
     ]
 
 
-def _leader_sum(slopes: Slopes, pushed_us: float, commands: float) -> float:
-    """Return the percents of a core that one leader of a region needs."""
+def _leader_cpu_percent(
+    slopes: Slopes, pushed_us: float, commands: float
+) -> float:
+    """Return the share of a core in percent that a region's leader needs."""
     groups = target.ACCELERATORS / target.RANKS / target.REGIONS
     busy_us = pushed_us + commands * slopes['command_leader_us']
     maps = groups * slopes['map_decision_s'] / MINUTE_S
--- a/bench/capacity_line.py
+++ b/bench/capacity_line.py
@@ -1,10 +1,10 @@
-"""One line of docs/CAPACITY.md and the units that lines share."""
+"""A line of docs/CAPACITY.md, with the constants that all lines share."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-#: Measured slopes by name, see ``bench/slopes.toml``.
+#: Measured costs per unit of load by name, see ``bench/slopes.toml``.
 Slopes = dict[str, float]
 
 ENTRY = 'Entry'
@@ -25,7 +25,7 @@
 
 
 class Line(NamedTuple):
-    """One row of the page; no budget means that none was given."""
+    """A row of the page; ``budget`` is ``None`` if the target has none."""
 
     role: str
     name: str
@@ -34,23 +34,23 @@
     budget: float | None
     mechanism: str
     state: str
-    working: str
+    calculation: str
 
     def row(self) -> str:
-        """Render as a row of the role's table."""
+        """Render the line as a Markdown row of its role's table."""
         if self.budget is None:
             budget = '-'
             verdict = '-'
         else:
             budget = f'{self.budget:g} {self.unit}'
             verdict = 'met' if self.value <= self.budget else '**missed**'
-        shown = f'{_show(self.value)} {self.unit}'
+        shown = f'{_format_number(self.value)} {self.unit}'
         return (
             f'| {self.name} | {shown} | {budget} | {verdict} '
             f'| {self.mechanism} | {self.state} |'
         )
 
 
-def _show(number: float) -> str:
-    """Render four digits, never as a power of ten."""
+def _format_number(number: float) -> str:
+    """Format with four significant digits, never with an exponent."""
     return f'{number:,.0f}' if number >= 100 else f'{number:.4g}'
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -1,24 +1,28 @@
-"""All lines of docs/CAPACITY.md: arithmetic over slopes and target."""
+"""Collects the computed lines of all roles for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from bench.capacity_control import control_lines
-from bench.capacity_nodes import agent_lines, entry_lines
-from bench.capacity_rest import failure_lines, map_lines, operator_lines
+from bench.capacity_control import compute_control_lines
+from bench.capacity_nodes import compute_agent_lines, compute_entry_lines
+from bench.capacity_operations import (
+    compute_failure_lines,
+    compute_map_lines,
+    compute_operator_lines,
+)
 
 if TYPE_CHECKING:
     from bench.capacity_line import Line, Slopes
 
 
-def lines_of(slopes: Slopes) -> list[Line]:
-    """Work out all lines, role by role."""
+def compute_lines(slopes: Slopes) -> list[Line]:
+    """Return all lines, grouped by role."""
     return [
-        *entry_lines(slopes),
-        *agent_lines(slopes),
-        *control_lines(slopes),
-        *map_lines(slopes),
-        *operator_lines(slopes),
-        *failure_lines(slopes),
+        *compute_entry_lines(slopes),
+        *compute_agent_lines(slopes),
+        *compute_control_lines(slopes),
+        *compute_map_lines(slopes),
+        *compute_operator_lines(slopes),
+        *compute_failure_lines(slopes),
     ]
--- a/bench/capacity_nodes.py
+++ b/bench/capacity_nodes.py
@@ -1,4 +1,4 @@
-"""The lines of docs/CAPACITY.md on entries and agents."""
+"""Computes the lines of docs/CAPACITY.md on entries and agents."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 
 
-def entry_lines(slopes: Slopes) -> list[Line]:
-    """Work out the lines."""
+def compute_entry_lines(slopes: Slopes) -> list[Line]:
+    """Return the lines on entries."""
     loads = target.WATCHED * slopes['loads_bytes_per_upstream']
     changes = target.CHANGES_PER_S * slopes['delta_bytes']
     idle = slopes['entry_idle_bytes']
@@ -145,9 +145,9 @@
     ]
 
 
-def agent_lines(slopes: Slopes) -> list[Line]:
-    """Work out the lines."""
-    announced = 3 * slopes['announce_bytes'] / target.REPORT_EVERY_S
+def compute_agent_lines(slopes: Slopes) -> list[Line]:
+    """Return the lines on agents."""
+    announced = 3 * slopes['announce_bytes'] / target.ANNOUNCE_INTERVAL_S
     changes = target.CHANGES_PER_S * slopes['delta_bytes']
     control_us = (
         slopes['agent_idle_percent'] / 100 * MICRO
--- a/bench/capacity_rest.py
+++ b/bench/capacity_operations.py
@@ -1,4 +1,4 @@
-"""The lines of docs/CAPACITY.md on expert maps, operators and failures."""
+"""Computes the lines of docs/CAPACITY.md on maps, operators and failures."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 )
 
 
-def map_lines(slopes: Slopes) -> list[Line]:
-    """Work out the lines."""
+def compute_map_lines(slopes: Slopes) -> list[Line]:
+    """Return the lines on expert maps."""
     groups = target.ACCELERATORS / target.RANKS
     return [
         Line(
@@ -77,8 +77,8 @@
     ]
 
 
-def operator_lines(slopes: Slopes) -> list[Line]:
-    """Work out the lines."""
+def compute_operator_lines(slopes: Slopes) -> list[Line]:
+    """Return the lines on an operator's fleet file."""
     text_mib = target.WORKSPACES * slopes['text_bytes_per_workspace'] / MEBI
     parse_s = target.WORKSPACES * slopes['parse_us_per_workspace'] / MICRO
     return [
@@ -105,8 +105,8 @@
     ]
 
 
-def failure_lines(slopes: Slopes) -> list[Line]:
-    """Work out the lines."""
+def compute_failure_lines(slopes: Slopes) -> list[Line]:
+    """Return the lines on failures and restarts."""
     region = target.REPLICAS_PER_REGION
     per_center = region / 3
     followers = (target.NODES_PER_REGION + region) / target.REGION_CONTROL_VMS
--- a/bench/capacity_target.py
+++ b/bench/capacity_target.py
@@ -1,4 +1,4 @@
-"""The target's size and what we assume where it is silent."""
+"""The target size, and assumptions where the target gives no value."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 RANKS = 256
 ACCELERATORS = 24_000
 
-#: Budgets a node, for control.
+#: Budgets of control: bytes, share of a core and memory per node, the time
+#: until a change is in force, and the 95th percentiles of the time to the
+#: first token and between tokens.
 BUDGET_BYTES_PER_S = 3000
 BUDGET_CORE = 0.034
 BUDGET_MIB = 256
@@ -25,15 +27,16 @@
 BUDGET_FIRST_TOKEN_MS = 470
 BUDGET_BETWEEN_TOKENS_MS = 58
 
-#: Our assumptions.
-#: 32 models, each with a pool of about 54 in a region; 20 of each pool.
+#: Assumption: an entry watches 20 upstreams of each of the 32 models, each of
+#: which has a pool of about 54 in a region.
 WATCHED = 640
+#: The other assumptions; the page explains them.
 REGION_CONTROL_VMS = 6
 GLOBAL_CONTROL_VMS = 5
 GROUPS_PER_REGION = 2
 KEYED_SHARE = 0.05
-CLAIM_LIFE_S = 3600
-REPORT_EVERY_S = 2.0
+CLAIM_LIFETIME_S = 3600
+ANNOUNCE_INTERVAL_S = 2.0
 
 NODES_PER_REGION = NODES / REGIONS
 REPLICAS_PER_REGION = REPLICAS / REGIONS
@@ -76,16 +79,16 @@
         'each of 32 models',
     ),
     ('share of requests with an idempotency key', f'{KEYED_SHARE:.0%}'),
-    ('life of a claim', f'{CLAIM_LIFE_S / 3600:g} h'),
+    ('life of a claim', f'{CLAIM_LIFETIME_S / 3600:g} h'),
     (
         'announcements',
-        f'every {REPORT_EVERY_S:g} s from each agent to the three voters of '
-        'one group',
+        f'every {ANNOUNCE_INTERVAL_S:g} s from each agent to the three voters '
+        'of one group',
     ),
     ('traffic', 'even over regions, entries and upstreams'),
 )
 
-#: What each role keeps and says: role, state, messages.
+#: Each role's state and its messages.
 ROLES = (
     (
         'entry',
--- a/bench/control_idle.py
+++ b/bench/control_idle.py
@@ -1,9 +1,9 @@
-"""What control costs while little changes: bytes and processor time a second.
+"""Measures traffic and processor time of control with few or no changes.
 
 Run by hand: ``python -m bench.control_idle`` starts three control daemons, an
 entry and an agent, and prints JSON: idle, and with 0.3 changes a second.
-Processor time is each process's own; bytes are what crosses the sockets to the
-control daemons, both ways, headers of HTTP/2 included, those of TCP not.
+Processor time is measured per process; bytes are those on the sockets to the
+control daemons, in both directions, including HTTP/2 headers but not TCP's.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
     start_standin,
 )
 
-SPAN_S = 15.0
+MEASUREMENT_S = 15.0
 CHANGES_PER_S = 0.3
 _SETTLE_S = 3.0
 
 
-class Watched(NamedTuple):
-    """A process and the proxies that all its traffic to control crosses."""
+class MonitoredProcess(NamedTuple):
+    """A process and the proxies that carry all its traffic to control."""
 
     process: psutil.Process
     proxies: tuple[CountingProxy, ...]
 
-    def counters(self) -> tuple[float, int]:
-        """Return processor seconds and bytes so far."""
+    def read_counters(self) -> tuple[float, int]:
+        """Return processor seconds and transferred bytes so far."""
         times = self.process.cpu_times()
-        crossed = sum(proxy.total_bytes for proxy in self.proxies)
-        return times.user + times.system, crossed
+        transferred = sum(proxy.total_bytes for proxy in self.proxies)
+        return times.user + times.system, transferred
 
 
 async def measure() -> dict[str, Any]:
@@ -59,12 +59,12 @@
         group = await stack.enter_async_context(
             control_group(folder, wired=False, snapshot_every=1000),
         )
-        watched = await _start_all(stack, group, folder)
+        monitored = await _start_all(stack, group, folder)
         await group.apply(NAMES[0], 0, fleet_text(0))
         await asyncio.sleep(_SETTLE_S)
-        idle = await _watch(watched)
-        changing = asyncio.create_task(_change(group))
-        busy = await _watch(watched)
+        idle = await _measure_rates(monitored)
+        changing = asyncio.create_task(_apply_changes(group))
+        busy = await _measure_rates(monitored)
         changing.cancel()
         await asyncio.gather(changing, return_exceptions=True)
         return {'idle': idle, 'changes_0.3_per_s': busy}
@@ -72,10 +72,10 @@
 
 async def _start_all(
     stack: AsyncExitStack, group: ControlGroup, folder: Path
-) -> dict[str, Watched]:
+) -> dict[str, MonitoredProcess]:
     leader = await group.leader()
-    watched = {
-        ('leader' if name == leader else f'follower {name}'): Watched(
+    monitored = {
+        ('leader' if name == leader else f'follower {name}'): MonitoredProcess(
             psutil.Process(program.process.pid), ()
         )
         for name, program in group.programs.items()
@@ -96,11 +96,11 @@
         program: Program = await start_daemon(kind, folder, kind, toml)
         stack.push_async_callback(program.kill)
         process = psutil.Process(program.process.pid)
-        watched[kind] = Watched(process, tuple(proxies))
-    return watched
+        monitored[kind] = MonitoredProcess(process, tuple(proxies))
+    return monitored
 
 
-async def _change(group: ControlGroup) -> None:
+async def _apply_changes(group: ControlGroup) -> None:
     number = 1
     while True:
         await group.apply(NAMES[0], number, fleet_text(number))
@@ -108,20 +108,24 @@
         await asyncio.sleep(1 / CHANGES_PER_S)
 
 
-async def _watch(watched: dict[str, Watched]) -> dict[str, Any]:
-    before = {name: one.counters() for name, one in watched.items()}
-    began = time.monotonic()
-    await asyncio.sleep(SPAN_S)
-    span_s = time.monotonic() - began
+async def _measure_rates(
+    monitored: dict[str, MonitoredProcess],
+) -> dict[str, Any]:
+    before = {name: one.read_counters() for name, one in monitored.items()}
+    started_at = time.monotonic()
+    await asyncio.sleep(MEASUREMENT_S)
+    elapsed_s = time.monotonic() - started_at
     figures: dict[str, Any] = {}
-    for name, one in watched.items():
-        cpu_s, crossed = one.counters()
+    for name, one in monitored.items():
+        cpu_s, transferred = one.read_counters()
         figures[name] = {
-            'cpu_percent': round((cpu_s - before[name][0]) / span_s * 100, 2),
+            'cpu_percent': round(
+                (cpu_s - before[name][0]) / elapsed_s * 100, 2
+            ),
             'rss_mib': round(one.process.memory_info().rss / 2**20, 1),
         }
         if one.proxies:
-            rate = (crossed - before[name][1]) / span_s
+            rate = (transferred - before[name][1]) / elapsed_s
             figures[name]['bytes_per_s'] = round(rate, 1)
     return figures
 
--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -1,7 +1,7 @@
-"""What the replicated state costs: time to accept, to spread and to restart.
+"""Measures the replicated state: times to accept, propagate and restart.
 
 Run by hand: ``python -m bench.control_slopes`` starts three control daemons
-and prints JSON. Times depend on the machine and on what else runs on it.
+and prints JSON. Times depend on the machine and on its other load.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 APPLIES = 100
 WATCHERS = 30
 CLAIMS = 1500
-CLAIMERS = 32
+CONCURRENT_CLAIMS = 32
 RESTARTS = (0, 200, 800)
 _TIMEOUT_S = 10.0
 _MILLI = 1000
@@ -54,7 +54,7 @@
             figures['apply_at_follower'] = await _time_applies(
                 group, follower, APPLIES
             )
-            figures['in_force'] = await _time_spread(group, 2 * APPLIES)
+            figures['in_force'] = await _time_propagation(group, 2 * APPLIES)
             figures['claims'] = await _time_claims(group, leader)
     figures['restart'] = [
         await _time_restart(changes, snapshot_every)
@@ -67,17 +67,19 @@
 async def _time_applies(
     group: ControlGroup, name: str, start: int
 ) -> dict[str, float]:
-    spans: list[float] = []
+    durations: list[float] = []
     for number in range(start, start + APPLIES):
-        began = time.monotonic()
+        started_at = time.monotonic()
         reply = await group.apply(name, number, fleet_text(number))
-        spans.append(time.monotonic() - began)
+        durations.append(time.monotonic() - started_at)
         assert reply is not None and reply.revision == number + 1
-    return _summary(spans)
+    return _summarize(durations)
 
 
-async def _time_spread(group: ControlGroup, start: int) -> dict[str, float]:
-    """Time from the call to the last of the watchers having the revision."""
+async def _time_propagation(
+    group: ControlGroup, start: int
+) -> dict[str, float]:
+    """Measure the time from a call until all watchers have the revision."""
     arrivals: dict[int, list[float]] = {}
     clients = RpcClients()
     watchers = [
@@ -86,18 +88,18 @@
         )
         for number in range(WATCHERS)
     ]
-    spans: list[float] = []
+    durations: list[float] = []
     for number in range(start, start + APPLIES // 2):
-        began = time.monotonic()
+        started_at = time.monotonic()
         await group.apply(NAMES[0], number, fleet_text(number))
         while len(arrivals.get(number + 1, ())) < WATCHERS:
             await asyncio.sleep(0.001)
-        spans.append(max(arrivals[number + 1]) - began)
+        durations.append(max(arrivals[number + 1]) - started_at)
     for watcher in watchers:
         watcher.cancel()
     await asyncio.gather(*watchers, return_exceptions=True)
     clients.close()
-    return _summary(spans)
+    return _summarize(durations)
 
 
 async def _watch(
@@ -115,41 +117,43 @@
 
 
 async def _time_claims(group: ControlGroup, name: str) -> dict[str, float]:
-    """Claim keys from many askers at once: what one leader takes."""
+    """Measure the throughput of a leader for concurrent claims of keys."""
     clients = RpcClients()
-    spans: list[float] = []
-    left = iter(range(CLAIMS))
+    durations: list[float] = []
+    remaining = iter(range(CLAIMS))
 
-    async def claim_on() -> None:
-        for _ in left:
+    async def claim_keys() -> None:
+        for _ in remaining:
             holder = Holder(uuid4().hex, 1, 'entry', 'u', '127.0.0.1:1', 1)
             key = uuid4().hex
             until = time.time() + 600
             req = ClaimRequest('w', key, 'f', holder, until)
-            began = time.monotonic()
+            started_at = time.monotonic()
             answer = await clients.call(
                 group.address(name), CLAIM, req, timeout=_TIMEOUT_S
             )
             answer.unwrap()
-            spans.append(time.monotonic() - began)
-
-    before = _cpu(group)
-    began = time.monotonic()
-    await asyncio.gather(*(claim_on() for _ in range(CLAIMERS)))
-    elapsed = time.monotonic() - began
-    spent = {one: cpu - before[one] for one, cpu in _cpu(group).items()}
+            durations.append(time.monotonic() - started_at)
+
+    before = _read_cpu_seconds(group)
+    started_at = time.monotonic()
+    await asyncio.gather(*(claim_keys() for _ in range(CONCURRENT_CLAIMS)))
+    elapsed = time.monotonic() - started_at
+    cpu_s = {
+        one: cpu - before[one] for one, cpu in _read_cpu_seconds(group).items()
+    }
     clients.close()
-    leader_s = spent.pop(name)
+    leader_s = cpu_s.pop(name)
     return {
-        **_summary(spans),
+        **_summarize(durations),
         'per_s': round(CLAIMS / elapsed, 1),
         'leader_cpu_us': round(leader_s / CLAIMS * _MICRO),
-        'follower_cpu_us': round(max(spent.values()) / CLAIMS * _MICRO),
+        'follower_cpu_us': round(max(cpu_s.values()) / CLAIMS * _MICRO),
     }
 
 
-def _cpu(group: ControlGroup) -> dict[str, float]:
-    """Return each daemon's processor seconds so far."""
+def _read_cpu_seconds(group: ControlGroup) -> dict[str, float]:
+    """Return the processor seconds that each daemon has used."""
     figures: dict[str, float] = {}
     for name, program in group.programs.items():
         times = psutil.Process(program.process.pid).cpu_times()
@@ -158,7 +162,7 @@
 
 
 async def _time_restart(changes: int, snapshot_every: int) -> dict[str, float]:
-    """Time a restart of all three to each answering with the last change."""
+    """Measure a restart of all daemons until each has the last revision."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         async with control_group(
@@ -171,9 +175,9 @@
             log_bytes = sum(
                 path.stat().st_size for path in (folder / 'c-1').iterdir()
             )
-            began = time.monotonic()
+            started_at = time.monotonic()
             await group.start(*NAMES)
-            started_s = time.monotonic() - began
+            started_s = time.monotonic() - started_at
             for one in NAMES:
                 assert await group.revision(one) == changes
             return {
@@ -181,17 +185,17 @@
                 'snapshots': snapshot_every < _NEVER,
                 'folder_bytes': log_bytes,
                 'started_s': round(started_s, 2),
-                'current_s': round(time.monotonic() - began, 2),
+                'current_s': round(time.monotonic() - started_at, 2),
             }
 
 
-def _summary(spans: list[float]) -> dict[str, float]:
-    cuts = quantiles(spans, n=100)
+def _summarize(durations: list[float]) -> dict[str, float]:
+    cuts = quantiles(durations, n=100)
     return {
         'p50_ms': round(cuts[49] * _MILLI, 2),
         'p99_ms': round(cuts[98] * _MILLI, 2),
-        'mean_ms': round(sum(spans) / len(spans) * _MILLI, 2),
-        'count': len(spans),
+        'mean_ms': round(sum(durations) / len(durations) * _MILLI, 2),
+        'count': len(durations),
     }
 
 
--- a/bench/counting_proxy.py
+++ b/bench/counting_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that counts the bytes that cross it, for benches."""
+"""A TCP proxy for benches that counts the bytes it forwards."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class CountingProxy:
-    """Forwards connections to one address while its block lasts."""
+    """Forwards connections to one address within an ``async with`` block."""
 
     def __init__(self, target: str) -> None:
-        """Keep the target, ``host:port``."""
+        """Create a proxy for a target ``host:port``."""
         self.total_bytes = 0
         host, _, port = target.rpartition(':')
         self._host = host
@@ -24,12 +24,12 @@
 
     @property
     def address(self) -> str:
-        """Return where the proxy listens."""
+        """Return the ``host:port`` on which the proxy listens."""
         host, port = self._server.sockets[0].getsockname()
         return f'{host}:{port}'
 
     async def __aenter__(self) -> Self:
-        """Listen on a port that the system chooses."""
+        """Listen on a free port of the loopback interface."""
         self._server = await asyncio.start_server(
             self._accept,
             '127.0.0.1',
@@ -53,8 +53,8 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        far = await asyncio.open_connection(self._host, self._port)
-        for source, target in ((reader, far[1]), (far[0], writer)):
+        upstream = await asyncio.open_connection(self._host, self._port)
+        for source, target in ((reader, upstream[1]), (upstream[0], writer)):
             task = asyncio.create_task(self._pump(source, target))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
--- a/bench/day_seconds.py
+++ b/bench/day_seconds.py
@@ -1,10 +1,11 @@
-"""What a played day's logs say, second by second.
+"""Summarizes the logs of a simulated day per second.
 
 ``python -m bench.day_seconds LOG [--from S] [--to S]`` reads the log lines of
-all processes, each behind its simulated time and its process, and prints for
-each second how many requests of the busiest service began and were under way,
-how long the first event took of those that began, what was refused and why, and
-what control did: elections, plans, switches, groups that went down.
+all processes, each prefixed with its simulated time and its process. For each
+second it prints how many requests of the busiest service began and were in
+flight, the median and maximum time to the first event of those that began,
+refusals with their reasons, and the actions of control: elections, plans,
+switches, and groups that went down.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 _LINE = re.compile(r'^\s*(-?[\d.]+) (\S+) .*?event=(\S+) ?(.*)$')
 _PAIR = re.compile(r"(\w+)=('[^']*'|\S+)")
 
-#: Events of control that explain what requests met.
-_CONTROL = frozenset(('map_planned', 'map_switch', 'group_seen'))
+#: Events of control that may explain delays and refusals of requests.
+_CONTROL_EVENTS = frozenset(('map_planned', 'map_switch', 'group_seen'))
 
 
 class LogLine(NamedTuple):
-    """One line: seconds of the day, process, event and its values."""
+    """A log line: seconds of the day, process, event and its pairs."""
 
     at: float
     process: str
@@ -34,33 +35,35 @@
     pairs: dict[str, str]
 
 
-class Life(NamedTuple):
-    """One request at its entry; times in seconds."""
+class RequestSpan(NamedTuple):
+    """The time span of a request at its entry; times in seconds of the day."""
 
     service: str
-    began_at: float
+    started_at: float
     ended_at: float
-    #: None: no event came.
-    first_s: float | None
+    #: Seconds from the start to the first event; ``None`` without any event.
+    first_event_s: float | None
 
 
 def main() -> int:
-    """Print the table."""
+    """Print one row per second."""
     parser = ArgumentParser(description=__doc__)
     parser.add_argument('log', type=Path)
     parser.add_argument('--from', dest='begin', type=int, default=0)
     parser.add_argument('--to', dest='end', type=int, default=50)
     args = parser.parse_args()
     lines = read_lines(args.log)
-    lives = find_lives(lines)
-    notes = find_notes(lines)
+    requests = find_requests(lines)
+    summaries = summarize_events(lines)
     for second in range(args.begin, args.end):
-        sys.stdout.write(f'{describe(second, lives)} {notes[second]}\n')
+        sys.stdout.write(
+            f'{render_second(second, requests)} {summaries[second]}\n'
+        )
     return 0
 
 
 def read_lines(path: Path) -> list[LogLine]:
-    """Return the lines that processes wrote, in their order."""
+    """Return the processes' log lines in the order of the file."""
     text = path.read_text(encoding='utf-8', errors='replace')
     return [
         LogLine(
@@ -71,63 +74,76 @@
     ]
 
 
-def find_lives(lines: list[LogLine]) -> list[Life]:
-    """Return the requests of the service that has most."""
-    begun: dict[str, LogLine] = {}
-    lives: list[Life] = []
+def find_requests(lines: list[LogLine]) -> list[RequestSpan]:
+    """Return the finished requests of the service with the most of them."""
+    open_requests: dict[str, LogLine] = {}
+    requests: list[RequestSpan] = []
     for line in lines:
         request = line.pairs.get('request', '')
         if line.event == 'call_begun':
-            begun.setdefault(request, line)
-        elif line.event == 'request_ended' and request in begun:
-            first = begun.pop(request)
+            open_requests.setdefault(request, line)
+        elif line.event == 'request_ended' and request in open_requests:
+            first = open_requests.pop(request)
             first_ms = float(line.pairs['first_ms'])
-            lives.append(
-                Life(
+            requests.append(
+                RequestSpan(
                     first.pairs['service'],
                     first.at,
                     line.at,
                     first_ms / 1000 if first_ms >= 0 else None,
                 )
             )
-    services = Counter(life.service for life in lives)
+    services = Counter(request.service for request in requests)
     busiest = services.most_common(1)[0][0] if services else ''
-    return [life for life in lives if life.service == busiest]
+    return [request for request in requests if request.service == busiest]
 
 
-def find_notes(lines: list[LogLine]) -> defaultdict[int, str]:
-    """Return what else happened in each second."""
-    notes: defaultdict[int, Counter[str]] = defaultdict(Counter)
+def summarize_events(lines: list[LogLine]) -> defaultdict[int, str]:
+    """Return a summary of the refusals and events of control per second."""
+    summaries: defaultdict[int, Counter[str]] = defaultdict(Counter)
     for line in lines:
-        note = _note(line)
+        note = _describe_event(line)
         if note:
-            notes[floor(line.at)][note] += 1
+            summaries[floor(line.at)][note] += 1
     return defaultdict(
         str,
         {
             second: '; '.join(
-                f'{times} x {note}' if times > 1 else note
-                for note, times in found.items()
+                f'{occurrences} x {note}' if occurrences > 1 else note
+                for note, occurrences in found.items()
             )
-            for second, found in notes.items()
+            for second, found in summaries.items()
         },
     )
 
 
-def describe(second: int, lives: list[Life]) -> str:
-    """Return one second's row of the table."""
-    began = [life for life in lives if second <= life.began_at < second + 1]
-    running = sum(life.began_at <= second < life.ended_at for life in lives)
-    firsts = [life.first_s for life in began if life.first_s is not None]
-    shown = (
-        f'{median(firsts):5.2f} {max(firsts):5.2f}' if firsts else '    -     -'
+def render_second(second: int, requests: list[RequestSpan]) -> str:
+    """Render the figures of the requests in one second."""
+    started = [
+        request
+        for request in requests
+        if second <= request.started_at < second + 1
+    ]
+    running = sum(
+        request.started_at <= second < request.ended_at for request in requests
+    )
+    first_delays = [
+        request.first_event_s
+        for request in started
+        if request.first_event_s is not None
+    ]
+    delays = (
+        f'{median(first_delays):5.2f} {max(first_delays):5.2f}'
+        if first_delays
+        else '    -     -'
     )
     return (
-        f'{second:4d} began {len(began):3d} running {running:3d} first {shown}'
+        f'{second:4d} began {len(started):3d} '
+        f'running {running:3d} first {delays}'
     )
 
 
-def _note(line: LogLine) -> str:
+def _describe_event(line: LogLine) -> str:
     pairs = line.pairs
     if line.event == 'refused':
         return f'refused {pairs["status"]} {pairs.get("detail", "")}'
@@ -135,7 +151,7 @@
         return f'{line.process} leads'
     if line.event == 'group_standing' and pairs.get('phase') == 'down':
         return f'{pairs["group"]} down'
-    if line.event in _CONTROL:
+    if line.event in _CONTROL_EVENTS:
         return f'{line.event} {pairs.get("group", "")}'
     return ''
 
--- a/bench/directory_cost.py
+++ b/bench/directory_cost.py
@@ -1,8 +1,8 @@
-"""What the directory's differences cost by the number of upstreams.
+"""Measures the cost of directory differences by the number of upstreams.
 
-Run by hand: ``python -m bench.directory_cost`` prints JSON, a row a size: bytes
-of the first difference and of one in which every load changed, microseconds to
-make and to apply the latter, and the copy's memory in bytes.
+Run by hand: ``python -m bench.directory_cost`` prints JSON, a row per size:
+bytes of the first difference and of one in which every load changed,
+microseconds to make and to apply the latter, and the copy's memory in bytes.
 """
 
 from __future__ import annotations
@@ -35,41 +35,41 @@
 
 
 def measure_size(upstreams: int) -> Row:
-    """Measure one size; times are the best of the repeats."""
+    """Measure one size; times are the minimum over the repeats."""
     view = WatcherView()
     tracemalloc.start()
     copy = DirectoryCopy()
-    first = msgpack.encode(view.advance(_fresh(upstreams, 0), 1))
+    first = msgpack.encode(view.advance(_make_announcements(upstreams, 0), 1))
     before, _ = tracemalloc.get_traced_memory()
     copy.apply(msgpack.decode(first, type=type(view.advance((), 1))))
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     view = WatcherView()
-    view.advance(_fresh(upstreams, 0), 1)
-    made: list[float] = []
-    applied: list[float] = []
+    view.advance(_make_announcements(upstreams, 0), 1)
+    make_s: list[float] = []
+    apply_s: list[float] = []
     size = 0
     for load in range(1, _REPEATS):
-        # Far enough apart that each change is told.
-        fresh = _fresh(upstreams, load % 2 * 40)
-        began_at = time.perf_counter()
-        delta = view.advance(fresh, 1)
-        made.append(time.perf_counter() - began_at)
+        # The loads differ by enough that each change is part of a difference.
+        announcements = _make_announcements(upstreams, load % 2 * 40)
+        started_at = time.perf_counter()
+        delta = view.advance(announcements, 1)
+        make_s.append(time.perf_counter() - started_at)
         size = len(msgpack.encode(delta))
-        began_at = time.perf_counter()
+        started_at = time.perf_counter()
         copy.apply(delta)
-        applied.append(time.perf_counter() - began_at)
+        apply_s.append(time.perf_counter() - started_at)
     return Row(
         upstreams,
         len(first),
         size,
-        min(made) * _MICRO,
-        min(applied) * _MICRO,
+        min(make_s) * _MICRO,
+        min(apply_s) * _MICRO,
         after - before,
     )
 
 
-def _fresh(upstreams: int, load: int) -> tuple[Announcement, ...]:
+def _make_announcements(upstreams: int, load: int) -> tuple[Announcement, ...]:
     return tuple(
         structs.replace(_BASE, upstream=f'drafting-{one:05}', running=load)
         for one in range(upstreams)
--- a/bench/entry_load.py
+++ b/bench/entry_load.py
@@ -1,16 +1,18 @@
-"""What callers get on heavy days: entries' choices before a group in lock-step.
-
-``python -m bench.entry_load`` plays seeded arrivals on virtual time through the
-entries' own choice of an upstream, in front of a model of one group of ranks,
-and prints a row a load and policy: which share of requests was in time, late,
-given up by their callers, and refused. A policy is how many calls may wait at
-an upstream beyond its slots, how late entries hear of each other's calls, and
-among how many upstreams, drawn for each call, the least busy one is taken.
-
-The model: ranks make each pass together, as long as the fullest one needs; a
-stream reads its prompt in chunks and then gets an event a pass; a map that
-doesn't fit, for a second after each turn of demand, makes passes longer. It
-knows nothing of lost messages, data centres or broken upstreams.
+"""Simulates the choice of upstreams by entries under heavy load.
+
+``python -m bench.entry_load`` simulates seeded arrivals on virtual time. The
+entries choose upstreams by the code under test, in front of a model of a group
+of ranks that run in lock-step. It prints a row per load and policy: the shares
+of requests that were in time, late, given up by their callers, and refused. A
+policy sets how many calls may wait at an upstream beyond its slots, the delay
+after which entries know of each other's calls, and the size of the random
+sample of upstreams from which the least busy one is chosen for a call.
+
+In the model, all ranks run each pass together, and it takes as long as the
+fullest rank needs. A stream reads its prompt in chunks and then gets one event
+per pass. For a second after each shift of demand, the expert map does not fit
+and passes take longer. Lost messages, data centres and failed upstreams are
+not modelled.
 """
 
 from __future__ import annotations
@@ -33,115 +35,119 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Sizes of the largest fleet that is known.
+#: Sizes of the largest known deployment: ranks and entries of the fleet, and
+#: streams that a rank runs and queues.
 RANKS = 192
 ENTRIES = 36
-SLOTS = 3
-QUEUE = 6
-#: Requests a second of a heavy day, and how much more of them a burst brings.
-RATE = 234.0
+SLOTS_PER_RANK = 3
+QUEUE_PER_RANK = 6
+#: Requests a second of a heavy day, and the factors at which to simulate it.
+REQUESTS_PER_S = 234.0
 LOADS = (0.8, 1.0, 1.25)
-SPAN_S = 12.0
+DURATION_S = 12.0
 
-#: Seconds of a step, of each further stream in it, of a chunk of a prompt.
+#: Seconds of a step, of each stream in a step, and of a chunk of a prompt.
 STEP_S = 0.00455
 STREAM_S = 0.00199
 CHUNK_S = 0.0083
-STRIDE = 6
-CHUNKS = 2
-EVENTS = 15
+STEPS_PER_PASS = 6
+PROMPT_CHUNKS = 2
+EVENTS_PER_STREAM = 15
 EXPERT_SHARE = 0.85
-#: Times the mean that the fullest rank has, with a map that fits and in the
-#: second after a turn.
-SKEW, TURNED_SKEW = 1.45, 3.1
-TURN_EVERY_S = 3.9
-TURNED_S = 1.0
-
-#: Seconds to the first event, and between events, of a stream in time.
-FIRST_S, PAUSE_S = 0.6, 0.2
-#: Seconds after which a caller leaves that has got nothing.
-PATIENCE_S = 2.4
-MOST_SENDS = 4
+#: Load of the fullest rank over the mean: with a map that fits, and in the
+#: second after a shift of demand.
+SKEW, SHIFTED_SKEW = 1.45, 3.1
+SHIFT_INTERVAL_S = 3.9
+SHIFTED_S = 1.0
+
+#: Longest seconds to the first event and between events of a stream in time.
+FIRST_EVENT_S, EVENT_GAP_S = 0.6, 0.2
+#: Seconds without any event after which a caller gives up.
+CALLER_TIMEOUT_S = 2.4
+MAX_SENDS = 4
 SEEDS = (1, 2)
 
 
 class Policy(NamedTuple):
-    """What is compared."""
+    """A variant of how entries choose upstreams."""
 
     name: str
     #: Calls that may wait at an upstream, as a share of its slots.
     waiting_share: float
     #: Seconds until the other entries know of a call.
     lag_s: float = 0.02
-    #: Upstreams that are drawn for a call; none: all.
-    drawn: int | None = None
+    #: Size of the random sample of upstreams for a call; ``None`` means all.
+    sample_size: int | None = None
 
 
 POLICIES = (
-    Policy('as built', choosing.WAITING_SHARE),
-    Policy('none wait', 0),
+    Policy('default', choosing.WAITING_SHARE),
+    Policy('no waiting calls', 0),
     Policy('calls known at once', choosing.WAITING_SHARE, 0),
     Policy('calls known 0.2 s late', choosing.WAITING_SHARE, 0.2),
-    Policy('of 64 drawn', choosing.WAITING_SHARE, drawn=64),
-    Policy('of 16 drawn', choosing.WAITING_SHARE, drawn=16),
-    Policy('of 8 drawn', choosing.WAITING_SHARE, drawn=8),
-    Policy('of 4 drawn', choosing.WAITING_SHARE, drawn=4),
-    Policy('of 2 drawn', choosing.WAITING_SHARE, drawn=2),
+    Policy('sample of 64', choosing.WAITING_SHARE, sample_size=64),
+    Policy('sample of 16', choosing.WAITING_SHARE, sample_size=16),
+    Policy('sample of 8', choosing.WAITING_SHARE, sample_size=8),
+    Policy('sample of 4', choosing.WAITING_SHARE, sample_size=4),
+    Policy('sample of 2', choosing.WAITING_SHARE, sample_size=2),
 )
 
 
 @dataclass(eq=False, slots=True)
 class Stream:
-    """One request and what its caller has seen."""
+    """A request and the events that its caller has received."""
 
-    asked_at: float
+    sent_at: float
     entry: int = 0
     rank: int = -1
-    chunks_left: int = CHUNKS
+    chunks_left: int = PROMPT_CHUNKS
     events: int = 0
-    last_at: float = 0
-    in_time: bool = True
-    over: bool = False
-    has_returned: bool = False
-    tried: list[str] = field(default_factory=list)
+    last_event_at: float = 0
+    is_in_time: bool = True
+    is_finished: bool = False
+    has_retried: bool = False
+    tried_upstreams: list[str] = field(default_factory=list)
 
 
 class Rank:
-    """One engine: streams in work and those that wait."""
+    """An engine with its running and queued streams."""
 
     def __init__(self) -> None:
-        """Start without work."""
+        """Start without streams."""
         self.active: list[Stream] = []
         self.waiting: deque[Stream] = deque()
 
     def take(self, stream: Stream) -> bool:
-        """Take a stream; tell whether there is room."""
-        if len(self.active) + len(self.waiting) >= SLOTS + QUEUE:
+        """Queue a stream if there is room; return whether there was."""
+        if (
+            len(self.active) + len(self.waiting)
+            >= SLOTS_PER_RANK + QUEUE_PER_RANK
+        ):
             return False
         self.waiting.append(stream)
         return True
 
-    def begin_pass(self) -> float:
-        """Fill the slots; return the seconds that its own part takes."""
-        while self.waiting and len(self.active) < SLOTS:
+    def start_pass(self) -> float:
+        """Fill the slots; return the seconds that this rank needs."""
+        while self.waiting and len(self.active) < SLOTS_PER_RANK:
             stream = self.waiting.popleft()
-            if not stream.over:
+            if not stream.is_finished:
                 self.active.append(stream)
         if not self.active:
             return 0
-        steps_s = STRIDE * (STEP_S + STREAM_S * len(self.active))
+        steps_s = STEPS_PER_PASS * (STEP_S + STREAM_S * len(self.active))
         reads = any(stream.chunks_left for stream in self.active)
-        return steps_s + CHUNKS * CHUNK_S * reads
+        return steps_s + PROMPT_CHUNKS * CHUNK_S * reads
 
 
-class Play:
-    """One seeded day of one policy."""
+class Simulation:
+    """A seeded simulation of a policy at a load."""
 
     def __init__(self, policy: Policy, load: float, seed: int) -> None:
-        """Start with all idle."""
+        """Start with idle ranks and no requests."""
         self.ended: Counter[str] = Counter()
         self._policy = policy
-        self._rate = RATE * load
+        self._rate = REQUESTS_PER_S * load
         self._rng = random.Random(seed)
         self._now: float = 0
         self._numbers = count()
@@ -150,139 +156,146 @@
         self._tables = [UpstreamTable() for _ in range(ENTRIES)]
         for table in self._tables:
             table.take(
-                UpstreamRecord(str(rank), 's', '10.0.0.1:80', 'dc', SLOTS)
+                UpstreamRecord(
+                    str(rank), 's', '10.0.0.1:80', 'dc', SLOTS_PER_RANK
+                )
                 for rank in range(RANKS)
             )
-        self._at(0, self._arrive)
-        self._at(0, self._pass)
+        self._schedule(0, self._arrive)
+        self._schedule(0, self._start_pass)
 
     def run(self) -> Counter[str]:
-        """Play; return how requests ended."""
-        while self._events[0][0] < SPAN_S:
-            moment, _, act = heapq.heappop(self._events)
-            self._now = moment
-            act()
+        """Run the simulation; return the counts of requests by outcome."""
+        while self._events[0][0] < DURATION_S:
+            due_at, _, callback = heapq.heappop(self._events)
+            self._now = due_at
+            callback()
         return self.ended
 
-    def _at(self, after_s: float, act: Callable[[], None]) -> None:
-        entry = (self._now + after_s, next(self._numbers), act)
+    def _schedule(self, after_s: float, callback: Callable[[], None]) -> None:
+        entry = (self._now + after_s, next(self._numbers), callback)
         heapq.heappush(self._events, entry)
 
     def _arrive(self) -> None:
-        self._at(self._rng.expovariate(self._rate), self._arrive)
+        self._schedule(self._rng.expovariate(self._rate), self._arrive)
         stream = Stream(self._now)
-        self._at(PATIENCE_S, lambda: self._lose_patience(stream))
-        self._ask(stream)
+        self._schedule(CALLER_TIMEOUT_S, lambda: self._time_out(stream))
+        self._send(stream)
 
-    def _ask(self, stream: Stream) -> None:
-        """Send a request until an upstream takes it, or refuse it."""
+    def _send(self, stream: Stream) -> None:
+        """Try upstreams until one accepts the request, else refuse it."""
         stream.entry = self._rng.randrange(ENTRIES)
-        stream.tried.clear()
+        stream.tried_upstreams.clear()
         table = self._tables[stream.entry]
-        while len(stream.tried) < MOST_SENDS and not stream.over:
-            wish = Wish('dc', PAUSE_S, stream.tried)
+        while (
+            len(stream.tried_upstreams) < MAX_SENDS and not stream.is_finished
+        ):
+            wish = Wish('dc', EVENT_GAP_S, stream.tried_upstreams)
             members = table.of_service('s')
-            if self._policy.drawn is not None:
-                members = tuple(self._rng.sample(members, self._policy.drawn))
+            if self._policy.sample_size is not None:
+                members = tuple(
+                    self._rng.sample(members, self._policy.sample_size)
+                )
             upstream = choose(members, wish, self._now, self._rng)
             if upstream is None:
                 break
             identity = upstream.record.identity
-            stream.tried.append(identity)
+            stream.tried_upstreams.append(identity)
             if self._ranks[int(identity)].take(stream):
                 stream.rank = int(identity)
-                self._count(stream, 1)
+                self._count_call(stream, 1)
                 return
         self._refuse(stream)
 
     def _refuse(self, stream: Stream) -> None:
-        """Callers come back once."""
-        if stream.has_returned:
-            self._end(stream, 'refused')
-        elif not stream.over:
-            stream.has_returned = True
+        """Refuse a request; its caller retries once."""
+        if stream.has_retried:
+            self._finish(stream, 'refused')
+        elif not stream.is_finished:
+            stream.has_retried = True
             wait_s = when_full(self._rng.random())
-            self._at(wait_s, lambda: self._ask(stream))
+            self._schedule(wait_s, lambda: self._send(stream))
 
-    def _count(self, stream: Stream, change: int) -> None:
-        """Note a call's begin or end, at its entry and later at the others."""
+    def _count_call(self, stream: Stream, change: int) -> None:
+        """Count a call's start or end at its entry, and later at the others."""
         identity = str(stream.rank)
-        own = self._tables[stream.entry].find(identity)
-        if own is not None:
-            own.own_calls += change
+        entry_upstream = self._tables[stream.entry].find(identity)
+        if entry_upstream is not None:
+            entry_upstream.own_calls += change
         entry = stream.entry
-        self._at(
-            self._policy.lag_s, lambda: self._tell(entry, identity, change)
+        self._schedule(
+            self._policy.lag_s,
+            lambda: self._apply_change(entry, identity, change),
         )
 
-    def _tell(self, entry: int, identity: str, change: int) -> None:
+    def _apply_change(self, entry: int, identity: str, change: int) -> None:
         for number, table in enumerate(self._tables):
             upstream = table.find(identity)
             if number != entry and upstream is not None:
                 others = upstream.others_calls
                 others[str(entry)] = others.get(str(entry), 0) + change
 
-    def _lose_patience(self, stream: Stream) -> None:
+    def _time_out(self, stream: Stream) -> None:
         if not stream.events:
-            self._end(stream, 'given up')
+            self._finish(stream, 'given up')
 
-    def _end(self, stream: Stream, how: str) -> None:
-        if stream.over:
+    def _finish(self, stream: Stream, outcome: str) -> None:
+        if stream.is_finished:
             return
-        stream.over = True
-        self.ended[how] += 1
+        stream.is_finished = True
+        self.ended[outcome] += 1
         if stream.rank >= 0:
-            self._count(stream, -1)
+            self._count_call(stream, -1)
 
-    def _pass(self) -> None:
-        """Begin a pass; its events come as it ends."""
-        own_s = max(rank.begin_pass() for rank in self._ranks)
-        since_turn_s = self._now % TURN_EVERY_S
-        skew = TURNED_SKEW if since_turn_s < TURNED_S else SKEW
-        stretch = 1 - EXPERT_SHARE + EXPERT_SHARE * skew
-        self._at(max(0.01, own_s * stretch), self._end_pass)
+    def _start_pass(self) -> None:
+        """Start a pass; its events are generated when it finishes."""
+        longest_s = max(rank.start_pass() for rank in self._ranks)
+        since_shift_s = self._now % SHIFT_INTERVAL_S
+        skew = SHIFTED_SKEW if since_shift_s < SHIFTED_S else SKEW
+        slowdown = 1 - EXPERT_SHARE + EXPERT_SHARE * skew
+        self._schedule(max(0.01, longest_s * slowdown), self._finish_pass)
 
-    def _end_pass(self) -> None:
+    def _finish_pass(self) -> None:
         for rank in self._ranks:
-            rank.active = [one for one in rank.active if not one.over]
+            rank.active = [one for one in rank.active if not one.is_finished]
             for stream in rank.active:
                 self._advance(stream)
-            rank.active = [one for one in rank.active if not one.over]
-        self._pass()
+            rank.active = [one for one in rank.active if not one.is_finished]
+        self._start_pass()
 
     def _advance(self, stream: Stream) -> None:
-        """Read a prompt on, or write an event."""
+        """Read the prompt, or generate the next event."""
         if stream.chunks_left:
             stream.chunks_left = 0
             return
-        since = stream.last_at if stream.events else stream.asked_at
-        allowed_s = PAUSE_S if stream.events else FIRST_S
-        stream.in_time &= self._now - since <= allowed_s
+        since = stream.last_event_at if stream.events else stream.sent_at
+        allowed_s = EVENT_GAP_S if stream.events else FIRST_EVENT_S
+        stream.is_in_time &= self._now - since <= allowed_s
         stream.events += 1
-        stream.last_at = self._now
-        if stream.events == EVENTS:
-            self._end(stream, 'in time' if stream.in_time else 'late')
+        stream.last_event_at = self._now
+        if stream.events == EVENTS_PER_STREAM:
+            self._finish(stream, 'in time' if stream.is_in_time else 'late')
 
 
-def play(policy: Policy, load: float) -> dict[str, float]:
-    """Return shares of requests by how they ended, over all seeds."""
+def run_policy(policy: Policy, load: float) -> dict[str, float]:
+    """Return the shares of requests by outcome over all seeds."""
     ended: Counter[str] = Counter()
     with mock.patch.object(choosing, 'WAITING_SHARE', policy.waiting_share):
         for seed in SEEDS:
-            ended.update(Play(policy, load, seed).run())
+            ended.update(Simulation(policy, load, seed).run())
     total = sum(ended.values())
-    return {how: number / total for how, number in ended.items()}
+    return {outcome: number / total for outcome, number in ended.items()}
 
 
 def main() -> None:
-    """Print the table."""
-    ways = ('in time', 'late', 'given up', 'refused')
-    sys.stdout.write(f'| load | policy | {" | ".join(ways)} |\n')
-    sys.stdout.write(f'| --- | --- |{" --- |" * len(ways)}\n')
+    """Print the table as Markdown."""
+    outcomes = ('in time', 'late', 'given up', 'refused')
+    sys.stdout.write(f'| load | policy | {" | ".join(outcomes)} |\n')
+    sys.stdout.write(f'| --- | --- |{" --- |" * len(outcomes)}\n')
     for load in LOADS:
         for policy in POLICIES:
-            shares = play(policy, load)
-            cells = ' | '.join(f'{shares.get(way, 0):.3f}' for way in ways)
+            shares = run_policy(policy, load)
+            cells = ' | '.join(f'{shares.get(way, 0):.3f}' for way in outcomes)
             sys.stdout.write(f'| {load} | {policy.name} | {cells} |\n')
             sys.stdout.flush()
 
--- a/bench/fleet_cost.py
+++ b/bench/fleet_cost.py
@@ -1,8 +1,9 @@
-"""What a fleet file costs by its number of workspaces.
+"""Measures the cost of a fleet file by its number of workspaces.
 
-Run by hand: ``python -m bench.fleet_cost`` prints JSON with one row a size:
+Run by hand: ``python -m bench.fleet_cost`` prints JSON with one row per size:
 bytes of the canonical text, seconds to parse it, to build the index, to apply
-a delta of one changed workspace, and the memory of a parsed fleet in bytes.
+a delta of one changed workspace and to compute the checksum, and the memory of
+a parsed fleet in bytes.
 """
 
 from __future__ import annotations
@@ -37,8 +38,8 @@
     memory_bytes: int
 
 
-def fleet_of(workspaces: int) -> Fleet:
-    """Return the demonstration's fleet with that many workspaces."""
+def make_fleet(workspaces: int) -> Fleet:
+    """Return the fleet of the demo with the given number of workspaces."""
     base = parse_fleet(FLEET, 'demo').unwrap()
     first = base.workspaces[0]
     return base._replace(
@@ -50,19 +51,19 @@
 
 
 def measure_size(workspaces: int) -> Row:
-    """Measure one size; times are the best of a few repeats."""
-    fleet = fleet_of(workspaces)
+    """Measure one size; times are the minimum over the repeats."""
+    fleet = make_fleet(workspaces)
     text = render_fleet(fleet)
     changed = _change_one(fleet)
     delta = delta_between(fleet, changed)
     return Row(
         workspaces,
         len(text.encode()),
-        _best(lambda: parse_fleet(text, 'bench')),
-        _best(lambda: FleetIndex(fleet)),
-        _best(lambda: apply_delta(fleet, delta)),
-        _best(lambda: checksum(fleet)),
-        _memory_of(text),
+        _best_time(lambda: parse_fleet(text, 'bench')),
+        _best_time(lambda: FleetIndex(fleet)),
+        _best_time(lambda: apply_delta(fleet, delta)),
+        _best_time(lambda: checksum(fleet)),
+        _measure_memory(text),
     )
 
 
@@ -72,16 +73,16 @@
     return fleet._replace(workspaces=(*fleet.workspaces[:-1], changed))
 
 
-def _best(run: Callable[[], object]) -> float:
-    spans = []
+def _best_time(run: Callable[[], object]) -> float:
+    durations = []
     for _ in range(_REPEATS):
-        began_at = time.perf_counter()
+        started_at = time.perf_counter()
         run()
-        spans.append(time.perf_counter() - began_at)
-    return min(spans)
+        durations.append(time.perf_counter() - started_at)
+    return min(durations)
 
 
-def _memory_of(text: str) -> int:
+def _measure_memory(text: str) -> int:
     tracemalloc.start()
     index = FleetIndex(parse_fleet(text, 'bench').unwrap())
     size, _ = tracemalloc.get_traced_memory()
--- a/bench/quick_consensus.py
+++ b/bench/quick_consensus.py
@@ -1,7 +1,8 @@
-"""Exact figures of the replication core, on virtual time and from a seed.
+"""Bounds messages, bytes and writes of the consensus core.
 
-Three members, no faults; bytes are those of encoded envelopes, without the
-transport's framing.
+Three members run without faults on virtual time and with a seed, so that the
+figures are exact. Bytes are those of encoded envelopes, without the transport's
+framing.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 
 
 @dataclass
-class Group:
-    """Three cores whose messages and writes take no time."""
+class SimulatedGroup:
+    """Three consensus cores whose messages and writes take no time."""
 
     now: float = 0
     ticks: int = 0
@@ -43,57 +44,57 @@
     committed: int = 0
     reads: int = 0
     cores: dict[str, Core] = field(default_factory=dict)
-    todo: deque[tuple[str, evt.Event]] = field(default_factory=deque)
+    pending: deque[tuple[str, evt.Event]] = field(default_factory=deque)
     rng: random.Random = field(default_factory=lambda: random.Random(1))
 
     def start(self) -> str:
-        """Let the members elect a leader; give its identity."""
+        """Let the members elect a leader; return its member id."""
         restored = Restored(members=FOUNDERS)
         for voter in FOUNDERS.voters:
             name = voter.member_id
             self.cores[name] = Core(CFG, name, restored, 0, self.rng)
-        self.pass_time(ELECTION_S)
+        self.advance_time(ELECTION_S)
         return next(
             name
             for name, core in self.cores.items()
             if core.status().role is act.Role.LEADER
         )
 
-    def pass_time(self, seconds: float) -> None:
-        """Tick all members until the time is over."""
+    def advance_time(self, seconds: float) -> None:
+        """Tick all members until the given time has passed."""
         for _ in range(round(seconds / TICK_S)):
             self.ticks += 1
             self.now = self.ticks * TICK_S
             for name in self.cores:
-                self.feed(name, [evt.Tick()])
+                self.feed_events(name, [evt.Tick()])
 
-    def feed(self, name: str, events: Iterable[evt.Event]) -> None:
-        """Give one member events, then deliver all that follows."""
-        self._step(name, events)
-        while self.todo:
-            target, event = self.todo.popleft()
-            self._step(target, [event])
+    def feed_events(self, name: str, events: Iterable[evt.Event]) -> None:
+        """Pass events to a member, then process all resulting events."""
+        self._step_core(name, events)
+        while self.pending:
+            target, event = self.pending.popleft()
+            self._step_core(target, [event])
 
-    def clear(self) -> None:
-        """Start counting anew."""
+    def reset_counts(self) -> None:
+        """Reset the counts to zero, except those of ticks and reads."""
         self.messages = 0
         self.sent_bytes = 0
         self.writes = 0
         self.committed = 0
 
-    def _step(self, name: str, events: Iterable[evt.Event]) -> None:
+    def _step_core(self, name: str, events: Iterable[evt.Event]) -> None:
         for action in self.cores[name].step_all(events, self.now, self.rng):
-            self._carry_out(name, action)
+            self._execute(name, action)
 
-    def _carry_out(self, name: str, action: act.Action) -> None:
+    def _execute(self, name: str, action: act.Action) -> None:
         match action:
             case act.Send(envelope):
                 self.messages += 1
                 self.sent_bytes += len(msgspec.msgpack.encode(envelope))
-                self.todo.append((envelope.target, evt.Received(envelope)))
+                self.pending.append((envelope.target, evt.Received(envelope)))
             case act.Persist(sequence):
                 self.writes += 1
-                self.todo.append((name, evt.Persisted(sequence)))
+                self.pending.append((name, evt.Persisted(sequence)))
             case act.ProposalCommitted():
                 self.committed += 1
             case act.ReadReady():
@@ -101,19 +102,19 @@
 
 
 def measure() -> dict[str, float]:
-    """Give the costs of a commit, of a read and of idling."""
+    """Return the costs of a commit, of a read and of an idle group."""
     figures = _commit_cost(1) | _commit_cost(32)
     return figures | _read_cost() | _idle_cost()
 
 
 def _commit_cost(batch: int) -> dict[str, float]:
-    group = Group()
+    group = SimulatedGroup()
     leader = group.start()
-    group.clear()
+    group.reset_counts()
     for first in range(0, PROPOSALS, batch):
         numbers = range(first, first + batch)
         events = [evt.Proposed(f'p{number}', PAYLOAD) for number in numbers]
-        group.feed(leader, events)
+        group.feed_events(leader, events)
     assert group.committed == PROPOSALS
     return {
         f'messages_per_entry_batch_{batch}': group.messages / PROPOSALS,
@@ -123,21 +124,21 @@
 
 
 def _read_cost() -> dict[str, float]:
-    group = Group()
+    group = SimulatedGroup()
     leader = group.start()
-    group.clear()
+    group.reset_counts()
     reads = 1000
     for number in range(reads):
-        group.feed(leader, [evt.ReadRequested(f'r{number}')])
+        group.feed_events(leader, [evt.ReadRequested(f'r{number}')])
     assert group.reads == reads
     return {'messages_per_lease_read': group.messages / reads}
 
 
 def _idle_cost() -> dict[str, float]:
-    group = Group()
+    group = SimulatedGroup()
     group.start()
-    group.clear()
-    group.pass_time(IDLE_S)
+    group.reset_counts()
+    group.advance_time(IDLE_S)
     follower_seconds = IDLE_S * (len(FOUNDERS.voters) - 1)
     return {
         'idle_messages_per_follower_s': group.messages / follower_seconds,
--- a/bench/quick_delivery.py
+++ b/bench/quick_delivery.py
@@ -1,9 +1,9 @@
-"""What sealing is worth: attempts and unknown outcomes under fixed faults.
+"""Bounds attempts and unknown outcomes under faults, with and without seals.
 
 The schedules are those of the delivery tests, with a mix of 3% lost, 2% late
-and 3% doubled messages, and crashes. The baseline gets no answer to a seal, as
-if an entry had to guess; all else is the same. Only work that may not be
-repeated counts. Seeded, hence exact.
+and 3% duplicated messages, and crashes. The baseline is the same except that
+seals get no reply, as if an entry had to guess. Only work that may not be
+repeated is counted. The schedules are seeded, so that the figures are exact.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 )
 
 
-class Tally(NamedTuple):
-    """Counts over all schedules of one variant."""
+class Totals(NamedTuple):
+    """Counts of a variant over all schedules."""
 
     requests: int
     attempts: int
@@ -44,9 +44,9 @@
 
 
 def measure() -> dict[str, float]:
-    """Return shares and attempts per request, with seals and without."""
-    with_seal = _tally(MIX)
-    without = _tally(MIX._replace(seals_answered=False))
+    """Return shares and attempts per request with and without seals."""
+    with_seal = _run_schedules(MIX)
+    without = _run_schedules(MIX._replace(seals_answered=False))
     unknown_share = with_seal.unknown / with_seal.requests
     unknown_share_no_seal = without.unknown / without.requests
     return {
@@ -62,7 +62,7 @@
     }
 
 
-def _tally(mix: Mix) -> Tally:
+def _run_schedules(mix: Mix) -> Totals:
     sendings: list[Sending] = []
     faults = 0
     for seed in range(SCHEDULES):
@@ -75,7 +75,7 @@
             if sending.finals and not sending.work.repeatable
         )
     outcomes = [_outcome_of(sending) for sending in sendings]
-    return Tally(
+    return Totals(
         requests=len(sendings),
         attempts=sum(len(sending.conns) for sending in sendings),
         unknown=outcomes.count(Outcome.UNKNOWN),
@@ -85,7 +85,7 @@
 
 
 def _outcome_of(sending: Sending) -> Outcome | None:
-    """Return what the caller was told, None with a whole answer."""
+    """Return the outcome sent to the caller; ``None`` if it was answered."""
     return getattr(sending.finals[0], 'outcome', None)
 
 
--- a/bench/routing_cost.py
+++ b/bench/routing_cost.py
@@ -1,7 +1,7 @@
-"""Cost of one routing decision by size: ``python -m bench.routing_cost``.
+"""Measures a routing decision by size: ``python -m bench.routing_cost``.
 
-Prints JSON. Times are medians of this machine, in microseconds; bytes are
-what Python's allocator holds more after the state was built.
+Prints JSON. Times are medians on the current machine, in microseconds; bytes
+are the increase of Python's allocated memory by building and using a router.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 WORKSPACES = (10, 500, 4800)
 CHAIN_BLOCKS = 24
 ROUNDS = 2000
-#: Times that a part is repeated for its median.
+#: Number of repeats for the median time of an update.
 REPEATS = 5
 
 
 class Costs(NamedTuple):
-    """Microseconds a call, and bytes of a router in use."""
+    """Microseconds per call, and bytes of a router in use."""
 
     admit_us: float
     choose_us: float
@@ -46,8 +46,8 @@
     prefix_pairs: int
 
 
-def show(upstreams: int, now: float) -> list[UpstreamView]:
-    """Return views of that many engines under some load."""
+def make_views(upstreams: int, now: float) -> list[UpstreamView]:
+    """Return views of the given number of engines with different loads."""
     return [
         UpstreamView(
             f'upstream-{number}',
@@ -61,8 +61,8 @@
     ]
 
 
-def ask(number: int, workspaces: int, rng: Random) -> RoutingRequest:
-    """Return a request of one workspace, with a prompt of its own."""
+def make_request(number: int, workspaces: int, rng: Random) -> RoutingRequest:
+    """Return a request of a workspace, with one of 512 prompts."""
     workspace = number % workspaces
     head = Random(number % 512)
     chain = tuple(head.getrandbits(64) for _ in range(CHAIN_BLOCKS))
@@ -76,65 +76,67 @@
     )
 
 
-def time_life(
+def time_requests(
     router: Router, reqs: list[RoutingRequest], now: float
 ) -> list[list[float]]:
-    """Return the seconds of each admission, choice and end."""
+    """Return the seconds of each request's admission, choice and finish."""
     rng = Random(1)
-    spans: list[list[float]] = [[], [], []]
+    durations: list[list[float]] = [[], [], []]
     for req in reqs:
         now += 0.01
-        begun = perf_counter()
+        started_at = perf_counter()
         admission = router.admit(req, now, rng)
-        admitted = perf_counter()
+        admitted_at = perf_counter()
         assert isinstance(admission, Admitted)
         ticket = admission.ticket
         choice = router.choose(ticket, frozenset(), now, rng)
         assert isinstance(choice, Choice)
         router.started(ticket, choice.upstream, now)
-        chosen = perf_counter()
+        chosen_at = perf_counter()
         router.finished(ticket, choice.upstream, 0.1, now)
         router.close(ticket, now)
-        ended = perf_counter()
-        spans[0].append(admitted - begun)
-        spans[1].append(chosen - admitted)
-        spans[2].append(ended - chosen)
-    return spans
+        finished_at = perf_counter()
+        durations[0].append(admitted_at - started_at)
+        durations[1].append(chosen_at - admitted_at)
+        durations[2].append(finished_at - chosen_at)
+    return durations
 
 
 def measure_size(index: FleetIndex, upstreams: int, workspaces: int) -> Costs:
-    """Return the costs at one size."""
+    """Measure the costs for a number of upstreams and workspaces."""
     rng = Random(7)
-    reqs = [ask(number, workspaces, rng) for number in range(ROUNDS)]
+    reqs = [make_request(number, workspaces, rng) for number in range(ROUNDS)]
     if workspaces > ROUNDS:
-        reqs += [ask(n, workspaces, rng) for n in range(ROUNDS, workspaces)]
+        reqs += [
+            make_request(n, workspaces, rng) for n in range(ROUNDS, workspaces)
+        ]
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     router = Router(RouterSettings('entry', 'zone'))
     router.update_fleet(index)
-    router.update_upstreams(show(upstreams, 10), 10)
-    time_life(router, reqs, 10)
-    held = tracemalloc.get_traced_memory()[0] - before
+    router.update_upstreams(make_views(upstreams, 10), 10)
+    time_requests(router, reqs, 10)
+    held_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     updates = []
     for _ in range(REPEATS):
-        views = show(upstreams, 1000)
-        begun = perf_counter()
+        views = make_views(upstreams, 1000)
+        started_at = perf_counter()
         router.update_upstreams(views, 1000)
-        updates.append(perf_counter() - begun)
-    spans = time_life(router, reqs, 1000)
-    micros = [round(1e6 * median(part), 2) for part in spans]
+        updates.append(perf_counter() - started_at)
+    durations = time_requests(router, reqs, 1000)
+    medians_us = [round(1e6 * median(part), 2) for part in durations]
     return Costs(
-        *micros,
+        *medians_us,
         round(1e6 * median(updates), 1),
-        held,
+        held_bytes,
         len(router.prefixes),
     )
 
 
 def main() -> int:
-    """Measure all sizes and print them."""
+    """Measure all sizes and print the costs."""
     sizes = {}
     for workspaces in WORKSPACES:
         index = bench_fleet(workspaces)
@@ -142,11 +144,11 @@
             costs = measure_size(index, upstreams, workspaces)
             sizes[f'{upstreams}x{workspaces}'] = costs._asdict()
     names = [f'upstream-{number}' for number in range(375)]
-    begun = perf_counter()
+    started_at = perf_counter()
     subset = choose_subset('entry-1', 1100, names)
     sizes['subset_of_375'] = {
         'size': len(subset),
-        'us': round(1e6 * (perf_counter() - begun), 1),
+        'us': round(1e6 * (perf_counter() - started_at), 1),
     }
     json.dump(sizes, sys.stdout, indent=1)
     return 0
--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -1,11 +1,18 @@
-"""The policies that the routing benches compare, behind one interface."""
+"""Routing policies that the benches compare, behind a common interface."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from bench.queueing import BATCH, PATIENCE, STEP_S, WORKSPACES, Engine, Job
+from bench.queueing import (
+    BATCH_SIZE,
+    CALLER_TIMEOUT_STEPS,
+    STEP_S,
+    WORKSPACES,
+    Engine,
+    Job,
+)
 from snipebend.fleet.lookup import FleetIndex
 from snipebend.fleet.parsing import parse_fleet
 from snipebend.routing.messages import (
@@ -50,8 +57,10 @@
 """
 
 
-def bench_fleet(workspaces: int = WORKSPACES, limit: int = BATCH) -> FleetIndex:
-    """Return a fleet of one model whose workspaces have no tight limits."""
+def bench_fleet(
+    workspaces: int = WORKSPACES, limit: int = BATCH_SIZE
+) -> FleetIndex:
+    """Return a fleet with one model and workspaces with very high limits."""
     parts = [_HEAD.format(limit=limit)]
     parts += [
         f'[[priorities]]\nname = "{name}"\nweight = {weight}\n'
@@ -68,93 +77,99 @@
 
 
 class Policy:
-    """Admits everything; a subclass chooses the engine."""
+    """Base of the policies; admits every job and lets subclasses choose."""
 
     def __init__(self, rng: Random, engines: int) -> None:
-        """Keep the random source and count per engine."""
+        """Start with all engines alive and no outstanding requests."""
         self.rng = rng
         self.alive = list(range(engines))
-        self.own: Counter[int] = Counter()
+        self.outstanding: Counter[int] = Counter()
         self.reports: Sequence[Snapshot] = ()
 
     def admit(self, job: Job, now: int) -> bool:
-        """Return whether the job may start; a refusal marks the job."""
+        """Return whether the job may start; a refused job is marked."""
         return True
 
-    def released(self, now: int) -> list[Job]:
-        """Return jobs that have waited and may start, or are refused."""
+    def release_queued(self, now: int) -> list[Job]:
+        """Return queued jobs that may start now or have been refused."""
         return []
 
     def pick(self, job: Job, exclude: frozenset[int], now: int) -> int | None:
-        """Return the engine for an attempt."""
-        open_to = [one for one in self.alive if one not in exclude]
-        return self.choose(job, open_to) if open_to else None
+        """Return the engine for an attempt, ``None`` if there is none."""
+        candidates = [one for one in self.alive if one not in exclude]
+        return self.choose(job, candidates) if candidates else None
 
-    def choose(self, job: Job, open_to: list[int]) -> int:
-        """Return one of the engines."""
+    def choose(self, job: Job, candidates: list[int]) -> int:
+        """Return one of the candidate engines."""
         raise NotImplementedError
 
     def start(self, job: Job, now: int) -> None:
-        """Count an attempt."""
-        self.own[job.engine] += 1
+        """Count a started attempt."""
+        self.outstanding[job.engine] += 1
 
-    def end(self, job: Job, now: int) -> None:
-        """Count an attempt that was served or given up."""
-        self.own[job.engine] -= 1
+    def finish(self, job: Job, now: int) -> None:
+        """Count an attempt that was served or cancelled by its caller."""
+        self.outstanding[job.engine] -= 1
 
     def fail(self, job: Job, now: int, *, crashed: bool) -> None:
-        """Count an attempt that failed."""
-        self.own[job.engine] -= 1
+        """Count a failed attempt."""
+        self.outstanding[job.engine] -= 1
 
     def close(self, job: Job, now: int) -> None:
-        """Forget a job."""
+        """Remove a finished job."""
 
-    def may_retry(self, now: int) -> bool:
-        """Tell whether a retry is allowed."""
+    def can_retry(self, now: int) -> bool:
+        """Return whether a retry is allowed."""
         return True
 
-    def report(
+    def update_reports(
         self, engines: Sequence[Engine], reports: Sequence[Snapshot], now: int
     ) -> None:
-        """Take the late reports of the engines that membership shows."""
+        """Store the delayed load reports of the engines in the directory."""
         self.alive = [engine.number for engine in engines]
         self.reports = reports
 
-    def suspect(self, deaths: Counter[str], now: int) -> None:
-        """Take the shared list of suspects."""
+    def update_suspects(self, deaths: Counter[str], now: int) -> None:
+        """Apply the shared list of suspects."""
 
-    def cache_events(
+    def apply_cache_events(
         self, engine: Engine, events: Sequence[CacheEventView]
     ) -> None:
-        """Take late cache events of an engine."""
+        """Apply delayed cache events of an engine."""
 
 
 class RoundRobin(Policy):
-    """One after the other."""
+    """Chooses the engines in turn."""
 
     turn = 0
 
-    def choose(self, job: Job, open_to: list[int]) -> int:
-        """Return the next."""
+    def choose(self, job: Job, candidates: list[int]) -> int:
+        """Return the next engine."""
         self.turn += 1
-        return open_to[self.turn % len(open_to)]
+        return candidates[self.turn % len(candidates)]
 
 
 class LeastOutstanding(Policy):
-    """The least of the entry's own outstanding requests."""
+    """Chooses the engine with the fewest outstanding requests of the entry."""
 
-    def choose(self, job: Job, open_to: list[int]) -> int:
-        """Return the least loaded by own count."""
-        return min(open_to, key=lambda one: (self.own[one], self.rng.random()))
+    def choose(self, job: Job, candidates: list[int]) -> int:
+        """Return the engine with the fewest outstanding requests."""
+        return min(
+            candidates,
+            key=lambda one: (self.outstanding[one], self.rng.random()),
+        )
 
 
 class LeastReported(Policy):
-    """The least load in the late reports, own work not counted in."""
+    """Chooses the lowest load in the delayed reports.
+
+    The entry's own outstanding requests are not added.
+    """
 
-    def choose(self, job: Job, open_to: list[int]) -> int:
-        """Return the least loaded by report."""
+    def choose(self, job: Job, candidates: list[int]) -> int:
+        """Return the engine with the lowest reported load."""
         return min(
-            open_to,
+            candidates,
             key=lambda one: (
                 sum(self.reports[one][:2]) if self.reports else 0,
                 self.rng.random(),
@@ -163,36 +178,36 @@
 
 
 class RandomOfTwo(Policy):
-    """The lesser of two by own count."""
+    """Chooses the engine with fewer outstanding requests of a sample of two."""
 
-    def choose(self, job: Job, open_to: list[int]) -> int:
-        """Return the lesser of two drawn."""
-        drawn = self.rng.sample(open_to, min(2, len(open_to)))
-        return min(drawn, key=lambda one: self.own[one])
+    def choose(self, job: Job, candidates: list[int]) -> int:
+        """Return the less loaded of two random engines."""
+        drawn = self.rng.sample(candidates, min(2, len(candidates)))
+        return min(drawn, key=lambda one: self.outstanding[one])
 
 
 class Affinity(Policy):
-    """The engine that last saw the longest prefix, however loaded it is."""
+    """Chooses the last engine with the longest prefix, whatever its load."""
 
     def __init__(self, rng: Random, engines: int) -> None:
-        """Start without memory."""
+        """Start without known prefixes."""
         super().__init__(rng, engines)
-        self._seen: dict[int, int] = {}
+        self._holders: dict[int, int] = {}
 
-    def choose(self, job: Job, open_to: list[int]) -> int:
-        """Return the holder of the longest prefix, or the least loaded."""
+    def choose(self, job: Job, candidates: list[int]) -> int:
+        """Return the engine with the longest prefix, or the least loaded."""
         chosen = None
         for block in reversed(job.chain):
-            if self._seen.get(block) in open_to:
-                chosen = self._seen[block]
+            if self._holders.get(block) in candidates:
+                chosen = self._holders[block]
                 break
         if chosen is None:
-            chosen = min(open_to, key=lambda one: self.own[one])
-        self._seen.update(dict.fromkeys(job.chain, chosen))
+            chosen = min(candidates, key=lambda one: self.outstanding[one])
+        self._holders.update(dict.fromkeys(job.chain, chosen))
         return chosen
 
 
-class Ours(Policy):
+class RouterPolicy(Policy):
     """The router under test."""
 
     def __init__(
@@ -203,7 +218,7 @@
         entries: int = 1,
         rules: ScoringRules | None = None,
     ) -> None:
-        """Build a router over the bench's fleet."""
+        """Create a router with the bench's fleet."""
         super().__init__(rng, engines)
         cfg = RouterSettings('entry', 'zone', entries, rules or ScoringRules())
         self.router = Router(cfg)
@@ -211,13 +226,13 @@
         self._jobs: dict[int, Job] = {}
 
     def admit(self, job: Job, now: int) -> bool:
-        """Ask the router."""
+        """Request admission by the router."""
         req = RoutingRequest(
             f'w{job.workspace}',
-            PRIORITIES[job.rank],
+            PRIORITIES[job.priority],
             ModelTarget('model'),
-            (job.arrived + PATIENCE) * STEP_S,
-            fingerprint_of_job(job),
+            (job.arrived_at + CALLER_TIMEOUT_STEPS) * STEP_S,
+            job_fingerprint(job),
             job.chain,
         )
         admission = self.router.admit(req, now * STEP_S, self.rng)
@@ -229,54 +244,54 @@
                 job.refused = True
         return isinstance(admission, Admitted)
 
-    def released(self, now: int) -> list[Job]:
-        """Dispatch; late ones are marked as refused."""
-        gone = self.router.dispatch(now * STEP_S, self.rng)
-        tickets = [late.ticket for late in gone.refused]
+    def release_queued(self, now: int) -> list[Job]:
+        """Dispatch the router's queue; expired jobs are marked as refused."""
+        dispatched = self.router.dispatch(now * STEP_S, self.rng)
+        tickets = [late.ticket for late in dispatched.refused]
         for ticket in tickets:
             self._jobs[ticket.number].refused = True
-        tickets += gone.admitted
+        tickets += dispatched.admitted
         return [self._jobs[one.number] for one in tickets]
 
     def pick(self, job: Job, exclude: frozenset[int], now: int) -> int | None:
-        """Choose by the router."""
+        """Return the router's choice."""
         names = frozenset(map(str, exclude))
         choice = self.router.choose(job.ticket, names, now * STEP_S, self.rng)
         return int(choice.upstream) if isinstance(choice, Choice) else None
 
     def start(self, job: Job, now: int) -> None:
-        """Tell the router."""
+        """Report a started attempt to the router."""
         self.router.started(job.ticket, str(job.engine), now * STEP_S)
 
-    def end(self, job: Job, now: int) -> None:
-        """Tell the router, with the time to the first token."""
+    def finish(self, job: Job, now: int) -> None:
+        """Report a finished attempt with its time to the first token."""
         upstream = str(job.engine)
-        if job.first < 0:
+        if job.first_token_at < 0:
             outcome = AttemptOutcome.CANCELLED
             self.router.failed(job.ticket, upstream, outcome, now * STEP_S)
             return
-        latency = (job.first - job.started + 1) * STEP_S
+        latency = (job.first_token_at - job.started_at + 1) * STEP_S
         self.router.finished(job.ticket, upstream, latency, now * STEP_S)
 
     def fail(self, job: Job, now: int, *, crashed: bool) -> None:
-        """Tell the router."""
+        """Report a failed attempt to the router."""
         outcome = AttemptOutcome.CRASHED if crashed else AttemptOutcome.FAILED
         upstream = str(job.engine)
         self.router.failed(job.ticket, upstream, outcome, now * STEP_S)
 
     def close(self, job: Job, now: int) -> None:
-        """Tell the router."""
+        """Close the job's ticket in the router."""
         self._jobs.pop(job.ticket.number, None)
         self.router.close(job.ticket, now * STEP_S)
 
-    def may_retry(self, now: int) -> bool:
-        """Ask the budget."""
+    def can_retry(self, now: int) -> bool:
+        """Return whether the router's retry budget allows a retry."""
         return self.router.ask_retry(now * STEP_S)
 
-    def report(
+    def update_reports(
         self, engines: Sequence[Engine], reports: Sequence[Snapshot], now: int
     ) -> None:
-        """Show the router the engines."""
+        """Update the router's views of the engines."""
         views = [
             UpstreamView(
                 str(engine.number),
@@ -287,7 +302,7 @@
                     reports[engine.number].running,
                     reports[engine.number].queued,
                     0,
-                    reports[engine.number].taken * STEP_S,
+                    reports[engine.number].taken_at * STEP_S,
                 ),
                 joined_at=-60,
             )
@@ -295,22 +310,22 @@
         ]
         self.router.update_upstreams(views, now * STEP_S)
 
-    def cache_events(
+    def apply_cache_events(
         self, engine: Engine, events: Sequence[CacheEventView]
     ) -> None:
-        """Feed the prefix index."""
+        """Apply the events to the router's prefix index."""
         self.router.prefixes.apply(
             str(engine.number), engine.incarnation, events
         )
 
-    def suspect(self, deaths: Counter[str], now: int) -> None:
-        """Show the router the suspects; two deaths are the limit."""
+    def update_suspects(self, deaths: Counter[str], now: int) -> None:
+        """Update the router's suspects; two deaths quarantine a request."""
         self.router.update_suspects(
             SuspectView(name, count, 1e9 if count >= 2 else 0)
             for name, count in deaths.items()
         )
 
 
-def fingerprint_of_job(job: Job) -> str:
-    """Return the same for each resend of a poison request."""
+def job_fingerprint(job: Job) -> str:
+    """Return the job's fingerprint, the same for all poison requests."""
     return 'poison' if job.poison else str(job.number)
--- a/bench/routing_runs.py
+++ b/bench/routing_runs.py
@@ -1,4 +1,4 @@
-"""Runs a policy against the queueing model."""
+"""Runs routing policies against the queueing model."""
 
 from __future__ import annotations
 
@@ -7,36 +7,37 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from bench.queueing import (
-    FULL_RATE,
+    FULL_LOAD_PER_STEP,
     Engine,
     Job,
     Snapshot,
     Workload,
 )
 from bench.routing_policies import (
-    Ours,
+    RouterPolicy,
     Policy,
-    fingerprint_of_job,
+    job_fingerprint,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-REPORT_EVERY = 20
-#: Steps until membership has dropped a dead upstream (5 s).
-LEASE = 200
-#: Steps until a dead upstream is back.
-RESTART = 400
-MOST_ATTEMPTS = 3
-MOST_RESENDS = 20
-#: Steps between two updates of the shared suspects, and until a caller whose
-#: request crashed an engine sends it again.
-SHARE_EVERY = 4
-RESEND_AFTER = 10
+#: Steps between two load reports.
+REPORT_INTERVAL = 20
+#: Steps until the directory drops a crashed upstream (5 s).
+LEASE_STEPS = 200
+#: Steps until a crashed upstream has restarted.
+RESTART_STEPS = 400
+MAX_ATTEMPTS = 3
+MAX_RESENDS = 20
+#: Steps between two updates of the shared suspects, and steps after which a
+#: caller resends a request that crashed an engine.
+SUSPECTS_INTERVAL = 4
+RESEND_DELAY = 10
 
 
 class Scenario(NamedTuple):
-    """One run; ``lag`` is the age of the load reports in steps."""
+    """Parameters of a run; ``lag`` is the age of load reports in steps."""
 
     load: float = 0.9
     engines: int = 16
@@ -51,30 +52,30 @@
 
 
 class Resend(NamedTuple):
-    """The poison request's caller sends again at a step."""
+    """A resend of the poison request: its step, and the number of sends."""
 
     at: int
     count: int
 
 
 class Outcome(NamedTuple):
-    """What a run leaves to be read."""
+    """The results of a run."""
 
     scenario: Scenario
     jobs: list[Job]
-    gaps: Counter[int]
+    token_gaps: Counter[int]
     spread: list[float]
     lost: int
     failed_after_death: list[int]
 
 
 class Run:
-    """One scenario under one policy."""
+    """A simulation of a scenario under a policy."""
 
     def __init__(
         self, scenario: Scenario, make: Callable[[Random, int, int], Policy]
     ) -> None:
-        """Build engines, entries and workload."""
+        """Create the engines, the entries and the workload."""
         rng = Random(scenario.seed)
         self.scenario = scenario
         self.engines = [Engine(number) for number in range(scenario.engines)]
@@ -86,7 +87,7 @@
             )
             for number in range(scenario.entries)
         ]
-        rate = scenario.load * FULL_RATE * scenario.engines / 16
+        rate = scenario.load * FULL_LOAD_PER_STEP * scenario.engines / 16
         self._work = Workload(rng, rate, scenario.entries)
         self._history: deque[list[Snapshot]] = deque(
             maxlen=max(1, scenario.lag + 1)
@@ -102,22 +103,22 @@
         self.lost = 0
 
     def run(self) -> Outcome:
-        """Run all steps."""
+        """Run all steps and return the results."""
         for now in range(self.scenario.steps):
-            self._report(now)
-            self._events(now)
-            self._arrive(now)
+            self._report_loads(now)
+            self._inject_failures(now)
+            self._dispatch_arrivals(now)
             for engine in self.engines:
                 if engine.alive:
-                    self._end_all(engine.step(now), now)
-            self._release(now)
-            loads = [one.load for one in self.engines if one.alive]
+                    self._finish_all(engine.step(now), now)
+            self._dispatch_released(now)
+            loads = [one.request_count for one in self.engines if one.alive]
             if now >= self.scenario.warm_up:
                 mean = sum(loads) / len(loads)
                 self.spread.append(max(loads) / mean if mean else 1)
         gaps: Counter[int] = Counter()
         for engine in self.engines:
-            gaps.update(engine.gaps)
+            gaps.update(engine.token_gaps)
         return Outcome(
             self.scenario,
             self.jobs,
@@ -127,75 +128,78 @@
             self.failed_after_death,
         )
 
-    def _report(self, now: int) -> None:
+    def _report_loads(self, now: int) -> None:
         self._history.append(
             [
                 Snapshot(len(one.running), len(one.waiting), now)
                 for one in self.engines
             ]
         )
-        if not now % SHARE_EVERY:
+        if not now % SUSPECTS_INTERVAL:
             for entry in self.entries:
-                entry.suspect(self._deaths, now)
-        if now % REPORT_EVERY:
+                entry.update_suspects(self._deaths, now)
+        if now % REPORT_INTERVAL:
             return
         shown = [
             one
             for one in self.engines
-            if one.alive or now - self._dead_since[one.number] < LEASE
+            if one.alive or now - self._dead_since[one.number] < LEASE_STEPS
         ]
         for entry in self.entries:
-            entry.report(shown, self._history[0], now)
+            entry.update_reports(shown, self._history[0], now)
         for engine in self.engines:
-            self._tell_cache(engine, now)
+            self._report_cache_events(engine, now)
 
-    def _tell_cache(self, engine: Engine, now: int) -> None:
+    def _report_cache_events(self, engine: Engine, now: int) -> None:
         events = []
-        while engine.log and engine.log[0].step <= now - self.scenario.lag:
-            events.append(engine.log.popleft().event)
+        while (
+            engine.cache_log
+            and engine.cache_log[0].step <= now - self.scenario.lag
+        ):
+            events.append(engine.cache_log.popleft().event)
         if events and self.scenario.events:
             for entry in self.entries:
-                entry.cache_events(engine, events)
+                entry.apply_cache_events(engine, events)
 
-    def _events(self, now: int) -> None:
+    def _inject_failures(self, now: int) -> None:
         if self.scenario.kill_at and now == self.scenario.kill_at:
             self._crash(self.engines[0], now)
         if self.scenario.poison_at and now == self.scenario.poison_at:
-            self._enter(make_poison(self.scenario, now, 0), now)
+            self._admit(make_poison_job(self.scenario, now, 0), now)
         if self._resends and self._resends[0].at <= now:
             count = self._resends.popleft().count
-            self._enter(make_poison(self.scenario, now, count), now)
+            self._admit(make_poison_job(self.scenario, now, count), now)
         for engine in self.engines:
             if engine.alive:
                 self._check_poison(engine, now)
-            elif now - self._dead_since[engine.number] >= RESTART:
+            elif now - self._dead_since[engine.number] >= RESTART_STEPS:
                 engine.alive = True
                 engine.incarnation += 1
 
     def _check_poison(self, engine: Engine, now: int) -> None:
         for _, _, job in engine.running:
-            if job.poison and now - job.started >= 5:
+            if job.poison and now - job.started_at >= 5:
                 self.lost += 1
                 self._crash(engine, now)
                 return
 
-    def _arrive(self, now: int) -> None:
+    def _dispatch_arrivals(self, now: int) -> None:
         pending = self._waiting + self._retries
         self._waiting = []
         self._retries = []
         for job, exclude in pending:
             self._dispatch(job, exclude, now)
-        for job in self._work.arrivals(now):
+        for job in self._work.sample_arrivals(now):
             self.jobs.append(job)
-            self._enter(job, now)
+            self._admit(job, now)
 
-    def _enter(self, job: Job, now: int) -> None:
+    def _admit(self, job: Job, now: int) -> None:
         if self.entries[job.entry].admit(job, now):
             self._dispatch(job, frozenset(), now)
 
-    def _release(self, now: int) -> None:
+    def _dispatch_released(self, now: int) -> None:
         for entry in self.entries:
-            for job in entry.released(now):
+            for job in entry.release_queued(now):
                 if not job.refused:
                     self._dispatch(job, frozenset(), now)
 
@@ -206,7 +210,7 @@
             self._waiting.append((job, exclude))
             return
         job.engine = number
-        job.started = now
+        job.started_at = now
         job.attempts += 1
         entry.start(job, now)
         if self.engines[number].alive:
@@ -215,22 +219,22 @@
         self.failed_after_death.append(now - self._dead_since[number])
         self._fail(job, exclude, now, crashed=False)
 
-    def _end_all(self, ended: list[Job], now: int) -> None:
-        for job in ended:
-            self._end(job, now)
+    def _finish_all(self, finished: list[Job], now: int) -> None:
+        for job in finished:
+            self._finish(job, now)
 
-    def _end(self, job: Job, now: int) -> None:
+    def _finish(self, job: Job, now: int) -> None:
         entry = self.entries[job.entry]
-        if job.first >= 0:
-            self._deaths.pop(fingerprint_of_job(job), None)
-        entry.end(job, now)
+        if job.first_token_at >= 0:
+            self._deaths.pop(job_fingerprint(job), None)
+        entry.finish(job, now)
         entry.close(job, now)
 
     def _crash(self, engine: Engine, now: int) -> None:
         self._dead_since[engine.number] = now
         for job in engine.crash():
-            self._deaths[fingerprint_of_job(job)] += 1
-            job.first = -1
+            self._deaths[job_fingerprint(job)] += 1
+            job.first_token_at = -1
             self._fail(job, frozenset(), now, crashed=True)
 
     def _fail(
@@ -240,31 +244,31 @@
         entry.fail(job, now, crashed=crashed)
         if job.poison:
             entry.close(job, now)
-            if -job.number < MOST_RESENDS:
-                self._resends.append(Resend(now + RESEND_AFTER, -job.number))
-        elif job.attempts < MOST_ATTEMPTS and entry.may_retry(now):
+            if -job.number < MAX_RESENDS:
+                self._resends.append(Resend(now + RESEND_DELAY, -job.number))
+        elif job.attempts < MAX_ATTEMPTS and entry.can_retry(now):
             self._retries.append((job, exclude | {job.engine}))
         else:
             entry.close(job, now)
 
 
-def make_poison(scenario: Scenario, now: int, resends: int) -> Job:
-    """Return the poison request; its caller goes from entry to entry."""
+def make_poison_job(scenario: Scenario, now: int, resends: int) -> Job:
+    """Return a poison request; its caller sends it to the entries in turn."""
     entry = resends % scenario.entries
     chain = (1, 2, 3, 4)
     return Job(-1 - resends, 0, 0, chain, 30, now, entry, poison=True)
 
 
-def run_ours(scenario: Scenario, **options: object) -> Outcome:
-    """Run the router under test."""
+def run_router(scenario: Scenario, **options: object) -> Outcome:
+    """Run a scenario with the router under test."""
     return Run(
         scenario,
-        lambda rng, engines, entries: Ours(
+        lambda rng, engines, entries: RouterPolicy(
             rng, engines, entries=entries, **options
         ),
     ).run()
 
 
 def run_baseline(scenario: Scenario, kind: type[Policy]) -> Outcome:
-    """Run one of the baselines."""
+    """Run a scenario with a baseline policy."""
     return Run(scenario, lambda rng, engines, _: kind(rng, engines)).run()
--- a/bench/rpc_cost.py
+++ b/bench/rpc_cost.py
@@ -1,8 +1,9 @@
-"""What one call between our processes costs: processor time and bytes.
+"""Measures processor time and bytes of calls between the processes.
 
 Run by hand: ``python -m bench.rpc_cost`` starts one control daemon and prints
-JSON. Processor time is each process's own, so other work on the machine
-doesn't count; bytes are what crosses the socket, both ways, headers included.
+JSON. Processor time is measured per process, so that other work on the machine
+does not count; bytes are those on the socket in both directions, including
+headers.
 """
 
 from __future__ import annotations
@@ -71,7 +72,7 @@
         'control_idle_rss_mib': control.memory_info().rss / _MEBI,
     }
 
-    async def list_all(_: int) -> None:
+    async def fetch_directory(_: int) -> None:
         reply = await clients.call(
             peer,
             DIRECTORY,
@@ -81,22 +82,26 @@
         reply.unwrap()
 
     await clients.feed(peer, ANNOUNCE, _announcements(UPSTREAMS))
-    figures |= await _feed_cost(clients, peer, control)
-    figures |= await _cost('directory_100', list_all, control)
+    figures |= await _measure_announcements(clients, peer, control)
+    figures |= await _measure_call('directory_100', fetch_directory, control)
     async with CountingProxy(peer) as proxy:
         await clients.feed(proxy.address, ANNOUNCE, _announcements(1))
         before = proxy.total_bytes
         await clients.feed(proxy.address, ANNOUNCE, _announcements(CALLS))
         figures['announce_bytes'] = (proxy.total_bytes - before) / CALLS
         before = proxy.total_bytes
-        await _repeat(lambda one: _claim(clients, proxy.address, one), KEYS)
+        await _repeat(
+            lambda one: _claim_and_settle(clients, proxy.address, one), KEYS
+        )
         figures['claim_and_settle_bytes'] = (proxy.total_bytes - before) / KEYS
     clients.close()
     return figures
 
 
-async def _claim(clients: RpcClients, peer: str, number: int) -> None:
-    """Claim a key and settle it without an answer."""
+async def _claim_and_settle(
+    clients: RpcClients, peer: str, number: int
+) -> None:
+    """Claim a key and settle it without a stored answer."""
     holder = Holder(f'{number:032x}', 1, 'entry-1', 'drafting-001', peer, 1)
     key = f'inspection-{number:08}'
     claimed = await clients.call(
@@ -115,17 +120,17 @@
     settled.unwrap()
 
 
-async def _feed_cost(
+async def _measure_announcements(
     clients: RpcClients,
     peer: str,
     server: psutil.Process,
 ) -> dict[str, float]:
-    """Measure announcements that leave one by one, as in service."""
+    """Measure announcements that are sent one by one, as in production."""
     client_before = time.process_time()
-    server_before = _cpu(server)
+    server_before = _read_cpu_seconds(server)
     await clients.feed(peer, ANNOUNCE, _announcements(CALLS))
     client_s = time.process_time() - client_before
-    server_s = _cpu(server) - server_before
+    server_s = _read_cpu_seconds(server) - server_before
     return {
         'announce_client_us': client_s / CALLS * _MICRO,
         'announce_server_us': server_s / CALLS * _MICRO,
@@ -135,20 +140,21 @@
 async def _announcements(count: int) -> AsyncIterator[Announcement]:
     for number in range(count):
         yield _announcement(next(_SEQUENCE), number)
-        # One packet each: the next one leaves in a later turn of the loop.
+        # The pause gives each announcement its own packet: the next one is
+        # sent in a later iteration of the event loop.
         await asyncio.sleep(_PAUSE_S)
 
 
-async def _cost(
+async def _measure_call(
     name: str,
     call: Callable[[int], Awaitable[None]],
     server: psutil.Process,
 ) -> dict[str, float]:
     client_before = time.process_time()
-    server_before = _cpu(server)
+    server_before = _read_cpu_seconds(server)
     await _repeat(call, CALLS)
     client_s = time.process_time() - client_before
-    server_s = _cpu(server) - server_before
+    server_s = _read_cpu_seconds(server) - server_before
     return {
         f'{name}_client_us': client_s / CALLS * _MICRO,
         f'{name}_server_us': server_s / CALLS * _MICRO,
@@ -160,7 +166,7 @@
         await call(number)
 
 
-def _cpu(process: psutil.Process) -> float:
+def _read_cpu_seconds(process: psutil.Process) -> float:
     times = process.cpu_times()
     return float(times.user + times.system)
 
--- a/bench/subset_cost.py
+++ b/bench/subset_cost.py
@@ -1,9 +1,9 @@
-"""What a watcher of the directory costs with and without its subset.
+"""Measures the cost of a directory watcher with and without a subset.
 
-Run by hand: ``python -m bench.subset_cost`` prints JSON, a row a layout: bytes
-of the first difference and of one in which every load changed (a watcher gets
-at most one of these a second), microseconds to make that one, and what it
-costs when one upstream leaves: once for all watchers and for each of them.
+Run by hand: ``python -m bench.subset_cost`` prints JSON, a row per layout:
+bytes of the first difference and of one in which every load changed (a watcher
+gets at most one of these a second), microseconds to make that one, and
+microseconds when one upstream leaves: once for all watchers and per watcher.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Entries of one region: 1,100 of 7.
+#: Entries of one region: 1,100 entries in 7 regions.
 ENTRIES = 157
 BOUND = 256
-#: Loads far enough apart that each change is told.
+#: Loads that differ by enough that each change is part of a difference.
 _LOADS = (2, 40)
 _REPEATS = 20
 _MICRO = 1e6
 
 
 class Layout(NamedTuple):
-    """How many upstreams there are, in how many policies; bound 0: all."""
+    """Numbers of upstreams and policies; bound 0 shows all upstreams."""
 
     upstreams: int
     policies: int
@@ -69,11 +69,11 @@
 )
 
 
-class Watch:
-    """The directory and one watcher of it, without a network."""
+class WatchedDirectory:
+    """The directory with one watcher, without a network."""
 
     def __init__(self, layout: Layout) -> None:
-        """Begin with all upstreams in service and nothing told."""
+        """Start with all upstreams serving and no difference sent."""
         self._layout = layout
         self._sequence = 0
         self.directory = UpstreamDirectory()
@@ -82,11 +82,11 @@
             DirectoryRequest('entry-1', max_upstreams=layout.bound),
         )
         self.view = WatcherView()
-        self.told = 0
+        self.last_bytes = 0
         self.announce()
 
     def announce(self, leaving: int = -1) -> None:
-        """Let every upstream announce itself with another load."""
+        """Record announcements of all upstreams with a changed load."""
         self._sequence += 1
         for number in range(self._layout.upstreams):
             announcement = structs.replace(
@@ -99,49 +99,56 @@
             )
             self.directory.record(announcement, 0)
 
-    def group(self) -> None:
-        """Do what is done once for all watchers."""
+    def regroup(self) -> None:
+        """Group the upstreams into pools, as done once for all watchers."""
         self.pools = group_pools(self.directory.fresh(0), self.pools)
 
-    def choose(self) -> tuple[str, ...]:
-        """Return the names that the watcher is shown."""
+    def choose_names(self) -> tuple[str, ...]:
+        """Return the names of the upstreams in the watcher's subset."""
         return self.subset.names(self.pools, ENTRIES)
 
-    def tell(self) -> int:
-        """Make the next difference as it is sent; return its bytes."""
-        shown = self.directory.pick(self.choose(), 0)
-        self.told = len(msgpack.encode(self.view.advance(shown, 1)))
-        return self.told
+    def encode_difference(self) -> int:
+        """Make and encode the next difference; return its size in bytes."""
+        shown = self.directory.pick(self.choose_names(), 0)
+        self.last_bytes = len(msgpack.encode(self.view.advance(shown, 1)))
+        return self.last_bytes
 
 
 def measure_layout(layout: Layout) -> Row:
-    """Measure one layout; times are the best of the repeats."""
-    watch = Watch(layout)
-    watch.group()
-    first = watch.tell()
-    shown = len(watch.choose())
-    told: list[float] = []
+    """Measure one layout; times are the minimum over the repeats."""
+    watch = WatchedDirectory(layout)
+    watch.regroup()
+    first = watch.encode_difference()
+    shown = len(watch.choose_names())
+    encode_us: list[float] = []
     sizes: list[int] = []
     for _ in range(_REPEATS):
         watch.announce()
-        told.append(_time(watch.tell))
-        sizes.append(watch.told)
-    once: list[float] = []
-    each: list[float] = []
+        encode_us.append(_measure_us(watch.encode_difference))
+        sizes.append(watch.last_bytes)
+    regroup_us: list[float] = []
+    choose_us: list[float] = []
     for leaving in range(min(layout.upstreams, _REPEATS)):
         watch.announce(leaving)
-        once.append(_time(watch.group))
-        each.append(_time(watch.choose))
-        watch = Watch(layout)
-        watch.group()
-        watch.tell()
-    return Row(shown, first, min(sizes), min(told), min(once), min(each))
-
-
-def _time(work: Callable[[], object]) -> float:
-    began_at = time.perf_counter()
+        regroup_us.append(_measure_us(watch.regroup))
+        choose_us.append(_measure_us(watch.choose_names))
+        watch = WatchedDirectory(layout)
+        watch.regroup()
+        watch.encode_difference()
+    return Row(
+        shown,
+        first,
+        min(sizes),
+        min(encode_us),
+        min(regroup_us),
+        min(choose_us),
+    )
+
+
+def _measure_us(work: Callable[[], object]) -> float:
+    started_at = time.perf_counter()
     work()
-    return round((time.perf_counter() - began_at) * _MICRO, 1)
+    return round((time.perf_counter() - started_at) * _MICRO, 1)
 
 
 _BASE = Announcement(
