--- a/bench/day_seconds.py
+++ b/bench/day_seconds.py
@@ -79,11 +79,11 @@
     open_requests: dict[str, LogLine] = {}
     requests: list[RequestSpan] = []
     for line in lines:
-        request = line.pairs.get('request', '')
+        request_id = line.pairs.get('request', '')
         if line.event == 'call_begun':
-            open_requests.setdefault(request, line)
-        elif line.event == 'request_ended' and request in open_requests:
-            first = open_requests.pop(request)
+            open_requests.setdefault(request_id, line)
+        elif line.event == 'request_ended' and request_id in open_requests:
+            first = open_requests.pop(request_id)
             first_ms = float(line.pairs['first_ms'])
             requests.append(
                 RequestSpan(
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -16,7 +16,7 @@
 from hdrh.histogram import HdrHistogram
 
 from snipebend.console.demo_fleet import FLEET
-from tests.loopback import Loopback, completion
+from tests.loopback import LoopbackDeployment, completion
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -74,7 +74,7 @@
 class OverheadBench:
     """Starts the processes of a deployment and measures them."""
 
-    def __init__(self, deployment: Loopback) -> None:
+    def __init__(self, deployment: LoopbackDeployment) -> None:
         """Create a bench on a deployment."""
         self._deployment = deployment
 
@@ -82,19 +82,21 @@
         """Start an engine and a service, each with its agent, and an entry."""
         deployment = self._deployment
         engine, service = await asyncio.gather(
-            deployment.engine('engine', '--step-ms', '2', '--batch-size', '64'),
-            deployment.service('service', 0),
+            deployment.start_engine(
+                'engine', '--step-ms', '2', '--batch-size', '64'
+            ),
+            deployment.start_service('service', 0),
         )
         engine_agent, service_agent, entry = await asyncio.gather(
-            deployment.agent('engine-agent', engine),
-            deployment.agent('service-agent', service, 'fares'),
-            deployment.entry('entry'),
+            deployment.start_agent('engine-agent', engine),
+            deployment.start_agent('service-agent', service, 'fares'),
+            deployment.start_entry('entry'),
         )
         self._engine = engine
         self._service = service
         self._entry = entry
         self._agents = (engine_agent, service_agent)
-        await deployment.serve(
+        await deployment.apply_fleet(
             self._entry, fleet=f'{_CONCURRENT_FLEET}{_SERVICE}'
         )
 
@@ -200,7 +202,7 @@
 
 async def measure() -> dict[str, float]:
     """Start a deployment and return the figures of one run."""
-    async with Loopback() as deployment:
+    async with LoopbackDeployment() as deployment:
         bench = OverheadBench(deployment)
         await bench.start()
         return await bench.compare()
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests, with the helpers that several test packages share."""
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,7 +1,7 @@
-"""Runs all tests: ``python -m tests [name ...]``.
+"""Runs the named tests or all of them: ``python -m tests [name ...]``.
 
-Tests named in KNOWN-RED.txt run like all others; their failures are printed,
-and only these are passed over.
+Tests listed in KNOWN-RED.txt are run like all others. Their failures are
+printed but do not fail the run; any other failure does.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     return loader.discover(str(ROOT / 'tests'), top_level_dir=str(ROOT))
 
 
-def _known_red() -> dict[str, str]:
+def _read_known_failures() -> dict[str, str]:
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text(encoding='utf-8').splitlines()
@@ -30,13 +30,13 @@
 
 
 def _report(outcome: unittest.TestResult, known: dict[str, str]) -> int:
-    red = {test.id() for test, _ in outcome.failures + outcome.errors}
-    red |= {test.id() for test in outcome.unexpectedSuccesses}
-    for test_id in sorted(red & known.keys()):
+    failing = {test.id() for test, _ in outcome.failures + outcome.errors}
+    failing |= {test.id() for test in outcome.unexpectedSuccesses}
+    for test_id in sorted(failing & known.keys()):
         sys.stdout.write(f'known red: {known[test_id]}\n')
-    unexpected = red - known.keys()
+    unexpected = failing - known.keys()
     skipped = len(outcome.skipped)
-    passed = outcome.testsRun - len(red) - skipped
+    passed = outcome.testsRun - len(failing) - skipped
     sys.stdout.write(
         f'{passed} passed, {len(unexpected)} failed, {skipped} skipped\n',
     )
@@ -44,10 +44,17 @@
 
 
 def main() -> int:
-    """Run the named tests, or all."""
-    known = _known_red()
+    """Run the tests and return the exit code.
+
+    It is 1 if an unlisted test fails, if no test ran, or if KNOWN-RED.txt
+    lists more than three tests.
+    """
+    known = _read_known_failures()
     if len(known) > MAX_KNOWN_RED:
-        sys.stdout.write('KNOWN-RED.txt holds more than three tests\n')
+        sys.stdout.write(
+            f'KNOWN-RED.txt lists {len(known)} tests, at most '
+            f'{MAX_KNOWN_RED} are allowed\n',
+        )
         return 1
     runner = unittest.TextTestRunner(verbosity=1)
     return _report(runner.run(_load(sys.argv[1:])), known)
--- a/tests/balancing/test_large_switch.py
+++ b/tests/balancing/test_large_switch.py
@@ -29,7 +29,7 @@
 from snipebend.balancing.group_eyes import Seen
 from snipebend.balancing.order_desk import OrderDesk
 from snipebend.balancing.switch_driver import SwitchDriver
-from tests.virtual_time import LoopClock, run_virtually
+from tests.virtual_time import LoopClock, run_in_virtual_time
 
 SIZES = (16, 72, 192, 256)
 #: Bits a second of the links of leaders that are known.
@@ -167,7 +167,7 @@
         for ranks in SIZES[:-1]:
             with self.subTest(ranks=ranks):
                 engines = Engines(ranks, WIDE)
-                phase, took_s = run_virtually(switch(engines))
+                phase, took_s = run_in_virtual_time(switch(engines))
                 self.assertIs(phase, Phase.LET_GO)
                 self.assertLess(took_s, FETCH_S + MOST_S)
                 self._check_once(engines)
@@ -177,26 +177,26 @@
         for ranks in SIZES:
             with self.subTest(ranks=ranks):
                 engines = Engines(ranks, NARROW)
-                phase, took_s = run_virtually(switch(engines))
+                phase, took_s = run_in_virtual_time(switch(engines))
                 self.assertIs(phase, Phase.LET_GO)
                 bytes_s = 130 * ranks**2 / (NARROW / 8)
                 self.assertLess(took_s, bytes_s + FETCH_S + MOST_S)
                 self._check_once(engines)
 
     def test_one_short_time_for_all_is_found(self):
-        phase, _ = run_virtually(switch(HastyEngines(192, WIDE)))
+        phase, _ = run_in_virtual_time(switch(HastyEngines(192, WIDE)))
         self.assertIs(phase, Phase.PREPARING)
 
     def test_a_slow_rank(self):
         engines = Engines(192, WIDE, slow={7})
-        phase, took_s = run_virtually(switch(engines))
+        phase, took_s = run_in_virtual_time(switch(engines))
         self.assertIs(phase, Phase.LET_GO)
         self.assertLess(took_s, FETCH_S + MOST_S)
         self._check_once(engines)
 
     def test_a_silent_rank_is_asked_again_until_it_answers(self):
         engines = Engines(192, WIDE, silent_until=0.4)
-        phase, took_s = run_virtually(switch(engines))
+        phase, took_s = run_in_virtual_time(switch(engines))
         self.assertIs(phase, Phase.LET_GO)
         self.assertLess(took_s, 0.4 + FETCH_S + MOST_S)
         self.assertGreater(engines.given['Prepare', 5], 1)
@@ -204,7 +204,7 @@
 
     def test_lost_answers(self):
         engines = Engines(192, WIDE, lost=0.1)
-        phase, took_s = run_virtually(switch(engines))
+        phase, took_s = run_in_virtual_time(switch(engines))
         self.assertIs(phase, Phase.LET_GO)
         self.assertLess(took_s, FETCH_S + 2 * MOST_S)
 
@@ -220,7 +220,7 @@
             phase, at = await switch(engines)
             return told, phase, at
 
-        told, phase, at = run_virtually(lose_leader())
+        told, phase, at = run_in_virtual_time(lose_leader())
         self.assertLess(told, 192)
         self.assertIs(phase, Phase.LET_GO)
         self.assertLess(at, LOST_AT_S + FETCH_S + MOST_S)
@@ -234,7 +234,7 @@
 
     def test_only_ranks_that_may_tell_something_new_are_asked(self):
         engines = Engines(192, WIDE)
-        run_virtually(switch(engines))
+        run_in_virtual_time(switch(engines))
         self.assertLess(engines.reports, 10)
 
     def _check_once(self, engines, but=None):
--- a/tests/balancing/test_turns.py
+++ b/tests/balancing/test_turns.py
@@ -8,7 +8,7 @@
 
 from snipebend.experts.group_pace import GroupPaces
 from tests.balancing.group_model import Leader, ModelGroup, Shape
-from tests.virtual_time import LoopClock, run_virtually
+from tests.virtual_time import LoopClock, run_in_virtual_time
 
 SHAPES = (
     Shape(8, 6, 64, 11, 1.0),
@@ -38,7 +38,7 @@
 def play(main):
     """Play on virtual time; what a search takes isn't counted."""
     with mock.patch('asyncio.to_thread', _inline):
-        return run_virtually(main)
+        return run_in_virtual_time(main)
 
 
 class Day:
--- a/tests/daemons/control_group.py
+++ b/tests/daemons/control_group.py
@@ -21,7 +21,7 @@
 from snipebend.transport.methods import APPLY, GROUP, SHOW
 from snipebend.transport.rpc_clients import RpcClients
 from tests.daemons.wires import Wires, free_port, owns_port
-from tests.programs import PATIENCE_S, Program, head, start_daemon
+from tests.programs import WAIT_TIMEOUT_S, Program, common_toml, start_daemon
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
@@ -181,7 +181,7 @@
             for one, port in self._listed.items()
         )
         toml = (
-            f'{head(name)}grpc_port = {self._ports[name]}\n'
+            f'{common_toml(name)}grpc_port = {self._ports[name]}\n'
             f'[storage]\nfolder = "{self.folder / name}"\n'
             f'snapshot_every = {self._snapshot_every}\n{members}'
         )
@@ -190,7 +190,7 @@
 
 async def until(look: Callable[[], Awaitable[Any]]) -> None:
     """Ask again and again until the answer is true."""
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not await look():
         if time.monotonic() > deadline:
             raise TimeoutError
--- a/tests/daemons/test_requests_under_faults.py
+++ b/tests/daemons/test_requests_under_faults.py
@@ -12,7 +12,7 @@
 from aiohttp import ClientError
 
 from snipebend.standin.batcher import render_token
-from tests.loopback import Loopback, completion, until
+from tests.loopback import LoopbackDeployment, completion, poll_until
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -48,7 +48,7 @@
 
 
 async def stream(
-    path: Loopback,
+    path: LoopbackDeployment,
     entry: Program,
     prompt: str,
     begun: asyncio.Event | None = None,
@@ -79,7 +79,7 @@
         return Told(resp.status, tuple(texts), problem, done, clean)
 
 
-async def book(path: Loopback, entry: Program) -> dict:
+async def book(path: LoopbackDeployment, entry: Program) -> dict:
     """Confirm a ticket; return the answer, with status and outcome."""
     url = f'http://{entry.addresses["http"]}/confirmations'
     async with (
@@ -94,7 +94,7 @@
     async def test_killed_engine_in_mid_stream_is_resumed_elsewhere(
         self,
     ) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             engines, _, (entry,) = await _serving(path, _engine, 1)
             begun = asyncio.Event()
             telling = asyncio.create_task(stream(path, entry, 'a', begun))
@@ -102,7 +102,7 @@
             running = [
                 one
                 for one in engines
-                if (await path.executions(one))['running']
+                if (await path.fetch_executions(one))['running']
             ]
             await running[0].kill()
             told = await telling
@@ -110,13 +110,13 @@
             self.assertTrue(told.complete)
 
     async def test_killed_only_engine_breaks_the_answer_visibly(self) -> None:
-        async with Loopback() as path:
-            engine = await path.engine('engine', *_STEP)
+        async with LoopbackDeployment() as path:
+            engine = await path.start_engine('engine', *_STEP)
             entry, _ = await asyncio.gather(
-                path.entry('entry'),
-                path.agent('agent', engine),
+                path.start_entry('entry'),
+                path.start_agent('agent', engine),
             )
-            await path.serve(entry)
+            await path.apply_fleet(entry)
             begun = asyncio.Event()
             telling = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
@@ -128,7 +128,7 @@
             self.assertEqual(told.texts, expected('a')[:size])
 
     async def test_interleaved_callers_get_their_own_answers(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             entry = (await _serving(path, _engine, 1))[2][0]
             prompts = [f'prompt {number}' for number in range(12)]
             told = await asyncio.gather(
@@ -141,18 +141,18 @@
 
 class SilenceTest(unittest.IsolatedAsyncioTestCase):
     async def test_silent_connection_is_replaced(self) -> None:
-        async with Loopback() as path:
-            engine = await path.engine('engine', *_STEP)
-            proxy = await path.proxy()
+        async with LoopbackDeployment() as path:
+            engine = await path.start_engine('engine', *_STEP)
+            proxy = await path.start_proxy()
             entry, _ = await asyncio.gather(
-                path.entry('entry'),
-                path.agent('agent', engine, proxy=proxy),
+                path.start_entry('entry'),
+                path.start_agent('agent', engine, proxy=proxy),
             )
-            await path.serve(entry)
+            await path.apply_fleet(entry)
             begun = asyncio.Event()
             telling = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
-            proxy.silence()
+            proxy.stall()
             told = await telling
             self.assertEqual(told.texts, expected('a'))
             self.assertTrue(told.complete)
@@ -160,28 +160,28 @@
             self.assertEqual(later.texts, expected('b'))
 
     async def test_frozen_agent_is_left_for_another(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             engines, agents, entries = await _serving(path, _engine, 1)
             entry = entries[0]
             begun = asyncio.Event()
             telling = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
             for engine, agent in zip(engines, agents, strict=True):
-                if (await path.executions(engine))['running']:
+                if (await path.fetch_executions(engine))['running']:
                     agent.send(signal.SIGSTOP)
             told = await telling
             self.assertEqual(told.texts, expected('a'))
             self.assertTrue(told.complete)
 
     async def test_frozen_engine_is_left_for_another(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             engines, _, entries = await _serving(path, _engine, 1)
             entry = entries[0]
             begun = asyncio.Event()
             telling = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
             for engine in engines:
-                if (await path.executions(engine))['running']:
+                if (await path.fetch_executions(engine))['running']:
                     engine.send(signal.SIGSTOP)
             told = await telling
             self.assertEqual(told.texts, expected('a'))
@@ -192,10 +192,10 @@
 
 class AtMostOnceTest(unittest.IsolatedAsyncioTestCase):
     async def test_agent_killed_during_the_call(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             services, agents, entries = await _serving(path, _service, 2)
             first = asyncio.create_task(book(path, entries[0]))
-            await until(lambda: path.count('started', *services))
+            await poll_until(lambda: path.count('started', *services))
             for service, agent in zip(services, agents, strict=True):
                 if await path.count('started', service):
                     await agent.kill()
@@ -206,10 +206,10 @@
             self.assertEqual(await path.count('started', *services), 1)
 
     async def test_entry_killed_after_dispatch(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             services, _, entries = await _serving(path, _service, 2)
             first = asyncio.create_task(book(path, entries[0]))
-            await until(lambda: path.count('started', *services))
+            await poll_until(lambda: path.count('started', *services))
             await entries[0].kill()
             with self.assertRaises(ClientError):
                 await first
@@ -219,43 +219,43 @@
                 answers.append(await book(path, entries[1]))
                 return answers[-1]['code'] == 200
 
-            await until(answered)
+            await poll_until(answered)
             self.assertEqual(answers[-1]['number'], 1)
             self.assertEqual(await path.count('started', *services), 1)
 
     async def test_first_attempt_that_arrives_after_its_seal(self) -> None:
-        async with Loopback() as path:
-            service = await path.service('service', 20)
-            proxy = await path.proxy()
+        async with LoopbackDeployment() as path:
+            service = await path.start_service('service', 20)
+            proxy = await path.start_proxy()
             agent, entry = await asyncio.gather(
-                path.agent('agent', service, 'booking', proxy=proxy),
-                path.entry('entry'),
+                path.start_agent('agent', service, 'booking', proxy=proxy),
+                path.start_entry('entry'),
             )
-            await path.serve(entry)
-            proxy.hold_next()
+            await path.apply_fleet(entry)
+            proxy.hold_next_connection()
             told = await book(path, entry)
             self.assertEqual((told['code'], told['number']), (200, 1))
             self.assertTrue(proxy.held.is_set())
-            proxy.release()
+            proxy.release_held()
 
             async def arrived_late() -> bool:
                 return any('step=sealed' in line for line in agent.log)
 
-            await until(arrived_late)
+            await poll_until(arrived_late)
             self.assertEqual(await path.count('started', service), 1)
 
 
 class PoisonTest(unittest.IsolatedAsyncioTestCase):
     async def test_request_that_kills_engines_is_quarantined(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             upstreams = await asyncio.gather(
                 *(_mortal_engine(path, number) for number in range(5)),
             )
             entry, other = await asyncio.gather(
-                path.entry('entry'),
-                path.entry('other'),
+                path.start_entry('entry'),
+                path.start_entry('other'),
             )
-            await path.serve(entry, other)
+            await path.apply_fleet(entry, other)
             begun = [asyncio.Event() for _ in range(3)]
             innocent = [
                 asyncio.create_task(stream(path, entry, f'good {number}', one))
@@ -268,11 +268,11 @@
                 return told.status == 422
 
             async def shared() -> bool:
-                suspects = (await path.dump(other))['routing']['suspects']
+                suspects = (await path.fetch_dump(other))['routing']['suspects']
                 return any(suspects.values())
 
-            await until(quarantined)
-            await until(shared)
+            await poll_until(quarantined)
+            await poll_until(shared)
             told = await stream(path, other, 'goes BOOM')
             self.assertEqual(told.status, 422)
             for number, told in enumerate(await asyncio.gather(*innocent)):
@@ -291,7 +291,7 @@
 
 class DrainTest(unittest.IsolatedAsyncioTestCase):
     async def test_sigterm_to_entry_and_agent_cuts_nothing(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             path.grace_s = 0.4
             _, agents, entries = await _serving(path, _engine, 2)
             leaving, staying = entries
@@ -315,37 +315,45 @@
             self.assertEqual(codes, [0, 0])
 
 
-async def _engine(path: Loopback, number: int) -> tuple[Program, Program]:
-    engine = await path.engine(f'engine-{number}', *_STEP)
-    return engine, await path.agent(f'agent-{number}', engine)
+async def _engine(
+    path: LoopbackDeployment, number: int
+) -> tuple[Program, Program]:
+    engine = await path.start_engine(f'engine-{number}', *_STEP)
+    return engine, await path.start_agent(f'agent-{number}', engine)
 
 
 async def _mortal_engine(
-    path: Loopback, number: int
+    path: LoopbackDeployment, number: int
 ) -> tuple[Program, Program]:
     flags = ('--crash-marker', 'BOOM', *_STEP)
-    engine = await path.engine(f'engine-{number}', *flags)
-    return engine, await path.agent(f'agent-{number}', engine)
+    engine = await path.start_engine(f'engine-{number}', *flags)
+    return engine, await path.start_agent(f'agent-{number}', engine)
 
 
-async def _service(path: Loopback, number: int) -> tuple[Program, Program]:
-    service = await path.service(f'service-{number}', _DELAY_MS)
-    return service, await path.agent(f'agent-{number}', service, 'booking')
+async def _service(
+    path: LoopbackDeployment, number: int
+) -> tuple[Program, Program]:
+    service = await path.start_service(f'service-{number}', _DELAY_MS)
+    return service, await path.start_agent(
+        f'agent-{number}', service, 'booking'
+    )
 
 
 async def _serving(
-    path: Loopback,
-    start: Callable[[Loopback, int], Awaitable[tuple[Program, Program]]],
+    path: LoopbackDeployment,
+    start: Callable[
+        [LoopbackDeployment, int], Awaitable[tuple[Program, Program]]
+    ],
     entries: int,
 ) -> tuple[list[Program], list[Program], list[Program]]:
     """Start two upstreams with their agents, and entries, all at once."""
     pairs, fronts = await asyncio.gather(
         asyncio.gather(*(start(path, number) for number in range(2))),
         asyncio.gather(
-            *(path.entry(f'entry-{number}') for number in range(entries)),
+            *(path.start_entry(f'entry-{number}') for number in range(entries)),
         ),
     )
-    await path.serve(*fronts)
+    await path.apply_fleet(*fronts)
     upstreams, agents = zip(*pairs, strict=True)
     return list(upstreams), list(agents), list(fronts)
 
--- a/tests/daemons/test_slow_and_gone_callers.py
+++ b/tests/daemons/test_slow_and_gone_callers.py
@@ -9,7 +9,7 @@
 
 import psutil
 
-from tests.loopback import HEADERS, Loopback, completion, until
+from tests.loopback import HEADERS, LoopbackDeployment, completion, poll_until
 from tests.programs import Program
 
 if TYPE_CHECKING:
@@ -68,13 +68,13 @@
 
 class GoneCallerTest(unittest.IsolatedAsyncioTestCase):
     async def test_disconnect_cancels_the_engines_work(self) -> None:
-        async with Loopback() as path:
-            engine = await path.engine('engine')
+        async with LoopbackDeployment() as path:
+            engine = await path.start_engine('engine')
             entry, _ = await asyncio.gather(
-                path.entry('entry'),
-                path.agent('agent', engine),
+                path.start_entry('entry'),
+                path.start_agent('agent', engine),
             )
-            await path.serve(entry)
+            await path.apply_fleet(entry)
             for number, streaming in enumerate((True, False), 1):
                 await self._leave(path, entry, engine, streaming=streaming)
                 self.assertEqual(await path.count('cancelled', engine), number)
@@ -82,7 +82,7 @@
 
     async def _leave(
         self,
-        path: Loopback,
+        path: LoopbackDeployment,
         entry: Program,
         engine: Program,
         *,
@@ -91,7 +91,7 @@
         url = f'http://{entry.addresses["http"]}/v1/completions'
         body = completion('x', 100_000, stream=streaming)
         asking = asyncio.create_task(path.session.post(url, data=body))
-        await until(lambda: path.count('running', engine))
+        await poll_until(lambda: path.count('running', engine))
         if streaming:
             (await asking).close()
         asking.cancel()
@@ -99,17 +99,17 @@
         async def stopped() -> bool:
             return not await path.count('running', engine)
 
-        await until(stopped)
+        await poll_until(stopped)
 
 
 class SlowCallerTest(unittest.IsolatedAsyncioTestCase):
     async def test_answer_waits_for_its_reader(self) -> None:
-        async with Loopback() as path, _Firehose() as firehose:
+        async with LoopbackDeployment() as path, _Firehose() as firehose:
             entry, agent = await asyncio.gather(
-                path.entry('entry'),
-                path.agent('agent', firehose),
+                path.start_entry('entry'),
+                path.start_agent('agent', firehose),
             )
-            await path.serve(entry)
+            await path.apply_fleet(entry)
             before = [_resident(one) for one in (entry, agent)]
             reader, writer = await _ask(entry)
             taken = await _settled(firehose)
@@ -152,7 +152,7 @@
     return reader, writer
 
 
-async def _metrics(path: Loopback, entry: Program) -> str:
+async def _metrics(path: LoopbackDeployment, entry: Program) -> str:
     url = f'http://{entry.addresses["admin"]}/metrics'
     async with path.session.get(url) as resp:
         text = await resp.text()
--- a/tests/daemons/test_suspects_alone.py
+++ b/tests/daemons/test_suspects_alone.py
@@ -14,7 +14,7 @@
 from snipebend.standin.batcher import render_token
 from snipebend.state.crashes import CrashReport
 from snipebend.transport.methods import REPORT_CRASH
-from tests.loopback import POLL_S, Loopback, completion, until
+from tests.loopback import POLL_S, LoopbackDeployment, completion, poll_until
 
 if TYPE_CHECKING:
     from tests.programs import Program
@@ -40,7 +40,7 @@
     """One upstream has died before with the poison and innocents on it."""
 
     async def test_entries_together_spend_one_upstream_at_a_time(self) -> None:
-        async with Loopback() as path:
+        async with LoopbackDeployment() as path:
             engines, entries = await _start(path)
             await _report_first_death(path, entries)
             good = [
@@ -58,7 +58,7 @@
             )
             self.assertLessEqual(1 + dead, _CRASH_LIMIT)
             self._check_refusals([told for all in poisoned for told in all])
-            await until(lambda: _only_poison_is_suspect(path, entries))
+            await poll_until(lambda: _only_poison_is_suspect(path, entries))
 
     def _check_refusals(self, poisoned: list[_Told]) -> None:
         for told in poisoned:
@@ -67,26 +67,31 @@
 
 
 async def _start(
-    path: Loopback,
+    path: LoopbackDeployment,
 ) -> tuple[list[Program], list[Program]]:
     flags = ('--crash-marker', 'BOOM', '--step-ms', '10')
     engines = await asyncio.gather(
-        *(path.engine(f'engine-{one}', *flags) for one in range(_ENGINES)),
+        *(
+            path.start_engine(f'engine-{one}', *flags)
+            for one in range(_ENGINES)
+        ),
     )
     started = await asyncio.gather(
-        path.entry('entry'),
-        path.entry('other'),
+        path.start_entry('entry'),
+        path.start_entry('other'),
         *(
-            path.agent(f'agent-{number}', engine)
+            path.start_agent(f'agent-{number}', engine)
             for number, engine in enumerate(engines)
         ),
     )
     entries = started[:2]
-    await path.serve(*entries)
+    await path.apply_fleet(*entries)
     return engines, entries
 
 
-async def _report_first_death(path: Loopback, entries: list[Program]) -> None:
+async def _report_first_death(
+    path: LoopbackDeployment, entries: list[Program]
+) -> None:
     prints = tuple(map(_fingerprint, (_POISON, *_INNOCENT)))
     report = CrashReport('agent-gone', 1, prints)
     peers = [path.control.addresses['grpc']]
@@ -96,10 +101,12 @@
         found = [await _suspects(path, entry) for entry in entries]
         return all(set(one) == set(prints) for one in found)
 
-    await until(known)
+    await poll_until(known)
 
 
-async def _until_quarantined(path: Loopback, entry: Program) -> list[_Told]:
+async def _until_quarantined(
+    path: LoopbackDeployment, entry: Program
+) -> list[_Told]:
     """Send the poison again and again; return all that was told."""
     told: list[_Told] = []
     async with asyncio.timeout(_PATIENCE_S):
@@ -109,7 +116,9 @@
     return told
 
 
-async def _until_served(path: Loopback, entry: Program, prompt: str) -> str:
+async def _until_served(
+    path: LoopbackDeployment, entry: Program, prompt: str
+) -> str:
     """Send an innocent request until it is served; return its text."""
     told = await _send(path, entry, prompt)
     async with asyncio.timeout(_PATIENCE_S):
@@ -119,7 +128,7 @@
     return told.text
 
 
-async def _send(path: Loopback, entry: Program, prompt: str) -> _Told:
+async def _send(path: LoopbackDeployment, entry: Program, prompt: str) -> _Told:
     url = f'http://{entry.addresses["http"]}{_PATH}'
     try:
         async with path.session.post(url, data=_body(prompt)) as resp:
@@ -136,14 +145,16 @@
 
 
 async def _only_poison_is_suspect(
-    path: Loopback, entries: list[Program]
+    path: LoopbackDeployment, entries: list[Program]
 ) -> bool:
     found = [await _suspects(path, entry) for entry in entries]
     return all(set(one) == {_fingerprint(_POISON)} for one in found)
 
 
-async def _suspects(path: Loopback, entry: Program) -> dict[str, float]:
-    return (await path.dump(entry))['routing']['suspects']
+async def _suspects(
+    path: LoopbackDeployment, entry: Program
+) -> dict[str, float]:
+    return (await path.fetch_dump(entry))['routing']['suspects']
 
 
 def _answers() -> list[str]:
--- a/tests/daemons/test_whole_path.py
+++ b/tests/daemons/test_whole_path.py
@@ -13,7 +13,7 @@
 
 from snipebend.console.application import main
 from snipebend.console.demo_fleet import API_KEY, FLEET, MODEL
-from tests.programs import PATIENCE_S, whole_path
+from tests.programs import WAIT_TIMEOUT_S, running_cluster
 
 _HEADERS = MappingProxyType({'authorization': f'Bearer {API_KEY}'})
 
@@ -24,7 +24,7 @@
     async def test_apply_stream_and_stop(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            async with whole_path(folder) as cluster:
+            async with running_cluster(folder) as cluster:
                 control = cluster.control.addresses['grpc']
                 fleet = folder / 'fleet.toml'
                 fleet.write_text(FLEET)
@@ -34,7 +34,7 @@
                 )
                 self.assertEqual(code, 0)
                 entry = cluster.entry.addresses
-                await asyncio.wait_for(_until_ready(entry), PATIENCE_S)
+                await asyncio.wait_for(_until_ready(entry), WAIT_TIMEOUT_S)
                 url = f'http://{entry["http"]}/v1/completions'
                 async with ClientSession(headers=_HEADERS) as session:
                     text = await _stream(session, url)
--- a/tests/edge/document_rig.py
+++ b/tests/edge/document_rig.py
@@ -20,7 +20,7 @@
 from snipebend.transport.host_keeper import HostKeeper
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import RpcServer
-from tests.narrow_link import NarrowLink
+from tests.byte_counting_link import ByteCountingLink
 from tests.transport.own_state import OwnState
 
 
@@ -67,7 +67,7 @@
         """Start all, and follow."""
         for daemon in self.daemons:
             await daemon.start(self._stack)
-            link = NarrowLink(
+            link = ByteCountingLink(
                 daemon.server.address, self._cut_after, self.news.set
             )
             self.links.append(await self._stack.enter_async_context(link))
@@ -84,9 +84,9 @@
         await self._stack.aclose()
 
     @property
-    def carried(self):
+    def returned_bytes(self):
         """Return the bytes that all links carried to the follower."""
-        return sum(link.carried for link in self.links)
+        return sum(link.returned_bytes for link in self.links)
 
     def put(self, number, body):
         """Have every daemon take over an accepted document."""
--- a/tests/edge/test_document_fetcher.py
+++ b/tests/edge/test_document_fetcher.py
@@ -14,7 +14,7 @@
 from snipebend.hashing.rendezvous import weigh
 from snipebend.hosts.parts import DocumentPart, DocumentShelf
 from snipebend.kernel.clock import SystemClock
-from tests.programs import PATIENCE_S
+from tests.programs import WAIT_TIMEOUT_S
 
 DAEMONS = ('a:1', 'b:1')
 BODY = b'a document'
@@ -58,7 +58,7 @@
     async def fetch(self):
         for address in DAEMONS:
             self.fetcher.note_told(address, 4)
-        return await asyncio.wait_for(self.taken.get(), PATIENCE_S)
+        return await asyncio.wait_for(self.taken.get(), WAIT_TIMEOUT_S)
 
     async def test_a_document_is_handed_on_once(self):
         number, body, _ = await self.fetch()
--- a/tests/edge/test_document_spread.py
+++ b/tests/edge/test_document_spread.py
@@ -44,13 +44,16 @@
             spread.put(7, document(7))
             await spread.until(lambda: spread.follower.number == 7)
             await spread.all_told('after')
-            self.assertLess(spread.carried, 1.2 * SIZE)
+            self.assertLess(spread.returned_bytes, 1.2 * SIZE)
 
     async def test_it_arrives_over_connections_that_end_before(self):
         async with Spread(DAEMONS, ONE_LIFE) as spread:
             spread.put(7, document(7))
             await spread.until(
-                lambda: spread.follower.number == 7 or spread.carried > ENOUGH
+                lambda: (
+                    spread.follower.number == 7
+                    or spread.returned_bytes > ENOUGH
+                )
             )
             self.assertEqual(spread.follower.number, 7)
-            self.assertLess(spread.carried, 2 * SIZE)
+            self.assertLess(spread.returned_bytes, 2 * SIZE)
--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -14,7 +14,7 @@
 from msgspec import json, msgpack
 
 from tests.edge.rig import FakeUpstream, read_answer
-from tests.programs import PATIENCE_S, start_module
+from tests.programs import WAIT_TIMEOUT_S, start_module
 
 if TYPE_CHECKING:
     from tests.programs import Program
@@ -136,7 +136,7 @@
     async def call(self, path, body=None, hosts=()):
         """Call control daemons in turn until one answers without a 5xx."""
         turns = cycle(hosts or tuple(self.controls))
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 status, text = await self.call_one(next(turns), path, body)
                 if status and status < 500:
@@ -178,14 +178,14 @@
                 f'Snipebend-Credential: {key}\r\nContent-Length: 0\r\n\r\n'
             ).encode()
         )
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             got = await read_answer(reader)
         writer.close()
         return got
 
     async def ask_until(self, status, **options):
         """Ask until the answer has this status."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 got = await self.ask(**options)
                 if got.status == status:
@@ -206,7 +206,7 @@
 
     async def metrics_until(self, host, figure):
         """Read a process's metrics until they hold a figure."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 text = await self.metrics(host)
                 if figure in text:
--- a/tests/platform/test_declining.py
+++ b/tests/platform/test_declining.py
@@ -7,7 +7,7 @@
 import unittest
 
 from tests.platform.deployment import answer, config, deployment
-from tests.programs import PATIENCE_S
+from tests.programs import WAIT_TIMEOUT_S
 
 #: Requests beside the first one that is served.
 NUMBER = 8
@@ -53,7 +53,7 @@
                 return len(declining.seen)
 
     async def ask_until_seen(self, made, upstream):
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not upstream.seen:
                 await made.ask_until(200)
 
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -8,7 +8,7 @@
 import unittest
 
 from tests.platform.deployment import answer, config, deployment
-from tests.programs import PATIENCE_S
+from tests.programs import WAIT_TIMEOUT_S
 
 PUT = '/-/config/put'
 GET = '/-/config/get'
@@ -110,7 +110,7 @@
 
     async def _until_voters(self, made, hosts):
         """Wait until the group's voters are just these."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 dumps = [await made.dump(host) for host in sorted(hosts)]
                 voters = [set(one['state'].get('voters', ())) for one in dumps]
@@ -139,7 +139,7 @@
                 await made.beat('i-1', upstream)
                 await made.entry.wait_for_line('event=upstream_seen', 'i-1')
                 asking = asyncio.create_task(made.ask_until(200))
-                await asyncio.wait_for(started.wait(), PATIENCE_S)
+                await asyncio.wait_for(started.wait(), WAIT_TIMEOUT_S)
                 made.entry.send(signal.SIGHUP)
                 await made.entry.wait_for_line('event=reload_asked')
                 made.entry.send(signal.SIGTERM)
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,4 +1,4 @@
-"""Our programs as operating system processes, for tests and benches."""
+"""Runs the project's programs as processes, for tests and benches."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-PATIENCE_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 POLL_S = 0.02
 _STARTED = b'event=started'
 
 
 class Program:
-    """A daemon started from a settings file, ended by its process id."""
+    """A running program, with its log and its addresses."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
-        """Keep the process and begin with no log."""
+        """Wrap a process; its log has not been read yet."""
         self.process = process
         self.log: list[str] = []
         self.addresses: dict[str, str] = {}
         self._reader: asyncio.Task[None] | None = None
 
     async def wait_started(self, ports_file: Path) -> None:
-        """Wait for the line that tells that all services are up."""
-        await asyncio.wait_for(self._read_until_started(), PATIENCE_S)
+        """Wait until all services have started; read the ports file."""
+        await asyncio.wait_for(self._read_until_started(), WAIT_TIMEOUT_S)
         self.addresses = json.loads(ports_file.read_text('utf-8'))
         self.follow()
 
     async def wait_running(self) -> None:
-        """Wait until all services are up, of a program without ports file."""
-        await asyncio.wait_for(self._read_until_started(), PATIENCE_S)
+        """Wait until all services of a program without ports file started."""
+        await asyncio.wait_for(self._read_until_started(), WAIT_TIMEOUT_S)
         self.follow()
 
     def follow(self) -> None:
-        """Keep reading the log."""
-        self._reader = asyncio.create_task(self._read_on())
+        """Read the log in the background."""
+        self._reader = asyncio.create_task(self._drain_log())
 
     def send(self, signum: signal.Signals) -> None:
-        """Send a signal to this one process."""
+        """Send a signal to the process."""
         self.process.send_signal(signum)
 
     async def terminate(self) -> int:
@@ -55,11 +55,11 @@
         return await self.wait()
 
     async def wait(self) -> int:
-        """Wait for the end and return the exit code."""
-        return await asyncio.wait_for(self.process.wait(), PATIENCE_S)
+        """Wait until the process has exited and return its exit code."""
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has exited."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -67,8 +67,8 @@
             await self._reader
 
     async def wait_for_line(self, *words: str) -> None:
-        """Wait until the log has a line with all these words."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Wait until the log has a line that contains all the words."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not any(
                 all(word in line for word in words) for line in self.log
             ):
@@ -82,7 +82,7 @@
             if _STARTED in line:
                 return
 
-    async def _read_on(self) -> None:
+    async def _drain_log(self) -> None:
         line = await self._read_line()
         while line:
             line = await self._read_line()
@@ -97,7 +97,7 @@
 async def start_module(
     module: str, *arguments: str, environment: dict[str, str] | None = None
 ) -> Program:
-    """Start ``python -m module``, logs on a pipe."""
+    """Start ``python -m module`` with its output on a pipe."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         '-m',
@@ -113,7 +113,7 @@
 async def start_daemon(
     kind: str, folder: Path, name: str, toml: str
 ) -> Program:
-    """Write the settings, start ``snipebend-<kind>`` and wait for it."""
+    """Write the settings, start the daemon and wait until it is running."""
     ports = folder / f'{name}.ports.json'
     ports.unlink(missing_ok=True)
     settings = folder / f'{name}.toml'
@@ -126,8 +126,8 @@
     return program
 
 
-def head(name: str, data_center: str = 'dc-1') -> str:
-    """Return the sections that every daemon's settings begin with."""
+def common_toml(name: str, data_center: str = 'dc-1') -> str:
+    """Return the sections that the settings of all daemons start with."""
     return (
         f'[process]\nname = "{name}"\ndata_center = "{data_center}"\n'
         '[listen]\nhost = "127.0.0.1"\ngrace_s = 0.0\n'
@@ -135,30 +135,30 @@
 
 
 def control_toml(name: str, folder: Path) -> str:
-    """Return the settings of a control daemon that is alone."""
-    return f'{head(name)}[storage]\nfolder = "{folder / name}"\n'
+    """Return the settings of a control daemon without other members."""
+    return f'{common_toml(name)}[storage]\nfolder = "{folder / name}"\n'
 
 
 def entry_toml(name: str, control: str) -> str:
-    """Return the settings of an entry; ``control`` joins by commas."""
-    return f'{head(name)}[control]\naddresses = {_list(control)}\n'
+    """Return an entry's settings; commas separate ``control`` addresses."""
+    return f'{common_toml(name)}[control]\naddresses = {_toml_list(control)}\n'
 
 
 def agent_toml(name: str, control: str, policy: str, upstream: str) -> str:
-    """Return the settings of an agent."""
+    """Return an agent's settings; commas separate ``control`` addresses."""
     return (
-        f'{head(name)}[control]\naddresses = {_list(control)}\n'
+        f'{common_toml(name)}[control]\naddresses = {_toml_list(control)}\n'
         f'[upstream]\npolicy = "{policy}"\naddress = "{upstream}"\n'
         'report_every_s = 0.1\n'
     )
 
 
-def _list(addresses: str) -> str:
+def _toml_list(addresses: str) -> str:
     return json.dumps(addresses.split(','))
 
 
 async def start_standin(folder: Path, name: str, *arguments: str) -> Program:
-    """Start a stand-in engine or service; its address is ``http``."""
+    """Start a stand-in engine or service; set its address ``http``."""
     port_file = folder / f'{name}.port'
     program = await start_module(
         'snipebend.standin.main',
@@ -166,7 +166,9 @@
         str(port_file),
         *arguments,
     )
-    port = await asyncio.wait_for(_read_port(program, port_file), PATIENCE_S)
+    port = await asyncio.wait_for(
+        _read_port(program, port_file), WAIT_TIMEOUT_S
+    )
     program.addresses = {'http': f'127.0.0.1:{port}'}
     return program
 
@@ -174,13 +176,16 @@
 async def _read_port(program: Program, port_file: Path) -> str:
     while not port_file.exists():
         if program.process.returncode is not None:
-            raise RuntimeError(f'{port_file.name}: ended early')
+            raise RuntimeError(
+                f'{port_file.name}: process exited before listening '
+                f'(exit code {program.process.returncode})',
+            )
         await asyncio.sleep(0.02)
     return port_file.read_text('utf-8')
 
 
 class Cluster(NamedTuple):
-    """The whole path: one control daemon, one entry, agents, engines."""
+    """A control daemon, an entry, and engines with an agent each."""
 
     control: Program
     entry: Program
@@ -189,12 +194,12 @@
 
 
 @asynccontextmanager
-async def whole_path(
+async def running_cluster(
     folder: Path,
     engine_arguments: tuple[str, ...] = (),
     engines: int = 2,
 ) -> AsyncIterator[Cluster]:
-    """Run the whole path and end what still runs of it."""
+    """Run a cluster; kill the processes that still run at the end."""
     async with AsyncExitStack() as stack:
 
         async def keep(starting) -> Program:  # type: ignore[no-untyped-def]
--- a/tests/transport/switch_rig.py
+++ b/tests/transport/switch_rig.py
@@ -37,7 +37,7 @@
 from snipebend.transport.rank_api import RankApi
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import Endpoint, RpcServer
-from tests.programs import PATIENCE_S
+from tests.programs import WAIT_TIMEOUT_S
 
 GROUP = 'drafting'
 RANKS = 3
@@ -243,7 +243,7 @@
             while not condition():
                 await asyncio.sleep(0.02)
 
-        await asyncio.wait_for(poll(), PATIENCE_S)
+        await asyncio.wait_for(poll(), WAIT_TIMEOUT_S)
 
     async def until_all_at(self, version: int) -> MapStamp:
         """Wait until all engines run one map of at least that version."""
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -18,8 +18,8 @@
 from snipebend.transport.rpc import WINDOW_BYTES, Method
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import Endpoint, RpcServer
-from tests.narrow_link import NarrowLink
-from tests.programs import PATIENCE_S
+from tests.byte_counting_link import ByteCountingLink
+from tests.programs import WAIT_TIMEOUT_S
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -120,7 +120,7 @@
         stream = self.clients.stream(server.address, _FLOOD, _Number(0))
         await anext(stream)
         self.clients.retire(server.address)
-        await asyncio.wait_for(ended.wait(), PATIENCE_S)
+        await asyncio.wait_for(ended.wait(), WAIT_TIMEOUT_S)
 
     async def test_little_is_sent_before_a_slow_reader_has_read(self) -> None:
         """Pings wait behind it, and a link in use must not count as silent."""
@@ -133,21 +133,21 @@
         self.server.add(Endpoint(_FLOOD, flood), Endpoint(_DOUBLE, _double))
         await self.server.start(Registry(SystemClock(), TaskSupervisor()))
         carried = asyncio.Event()
-        link = NarrowLink(
-            self.server.address, on_carried=carried.set, answers=False
+        link = ByteCountingLink(
+            self.server.address, on_returned=carried.set, forwards_replies=False
         )
         await self.enterAsyncContext(link)
         stream = self.clients.stream(link.address, _FLOOD, _Number(0))
         first = asyncio.create_task(anext(stream))
-        async with asyncio.timeout(PATIENCE_S):
-            while link.carried < WINDOW_BYTES:
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while link.returned_bytes < WINDOW_BYTES:
                 carried.clear()
                 await carried.wait()
         for _ in range(20):
             await self.clients.call(
                 self.server.address, _DOUBLE, _Number(1), timeout=10
             )
-        self.assertLess(link.carried, 2 * WINDOW_BYTES)
+        self.assertLess(link.returned_bytes, 2 * WINDOW_BYTES)
         first.cancel()
         await asyncio.wait([first])
 
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,7 +1,7 @@
-"""An event loop whose time moves only when nothing is left to do.
+"""An event loop on virtual time, which advances only while no task can run.
 
-Each wait ends at once, at the moment at which it should, so that seconds of a
-service's work are the same on every run and machine.
+Each wait ends at once, at its exact due time, so that the timing of a service
+is the same on every run and machine.
 """
 
 from __future__ import annotations
@@ -10,37 +10,39 @@
 import selectors
 
 
-class StuckError(AssertionError):
-    """All tasks wait, and for nothing that time would bring."""
+class VirtualDeadlockError(AssertionError):
+    """All tasks are waiting and no timer is pending."""
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Moves time on in place of waiting."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Advances the virtual time instead of waiting."""
 
     def __init__(self):
         super().__init__()
-        self.at = 0.0
+        self.now_s = 0.0
 
     def select(self, timeout=None):
         if timeout is None:
-            raise StuckError('nothing is due')
-        self.at += max(0.0, timeout)
+            raise VirtualDeadlockError(
+                'all tasks wait, but no timer is pending'
+            )
+        self.now_s += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs tasks on virtual time; for tasks without sockets or threads."""
+    """Runs tasks on virtual time; they must not use sockets or threads."""
 
     def __init__(self):
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._selector = _VirtualTimeSelector()
+        super().__init__(self._selector)
 
     def time(self):
-        return self._jumping.at
+        return self._selector.now_s
 
 
 class LoopClock:
-    """The clock of services that run on a loop."""
+    """A service clock that returns the time of the running event loop."""
 
     began_at = 0.0
 
@@ -51,7 +53,7 @@
         return 1000 + self.now()
 
 
-def run_virtually(main):
-    """Run a coroutine to its end; return its result."""
+def run_in_virtual_time(main):
+    """Run a coroutine on virtual time until it completes; return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
