--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -59,7 +59,9 @@
 
 
 def _render_roles() -> str:
-    rows = [f'| {role} | {held} | {said} |' for role, held, said in ROLES]
+    rows = [
+        f'| {role} | {state} | {messages} |' for role, state, messages in ROLES
+    ]
     head = '\n## Roles\n\n| role | state | messages |\n| --- | --- | --- |\n'
     return head + _join_lines(rows)
 
--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -37,7 +37,7 @@
 _TIMEOUT_S = 10.0
 _MILLI = 1000
 _MICRO = 1e6
-_NEVER = 1_000_000
+_NO_SNAPSHOTS = 1_000_000
 
 
 async def measure() -> dict[str, Any]:
@@ -59,7 +59,7 @@
     figures['restart'] = [
         await _time_restart(changes, snapshot_every)
         for changes in RESTARTS
-        for snapshot_every in (_NEVER, 100)
+        for snapshot_every in (_NO_SNAPSHOTS, 100)
     ]
     return figures
 
@@ -178,11 +178,11 @@
             started_at = time.monotonic()
             await group.start(*NAMES)
             started_s = time.monotonic() - started_at
-            for one in NAMES:
-                assert await group.revision(one) == changes
+            for member in NAMES:
+                assert await group.revision(member) == changes
             return {
                 'changes': changes,
-                'snapshots': snapshot_every < _NEVER,
+                'snapshots': snapshot_every < _NO_SNAPSHOTS,
                 'folder_bytes': log_bytes,
                 'started_s': round(started_s, 2),
                 'current_s': round(time.monotonic() - started_at, 2),
--- a/bench/day_seconds.py
+++ b/bench/day_seconds.py
@@ -19,8 +19,8 @@
 from statistics import median
 from typing import NamedTuple
 
-_LINE = re.compile(r'^\s*(-?[\d.]+) (\S+) .*?event=(\S+) ?(.*)$')
-_PAIR = re.compile(r"(\w+)=('[^']*'|\S+)")
+_LINE_PATTERN = re.compile(r'^\s*(-?[\d.]+) (\S+) .*?event=(\S+) ?(.*)$')
+_PAIR_PATTERN = re.compile(r"(\w+)=('[^']*'|\S+)")
 
 #: Events of control that may explain delays and refusals of requests.
 _CONTROL_EVENTS = frozenset(('map_planned', 'map_switch', 'group_seen'))
@@ -54,10 +54,10 @@
     args = parser.parse_args()
     lines = read_lines(args.log)
     requests = find_requests(lines)
-    summaries = summarize_events(lines)
+    events_by_second = summarize_events(lines)
     for second in range(args.begin, args.end):
         sys.stdout.write(
-            f'{render_second(second, requests)} {summaries[second]}\n'
+            f'{render_second(second, requests)} {events_by_second[second]}\n'
         )
     return 0
 
@@ -67,9 +67,12 @@
     text = path.read_text(encoding='utf-8', errors='replace')
     return [
         LogLine(
-            float(found[1]), found[2], found[3], dict(_PAIR.findall(found[4]))
+            float(found[1]),
+            found[2],
+            found[3],
+            dict(_PAIR_PATTERN.findall(found[4])),
         )
-        for found in map(_LINE.match, text.splitlines())
+        for found in map(_LINE_PATTERN.match, text.splitlines())
         if found
     ]
 
@@ -100,19 +103,19 @@
 
 def summarize_events(lines: list[LogLine]) -> defaultdict[int, str]:
     """Return a summary of the refusals and events of control per second."""
-    summaries: defaultdict[int, Counter[str]] = defaultdict(Counter)
+    events_by_second: defaultdict[int, Counter[str]] = defaultdict(Counter)
     for line in lines:
         note = _describe_event(line)
         if note:
-            summaries[floor(line.at)][note] += 1
+            events_by_second[floor(line.at)][note] += 1
     return defaultdict(
         str,
         {
             second: '; '.join(
                 f'{occurrences} x {note}' if occurrences > 1 else note
-                for note, occurrences in found.items()
+                for note, occurrences in counts.items()
             )
-            for second, found in summaries.items()
+            for second, counts in events_by_second.items()
         },
     )
 
--- a/bench/entry_load.py
+++ b/bench/entry_load.py
@@ -117,7 +117,7 @@
         self.active: list[Stream] = []
         self.waiting: deque[Stream] = deque()
 
-    def take(self, stream: Stream) -> bool:
+    def try_enqueue(self, stream: Stream) -> bool:
         """Queue a stream if there is room; return whether there was."""
         if (
             len(self.active) + len(self.waiting)
@@ -136,8 +136,8 @@
         if not self.active:
             return 0
         steps_s = STEPS_PER_PASS * (STEP_S + STREAM_S * len(self.active))
-        reads = any(stream.chunks_left for stream in self.active)
-        return steps_s + PROMPT_CHUNKS * CHUNK_S * reads
+        is_prefilling = any(stream.chunks_left for stream in self.active)
+        return steps_s + PROMPT_CHUNKS * CHUNK_S * is_prefilling
 
 
 class Simulation:
@@ -145,12 +145,12 @@
 
     def __init__(self, policy: Policy, load: float, seed: int) -> None:
         """Start with idle ranks and no requests."""
-        self.ended: Counter[str] = Counter()
+        self.outcome_counts: Counter[str] = Counter()
         self._policy = policy
         self._rate = REQUESTS_PER_S * load
         self._rng = random.Random(seed)
         self._now: float = 0
-        self._numbers = count()
+        self._sequence_numbers = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._ranks = [Rank() for _ in range(RANKS)]
         self._tables = [UpstreamTable() for _ in range(ENTRIES)]
@@ -170,10 +170,10 @@
             due_at, _, callback = heapq.heappop(self._events)
             self._now = due_at
             callback()
-        return self.ended
+        return self.outcome_counts
 
     def _schedule(self, after_s: float, callback: Callable[[], None]) -> None:
-        entry = (self._now + after_s, next(self._numbers), callback)
+        entry = (self._now + after_s, next(self._sequence_numbers), callback)
         heapq.heappush(self._events, entry)
 
     def _arrive(self) -> None:
@@ -201,7 +201,7 @@
                 break
             identity = upstream.record.identity
             stream.tried_upstreams.append(identity)
-            if self._ranks[int(identity)].take(stream):
+            if self._ranks[int(identity)].try_enqueue(stream):
                 stream.rank = int(identity)
                 self._count_call(stream, 1)
                 return
@@ -243,7 +243,7 @@
         if stream.is_finished:
             return
         stream.is_finished = True
-        self.ended[outcome] += 1
+        self.outcome_counts[outcome] += 1
         if stream.rank >= 0:
             self._count_call(stream, -1)
 
@@ -268,9 +268,9 @@
         if stream.chunks_left:
             stream.chunks_left = 0
             return
-        since = stream.last_event_at if stream.events else stream.sent_at
+        previous_at = stream.last_event_at if stream.events else stream.sent_at
         allowed_s = EVENT_GAP_S if stream.events else FIRST_EVENT_S
-        stream.is_in_time &= self._now - since <= allowed_s
+        stream.is_in_time &= self._now - previous_at <= allowed_s
         stream.events += 1
         stream.last_event_at = self._now
         if stream.events == EVENTS_PER_STREAM:
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -30,8 +30,8 @@
 TOKENS = 150
 
 _MAX_LATENCY_US = 10_000_000
-_FARE = '/fares/zug'
-_TEXT = '/v1/completions'
+_FARE_PATH = '/fares/zug'
+_COMPLETIONS_PATH = '/v1/completions'
 _FLEET = FLEET.replace('rate_per_s = 100.0', 'rate_per_s = 1000000.0').replace(
     'max_concurrency = 100',
     'max_concurrency = 1000',
@@ -117,23 +117,23 @@
     async def measure_calls(self, target: Program) -> Cost:
         """Measure the cost of calls from many concurrent callers."""
 
-        async def caller() -> None:
+        async def run_caller() -> None:
             for _ in range(CALLS // CALLERS):
                 await self._call(target)
 
-        return await self._measure_cost(caller, CALLERS)
+        return await self._measure_cost(run_caller, CALLERS)
 
     async def measure_streams(self, target: Program) -> Cost:
         """Measure the cost of many concurrent streams."""
 
-        async def caller() -> None:
-            url = f'http://{target.addresses["http"]}{_TEXT}'
+        async def run_caller() -> None:
+            url = f'http://{target.addresses["http"]}{_COMPLETIONS_PATH}'
             body = completion('Describe the door.', TOKENS)
             async with self._deployment.session.post(url, data=body) as resp:
                 text = await resp.read()
             assert text.count(b'data: ') == TOKENS + 1, text[-300:]
 
-        return await self._measure_cost(caller, STREAMS)
+        return await self._measure_cost(run_caller, STREAMS)
 
     async def compare(self) -> dict[str, float]:
         """Measure direct calls and calls through entry and agent in turn."""
@@ -165,23 +165,23 @@
         }
 
     async def _call(self, target: Program) -> None:
-        url = f'http://{target.addresses["http"]}{_FARE}'
+        url = f'http://{target.addresses["http"]}{_FARE_PATH}'
         async with self._deployment.session.get(url) as resp:
             await resp.read()
             assert resp.status == 200, resp.status
 
     async def _measure_cost(
         self,
-        caller: Callable[[], Awaitable[None]],
+        run_caller: Callable[[], Awaitable[None]],
         callers: int,
     ) -> Cost:
         before = self._read_cpu_seconds()
         started_at = time.perf_counter()
-        await asyncio.gather(*(caller() for _ in range(callers)))
+        await asyncio.gather(*(run_caller() for _ in range(callers)))
         elapsed_s = time.perf_counter() - started_at
         after = self._read_cpu_seconds()
-        used = {name: after[name] - before[name] for name in after}
-        return Cost(used, elapsed_s)
+        cpu_used_s = {name: after[name] - before[name] for name in after}
+        return Cost(cpu_used_s, elapsed_s)
 
     def _read_cpu_seconds(self) -> dict[str, float]:
         programs = {
--- a/bench/routing_figures.py
+++ b/bench/routing_figures.py
@@ -92,13 +92,13 @@
             for one in unsatisfied
             if requested[one] - entitled[one] <= level * weights[one]
         }
-        for one in satisfied or unsatisfied:
+        for workspace in satisfied or unsatisfied:
             grant = (
-                requested[one] - entitled[one]
+                requested[workspace] - entitled[workspace]
                 if satisfied
-                else level * weights[one]
+                else level * weights[workspace]
             )
-            entitled[one] += grant
+            entitled[workspace] += grant
             total -= grant
         if not satisfied:
             break
--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -182,8 +182,8 @@
 
     def choose(self, job: Job, candidates: list[int]) -> int:
         """Return the less loaded of two random engines."""
-        drawn = self.rng.sample(candidates, min(2, len(candidates)))
-        return min(drawn, key=lambda one: self.outstanding[one])
+        sampled = self.rng.sample(candidates, min(2, len(candidates)))
+        return min(sampled, key=lambda one: self.outstanding[one])
 
 
 class Affinity(Policy):
--- a/src/snipebend/console/demo.py
+++ b/src/snipebend/console/demo.py
@@ -92,22 +92,22 @@
     async with AsyncExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         control = build_control(_control_settings(folder))
-        await stack.enter_async_context(_running(control))
+        await stack.enter_async_context(_run_process(control))
         address = control.registry.find('grpc', RpcServer).address
         for number in range(_ENGINES):
             engine = await stack.enter_async_context(EmbeddedEngine(_ENGINE))
             agent = build_agent(
                 _agent_settings(f'engine-{number}', address, engine.address),
             )
-            await stack.enter_async_context(_running(agent))
+            await stack.enter_async_context(_run_process(agent))
         entry = build_entry(_entry_settings(address))
-        await stack.enter_async_context(_running(entry))
+        await stack.enter_async_context(_run_process(entry))
         entry_address = entry.registry.find('http', HttpServer).address
         yield DemoCluster(address, entry_address)
 
 
 @asynccontextmanager
-async def _running(process: Process) -> AsyncIterator[Process]:
+async def _run_process(process: Process) -> AsyncIterator[Process]:
     await process.start()
     try:
         yield process
--- a/src/snipebend/console/dump.py
+++ b/src/snipebend/console/dump.py
@@ -40,13 +40,13 @@
     timeout = ClientTimeout(total=TIMEOUT_S)
     try:
         async with ClientSession(timeout=timeout) as session:
-            return Ok(await _read(session, f'http://{address}/dump'))
+            return Ok(await _fetch_text(session, f'http://{address}/dump'))
     except (ClientError, OSError, ValueError) as exc:
         reason = str(exc) or type(exc).__name__
         return Err(UnavailableError(reason, step=_STEP, peer=address))
 
 
-async def _read(session: ClientSession, url: str) -> str:
+async def _fetch_text(session: ClientSession, url: str) -> str:
     async with session.get(url) as response:
         response.raise_for_status()
         return await response.text()
--- a/src/snipebend/console/member_status.py
+++ b/src/snipebend/console/member_status.py
@@ -27,7 +27,7 @@
     storage_error: str
 
 
-def list_members(
+def list_member_statuses(
     replies: dict[str, GroupReply | None],
 ) -> tuple[MemberStatus, ...]:
     """Return the members of the reply with the highest term and commit index.
@@ -38,16 +38,16 @@
     members = _newest_members(received)
     by_id = {reply.member.member_id: reply for reply in received}
     statuses = [
-        _describe(member, by_id.get(member.member_id), 'follower')
+        _make_status(member, by_id.get(member.member_id), 'follower')
         for member in members.voters
     ]
     statuses += [
-        _describe(member, by_id.get(member.member_id), 'learner')
+        _make_status(member, by_id.get(member.member_id), 'learner')
         for member in members.learners
     ]
     known = {status.member_id for status in statuses}
     statuses += [
-        _describe(reply.member, reply, 'joining')
+        _make_status(reply.member, reply, 'joining')
         for member_id, reply in by_id.items()
         if member_id not in known
     ]
@@ -61,7 +61,7 @@
     return newest.members if newest else Members()
 
 
-def _describe(
+def _make_status(
     member: Member, reply: GroupReply | None, role: str
 ) -> MemberStatus:
     if reply is None:
--- a/src/snipebend/console/status.py
+++ b/src/snipebend/console/status.py
@@ -14,7 +14,7 @@
     find_control_addresses,
 )
 from snipebend.console.exit_codes import ExitCode
-from snipebend.console.member_status import MemberStatus, list_members
+from snipebend.console.member_status import MemberStatus, list_member_statuses
 from snipebend.console.map_status import fetch_group_statuses, print_groups
 from snipebend.console.output import print_error, print_json, print_line
 from snipebend.membership.messages import Directory, DirectoryRequest
@@ -44,7 +44,7 @@
     if found.is_err():
         return print_error(found.unwrap_err())
     replies = asyncio.run(call_all(found.unwrap(), GROUP, GroupQuery()))
-    members = list_members(replies)
+    members = list_member_statuses(replies)
     if not args.json:
         _print_members(members)
     shown = call_control(args, SHOW, ShowRequest())
--- a/src/snipebend/standin/expert_load.py
+++ b/src/snipebend/standin/expert_load.py
@@ -39,7 +39,7 @@
         """Count the tokens of one step."""
         self._tokens += count
 
-    def popularity(self, step: int) -> NDArray[np.float64]:
+    def compute_popularity(self, step: int) -> NDArray[np.float64]:
         """Return each expert's share of tokens as layers by experts.
 
         The shares are interpolated between two random permutations; after
@@ -56,7 +56,7 @@
         """Return the counts since the previous call and reset them."""
         picks = self._tokens * self._cfg.experts_per_token
         self._tokens = 0
-        counts = self._rng.multinomial(picks, self.popularity(step))
+        counts = self._rng.multinomial(picks, self.compute_popularity(step))
         return ExpertLoad(step, counts.tolist())
 
     def _shuffle_shares(self, period: int) -> NDArray[np.float64]:
--- a/src/snipebend/standin/generation.py
+++ b/src/snipebend/standin/generation.py
@@ -16,7 +16,7 @@
     CompletionBody,
     Usage,
 )
-from snipebend.standin.http import read_body, send_json, wait_disconnect
+from snipebend.standin.http import read_body, send_json, wait_for_disconnect
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -147,7 +147,7 @@
         req: Request,
         stream: Stream,
     ) -> None:
-        await wait_disconnect(req)
+        await wait_for_disconnect(req)
         self._engine.cancel_stream(stream)
 
 
--- a/src/snipebend/standin/http.py
+++ b/src/snipebend/standin/http.py
@@ -34,7 +34,7 @@
         await super().__call__(scope, receive, send)
 
 
-async def wait_disconnect(req: Request) -> None:
+async def wait_for_disconnect(req: Request) -> None:
     """Return once the caller has disconnected.
 
     The request body must have been read: its events come from the same
--- a/src/snipebend/standin/reporter.py
+++ b/src/snipebend/standin/reporter.py
@@ -55,11 +55,11 @@
 
     def load(self) -> LoadReport:
         """Return the load as of one report lag ago."""
-        return self._loads.visible(self._clock.now())
+        return self._loads.delayed_report(self._clock.now())
 
     def cache_events(self, after: int) -> list[CacheEvent]:
         """Return the published cache events with numbers above ``after``."""
-        return self._feed.after(after, self._clock.now())
+        return self._feed.events_after(after, self._clock.now())
 
     def cache_snapshot(self) -> CacheSnapshot:
         """Return the current contents of the cache."""
--- a/src/snipebend/standin/reports.py
+++ b/src/snipebend/standin/reports.py
@@ -45,10 +45,10 @@
 
 
 class LoadHistory:
-    """Load reports that become visible after a fixed lag."""
+    """Load reports that are published after a fixed lag."""
 
     def __init__(self, first: LoadReport, lag_s: float) -> None:
-        """Start with the report that is visible until another one is."""
+        """Start with the report that is published until the next one is."""
         self._lag_s = lag_s
         self._reports = deque([first])
 
@@ -57,7 +57,7 @@
         self._reports.append(report)
         self._drop_outdated(report.taken_at)
 
-    def visible(self, now: float) -> LoadReport:
+    def delayed_report(self, now: float) -> LoadReport:
         """Return the newest report that is at least one lag old."""
         self._drop_outdated(now)
         return self._reports[0]
@@ -96,7 +96,7 @@
         event = CacheEvent(self.seq, change.kind, change.prefix)
         self._held.append(_DelayedEvent(now + self._lag_s, event))
 
-    def after(self, seq: int, now: float) -> list[CacheEvent]:
+    def events_after(self, seq: int, now: float) -> list[CacheEvent]:
         """Return the events above ``seq`` that are published by ``now``."""
         return [
             held.event
--- a/tests/standin/test_orders.py
+++ b/tests/standin/test_orders.py
@@ -77,18 +77,20 @@
         history = LoadHistory(reports[0], lag_s=2)
         for report in reports[1:]:
             history.add(report)
-        running = [history.visible(now).running for now in (4, 5, 5.5, 9)]
+        running = [
+            history.delayed_report(now).running for now in (4, 5, 5.5, 9)
+        ]
         self.assertEqual(running, [2, 3, 3, 4])
 
     def test_cache_events_are_delayed_and_have_gaps(self) -> None:
         feed = CacheFeed(Random(1), lag_s=1, gap_rate=0.25)
         for now in range(100):
             feed.add(CacheChange('stored', str(now)), now)
-        seqs = [event.seq for event in feed.after(0, 50)]
+        seqs = [event.seq for event in feed.events_after(0, 50)]
         self.assertEqual(seqs, sorted(set(seqs)))
         self.assertLess(len(seqs), seqs[-1])
         self.assertLessEqual(seqs[-1], 50)
-        tail = [event.seq for event in feed.after(seqs[-1], 200)]
+        tail = [event.seq for event in feed.events_after(seqs[-1], 200)]
         self.assertGreater(tail[0], seqs[-1])
         self.assertEqual(feed.seq, 100)
 
@@ -104,5 +106,7 @@
         self.assertEqual(loads[0], loads[1])
         self.assertEqual([sum(row) for row in loads[0].counts], [200, 200, 200])
         self.assertEqual(sum(map(sum, counter.collect(6).counts)), 0)
-        drift = counter.popularity(cfg.drift_steps) - counter.popularity(0)
+        drift = counter.compute_popularity(
+            cfg.drift_steps
+        ) - counter.compute_popularity(0)
         self.assertGreater(abs(drift).max(), 0.05)
