--- a/bench/quick_delivery.py
+++ b/bench/quick_delivery.py
@@ -1,9 +1,9 @@
-"""What sealing is worth: attempts and unknown outcomes under fixed faults.
+"""Bounds attempts and unknown outcomes under faults, with and without seals.
 
 The schedules are those of the delivery tests, with a mix of 3% lost, 2% late
-and 3% doubled messages, and crashes. The baseline gets no answer to a seal, as
-if an entry had to guess; all else is the same. Only work that may not be
-repeated counts. Seeded, hence exact.
+and 3% duplicated messages, and crashes. The baseline is the same except that
+seals get no reply, as if an entry had to guess. Only work that may not be
+repeated is counted. The schedules are seeded, so that the figures are exact.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 from snipebend.delivery.outcomes import Outcome
 from tests.delivery.checks import find_faults
-from tests.delivery.pieces import Mix
+from tests.delivery.pieces import FaultRates
 from tests.delivery.world import World
 
 if TYPE_CHECKING:
-    from tests.delivery.pieces import Sending
+    from tests.delivery.pieces import SentRequest
 
 SCHEDULES = 400
 STEPS = 200
-MIX = Mix(
+MIX = FaultRates(
     lost=0.03,
     late=0.02,
     doubled=0.03,
     unsent=0.02,
     broken=0.02,
-    chaos=0.06,
+    process_faults=0.06,
     no_upstream=0.02,
     max_records=(8, 128),
 )
 
 
-class Tally(NamedTuple):
-    """Counts over all schedules of one variant."""
+class Totals(NamedTuple):
+    """Counts of a variant over all schedules."""
 
     requests: int
     attempts: int
@@ -44,9 +44,9 @@
 
 
 def measure() -> dict[str, float]:
-    """Return shares and attempts per request, with seals and without."""
-    with_seal = _tally(MIX)
-    without = _tally(MIX._replace(seals_answered=False))
+    """Return shares and attempts per request with and without seals."""
+    with_seal = _run_schedules(MIX)
+    without = _run_schedules(MIX._replace(seals_answered=False))
     unknown_share = with_seal.unknown / with_seal.requests
     unknown_share_no_seal = without.unknown / without.requests
     return {
@@ -62,20 +62,20 @@
     }
 
 
-def _tally(mix: Mix) -> Tally:
-    sendings: list[Sending] = []
+def _run_schedules(mix: FaultRates) -> Totals:
+    sendings: list[SentRequest] = []
     faults = 0
     for seed in range(SCHEDULES):
         world = World(seed, mix)
-        world.play(STEPS)
+        world.run_schedule(STEPS)
         faults += len(find_faults(world))
         sendings.extend(
             sending
-            for sending in world.sendings
+            for sending in world.sent_requests
             if sending.finals and not sending.work.repeatable
         )
     outcomes = [_outcome_of(sending) for sending in sendings]
-    return Tally(
+    return Totals(
         requests=len(sendings),
         attempts=sum(len(sending.conns) for sending in sendings),
         unknown=outcomes.count(Outcome.UNKNOWN),
@@ -84,8 +84,8 @@
     )
 
 
-def _outcome_of(sending: Sending) -> Outcome | None:
-    """Return what the caller was told, None with a whole answer."""
+def _outcome_of(sending: SentRequest) -> Outcome | None:
+    """Return the outcome sent to the caller; ``None`` if it was answered."""
     return getattr(sending.finals[0], 'outcome', None)
 
 
--- a/tests/balancing/test_demand_shifts.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -8,7 +8,7 @@
 
 from snipebend.experts.group_pass_times import GroupPassTimes
 from tests.balancing.group_model import Leader, ModelGroup, GroupShape
-from tests.virtual_time import LoopClock, run_virtually
+from tests.virtual_time import LoopClock, run_in_virtual_time
 
 SHAPES = (
     GroupShape(8, 6, 64, 11, 1.0),
@@ -41,7 +41,7 @@
 def run_scenario(main):
     """Run on virtual time, in which a map search takes no time."""
     with mock.patch('asyncio.to_thread', _run_inline):
-        return run_virtually(main)
+        return run_in_virtual_time(main)
 
 
 class Scenario:
--- a/tests/balancing/test_large_switch.py
+++ b/tests/balancing/test_large_switch.py
@@ -30,7 +30,7 @@
 from snipebend.balancing.group_observer import GroupSnapshot
 from snipebend.balancing.order_dispatcher import OrderDispatcher
 from snipebend.balancing.switch_driver import SwitchDriver
-from tests.virtual_time import LoopClock, run_virtually
+from tests.virtual_time import LoopClock, run_in_virtual_time
 
 SIZES = (16, 72, 192, 256)
 #: Bandwidths of known leader links, in bits per second.
@@ -176,7 +176,7 @@
         for ranks in SIZES[:-1]:
             with self.subTest(ranks=ranks):
                 engines = Engines(ranks, WIDE_LINK_BPS)
-                phase, took_s = run_virtually(switch(engines))
+                phase, took_s = run_in_virtual_time(switch(engines))
                 self.assertIs(phase, Phase.GO_ACCEPTED)
                 self.assertLess(took_s, FETCH_S + MAX_OVERHEAD_S)
                 self._check_once(engines)
@@ -186,28 +186,28 @@
         for ranks in SIZES:
             with self.subTest(ranks=ranks):
                 engines = Engines(ranks, NARROW_LINK_BPS)
-                phase, took_s = run_virtually(switch(engines))
+                phase, took_s = run_in_virtual_time(switch(engines))
                 self.assertIs(phase, Phase.GO_ACCEPTED)
                 bytes_s = 130 * ranks**2 / (NARROW_LINK_BPS / 8)
                 self.assertLess(took_s, bytes_s + FETCH_S + MAX_OVERHEAD_S)
                 self._check_once(engines)
 
     def test_uniform_short_timeout_is_detected(self):
-        phase, _ = run_virtually(
+        phase, _ = run_in_virtual_time(
             switch(ShortTimeoutEngines(192, WIDE_LINK_BPS))
         )
         self.assertIs(phase, Phase.PREPARING)
 
     def test_a_slow_rank(self):
         engines = Engines(192, WIDE_LINK_BPS, slow={7})
-        phase, took_s = run_virtually(switch(engines))
+        phase, took_s = run_in_virtual_time(switch(engines))
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, FETCH_S + MAX_OVERHEAD_S)
         self._check_once(engines)
 
     def test_unresponsive_rank_is_retried(self):
         engines = Engines(192, WIDE_LINK_BPS, unresponsive_until=0.4)
-        phase, took_s = run_virtually(switch(engines))
+        phase, took_s = run_in_virtual_time(switch(engines))
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, 0.4 + FETCH_S + MAX_OVERHEAD_S)
         self.assertGreater(engines.order_counts['Prepare', 5], 1)
@@ -215,7 +215,7 @@
 
     def test_lost_replies(self):
         engines = Engines(192, WIDE_LINK_BPS, lost=0.1)
-        phase, took_s = run_virtually(switch(engines))
+        phase, took_s = run_in_virtual_time(switch(engines))
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(took_s, FETCH_S + 2 * MAX_OVERHEAD_S)
 
@@ -231,7 +231,7 @@
             phase, at = await switch(engines)
             return sent, phase, at
 
-        sent, phase, at = run_virtually(crash_leader())
+        sent, phase, at = run_in_virtual_time(crash_leader())
         self.assertLess(sent, 192)
         self.assertIs(phase, Phase.GO_ACCEPTED)
         self.assertLess(at, CRASH_AT_S + FETCH_S + MAX_OVERHEAD_S)
@@ -245,7 +245,7 @@
 
     def test_only_relevant_ranks_are_polled(self):
         engines = Engines(192, WIDE_LINK_BPS)
-        run_virtually(switch(engines))
+        run_in_virtual_time(switch(engines))
         self.assertLess(engines.reports, 10)
 
     def _check_once(self, engines, except_rank=None):
