--- a/tests/programs.py
+++ b/tests/programs.py
@@ -111,7 +111,11 @@
 
 
 async def start_daemon(
-    kind: str, folder: Path, name: str, toml: str
+    kind: str,
+    folder: Path,
+    name: str,
+    toml: str,
+    environment: dict[str, str] | None = None,
 ) -> Program:
     """Write the settings, start ``snipebend-<kind>`` and wait for it."""
     ports = folder / f'{name}.ports.json'
@@ -121,7 +125,9 @@
         toml.replace('[listen]', f'[listen]\nports_file = "{ports}"'),
         encoding='utf-8',
     )
-    program = await start_module(f'snipebend.daemons.{kind}', str(settings))
+    program = await start_module(
+        f'snipebend.daemons.{kind}', str(settings), environment=environment
+    )
     await program.wait_started(ports)
     return program
 
@@ -157,7 +163,12 @@
     return json.dumps(addresses.split(','))
 
 
-async def start_standin(folder: Path, name: str, *arguments: str) -> Program:
+async def start_standin(
+    folder: Path,
+    name: str,
+    *arguments: str,
+    environment: dict[str, str] | None = None,
+) -> Program:
     """Start a stand-in engine or service; its address is ``http``."""
     port_file = folder / f'{name}.port'
     program = await start_module(
@@ -165,6 +176,7 @@
         '--port-file',
         str(port_file),
         *arguments,
+        environment=environment,
     )
     port = await asyncio.wait_for(_read_port(program, port_file), PATIENCE_S)
     program.addresses = {'http': f'127.0.0.1:{port}'}
