--- a/tests/programs.py
+++ b/tests/programs.py
@@ -128,7 +128,11 @@
     program = await start_module(
         f'snipebend.daemons.{kind}', str(settings), environment=environment
     )
-    await program.wait_started(ports)
+    try:
+        await program.wait_started(ports)
+    except BaseException:
+        await program.kill()
+        raise
     return program
 
 
@@ -178,7 +182,13 @@
         *arguments,
         environment=environment,
     )
-    port = await asyncio.wait_for(_read_port(program, port_file), PATIENCE_S)
+    try:
+        port = await asyncio.wait_for(
+            _read_port(program, port_file), PATIENCE_S
+        )
+    except BaseException:
+        await program.kill()
+        raise
     program.addresses = {'http': f'127.0.0.1:{port}'}
     return program
 
--- a/tests/upgrades/__main__.py
+++ b/tests/upgrades/__main__.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from tests.upgrades.builds import Build
-from tests.upgrades.checking import check_all, write_all
+from tests.upgrades.checking import STEPS, check_all, write_all
 from tests.upgrades.reporting import Report
 
 
@@ -30,7 +30,7 @@
     check.add_argument('new', type=Path, help='checkout of the new build')
     check.add_argument('--data', type=Path, help='what write has written')
     check.add_argument(
-        '--only', nargs='+', metavar='STEP', help='run only these'
+        '--only', nargs='+', choices=STEPS, help='run only these'
     )
     return parser
 
--- a/tests/upgrades/builds.py
+++ b/tests/upgrades/builds.py
@@ -5,6 +5,7 @@
 import asyncio
 import os
 import sys
+import tempfile
 from pathlib import Path
 from typing import NamedTuple
 
@@ -34,7 +35,12 @@
     def environment(self) -> dict[str, str]:
         """Return what makes a program load this checkout."""
         parts = (self.checkout / 'src', self.checkout / 'platform')
-        return {'PYTHONPATH': os.pathsep.join(map(str, parts))}
+        compiled = Path(tempfile.gettempdir()) / 'upgrades-compiled'
+        return {
+            'PYTHONPATH': os.pathsep.join(map(str, parts)),
+            # Nothing is written into a checkout.
+            'PYTHONPYCACHEPREFIX': str(compiled),
+        }
 
     async def start_daemon(
         self, kind: str, folder: Path, name: str, toml: str
--- a/tests/upgrades/checking.py
+++ b/tests/upgrades/checking.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING
 
+from tests.upgrades.check_console import check_console
 from tests.upgrades.check_data import (
     check_control_data,
     check_examples,
@@ -11,6 +12,8 @@
     check_templates,
 )
 from tests.upgrades.check_mixed import check_mixed
+from tests.upgrades.check_platform import check_platform
+from tests.upgrades.check_requests import check_requests
 from tests.upgrades.check_rolling import check_rolling
 from tests.upgrades.data_folder import DataFolder
 from tests.upgrades.write_data import write_control, write_platform
@@ -22,6 +25,19 @@
     from tests.upgrades.builds import Build
     from tests.upgrades.reporting import Report
 
+#: The steps by the names under which they are run alone.
+STEPS = (
+    'data-control',
+    'data-platform',
+    'templates',
+    'examples',
+    'mixed',
+    'rolling',
+    'console',
+    'requests',
+    'platform',
+)
+
 
 async def write_all(old: Build, folder: Path, report: Report) -> None:
     """Write all data of the old build into a new folder."""
@@ -45,15 +61,18 @@
         data = folder / 'written'
         await write_all(old, data, report)
     kept = DataFolder(data)
-    steps = {
-        'data-control': lambda: check_control_data(new, kept, folder, report),
-        'data-platform': lambda: check_platform_data(new, kept, folder, report),
-        'templates': lambda: check_templates(old, new, folder, report),
-        'examples': lambda: check_examples(old, new, report),
-        'mixed': lambda: check_mixed(old, new, folder, report),
-        'rolling': lambda: check_rolling(old, new, folder, report),
-    }
-    for name, run in steps.items():
+    runs = (
+        lambda: check_control_data(new, kept, folder, report),
+        lambda: check_platform_data(new, kept, folder, report),
+        lambda: check_templates(old, new, folder, report),
+        lambda: check_examples(old, new, report),
+        lambda: check_mixed(old, new, folder, report),
+        lambda: check_rolling(old, new, folder, report),
+        lambda: check_console(old, new, folder, report),
+        lambda: check_requests(old, new, folder, report),
+        lambda: check_platform(old, new, folder, report),
+    )
+    for name, run in zip(STEPS, runs, strict=True):
         if not only or name in only:
             await run()
 
--- a/tests/upgrades/comparing.py
+++ b/tests/upgrades/comparing.py
@@ -22,6 +22,8 @@
         'news_age_s',
         'caught_up',
         'complete',
+        # Grows while upstreams are announced again and again.
+        'sequence',
         'ready',
         # Follow from who leads: its coordinators, its tasks, its groups.
         'experts',
--- a/tests/upgrades/control_group.py
+++ b/tests/upgrades/control_group.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-import asyncio
 import json
 import signal
 from contextlib import asynccontextmanager
 from functools import partial
+from itertools import count
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from tests.programs import head
 from tests.upgrades import paths
 from tests.upgrades.addresses import fresh_host, free_ports
-from tests.upgrades.waiting import until
+from tests.upgrades.waiting import all_of, until
 from tests.upgrades.wire import call
 
 if TYPE_CHECKING:
@@ -53,8 +53,8 @@
         self.place = place
         self.builds = dict(builds)
         self.programs: dict[str, Program] = {}
-        #: How often all has been read: announcements are numbered by it.
-        self.rounds = 0
+        #: Numbers the announcements, which must grow at each daemon.
+        self.announced = count(1)
 
     def address(self, name: str) -> str:
         """Return a daemon's gRPC address."""
@@ -70,8 +70,7 @@
 
     async def start(self, *names: str) -> None:
         """Start daemons and wait until a quorum has confirmed their state."""
-        started = await asyncio.gather(*map(self._start, names))
-        self.programs.update(zip(names, started, strict=True))
+        await all_of(map(self._start, names))
         for name in names:
             look = partial(self.confirmed, name)
             await until(f'{name} in its group', look)
@@ -150,10 +149,10 @@
         fields = {'group': 'hand-over', 'holder': name, 'lease_until': 0}
         await call(self.address(name), paths.TAKE_FENCE, fields)
 
-    async def _start(self, name: str) -> Program:
+    async def _start(self, name: str) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
         toml = control_toml(name, self.folder, self.place)
-        return await self.builds[name].start_daemon(
+        self.programs[name] = await self.builds[name].start_daemon(
             'control', self.folder, name, toml
         )
 
--- a/tests/upgrades/platform_group.py
+++ b/tests/upgrades/platform_group.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 from contextlib import asynccontextmanager
 from functools import partial
 from typing import TYPE_CHECKING, Any
@@ -12,7 +11,7 @@
 
 from tests.upgrades.reading import read_dump
 from tests.upgrades.templates import PlatformPlace, fill
-from tests.upgrades.waiting import until
+from tests.upgrades.waiting import all_of, until
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Mapping
@@ -55,8 +54,8 @@
 
     async def start_controls(self, builds: Mapping[str, Build]) -> None:
         """Start control daemons, and wait until they know their group."""
-        await asyncio.gather(
-            *(self.start('control', host, one) for host, one in builds.items())
+        await all_of(
+            self.start('control', host, one) for host, one in builds.items()
         )
         for host in builds:
             look = partial(self.in_group, host)
@@ -100,20 +99,26 @@
 
     async def ask(self, host: str, path: str) -> tuple[int, bytes]:
         """Send a request to an entry until it is served."""
+
+        async def once() -> tuple[int, bytes] | None:
+            return await self.ask_once(host, path, OK)
+
+        return await until(f'{path} through {host}', once)
+
+    async def ask_once(
+        self, host: str, path: str, status: int
+    ) -> tuple[int, bytes] | None:
+        """Send a request to an entry; return the answer of that status."""
         headers = {
             'Host': HOST,
             'Snipebend-Attempt-Id': f'r-{host}',
             'Snipebend-Credential': 'key',
         }
         url = f'http://{host}:{self.place.callers}{path}'
-
-        async def once() -> tuple[int, bytes] | None:
-            async with self._session.post(url, headers=headers) as resp:
-                if resp.status != OK:
-                    return None
-                return resp.status, await resp.read()
-
-        return await until(f'{path} through {host}', once)
+        async with self._session.post(url, headers=headers) as resp:
+            if resp.status != status:
+                return None
+            return resp.status, await resp.read()
 
     async def close(self) -> None:
         """End what still runs."""
--- a/tests/upgrades/reading.py
+++ b/tests/upgrades/reading.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
+from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, Any
 
 from aiohttp import ClientSession
@@ -14,12 +16,16 @@
 from tests.upgrades.wire import call, feed, first
 
 if TYPE_CHECKING:
+    from collections.abc import AsyncIterator, Iterator
     from pathlib import Path
 
     from tests.upgrades.builds import Build
     from tests.upgrades.contents import Request
     from tests.upgrades.control_group import ControlGroup
 
+#: Seconds between two announcements, as agents make them.
+ANNOUNCE_EVERY_S = 0.3
+
 
 def lookups(part: str) -> list[Request]:
     """Return requests that any daemon answers, and that change nothing."""
@@ -62,28 +68,31 @@
     """Return one daemon's answer to every read."""
     address = group.address(name)
     answers: dict[str, Any] = {}
-    answers['announce'] = await _announce(address, parts, 2 * group.rounds)
     for part in parts:
         for req in lookups(part):
             answers[req.name] = await call(address, req.path, req.fields)
-    answers['show'] = await call(address, paths.SHOW, {})
     answers['hello'] = await call(address, paths.HELLO, {'name': 'upgrade'})
     answers['group'] = await call(address, paths.DESCRIBE, {})
-    watch = {'process': 'upgrade', 'revision': 0, 'full': True}
-    answers['watch'] = await first(address, paths.WATCH, watch)
-    watch = {'process': 'upgrade', 'revision': 1, 'full': False}
-    answers['watch-delta'] = await first(address, paths.WATCH, watch)
-    # Announcements are forgotten within seconds: told again, then listed.
-    await _announce(address, parts, 2 * group.rounds + 1)
+    for revision in (0, 1):
+        watch = {'process': '', 'revision': revision, 'full': not revision}
+        told = await first(address, paths.WATCH, watch)
+        answers[f'watch after {revision}'] = told
+    async with announcing(address, parts, group.announced):
+        answers.update(await _read_announced(address, asker))
+        answers['dump'] = await read_dump(group.admin(name))
+    return {asked: still(answer) for asked, answer in answers.items()}
+
+
+async def _read_announced(address: str, asker: Build) -> dict[str, Any]:
+    """Return the answers that tell of upstreams."""
     asked = {'process': 'upgrade', 'revision': 0}
-    answers['directory'] = await call(address, paths.DIRECTORY, asked)
-    answers['directory-delta'] = await first(
-        address, paths.WATCH_DIRECTORY, asked
-    )
-    answers['status'] = await _console(asker, 'status', '--control', address)
-    answers['shown'] = await _console(asker, 'show', '--control', address)
-    answers['dump'] = await read_dump(group.admin(name))
-    return {name: still(answer) for name, answer in answers.items()}
+    return {
+        'show': await call(address, paths.SHOW, {}),
+        'directory': await call(address, paths.DIRECTORY, asked),
+        'directory-delta': await first(address, paths.WATCH_DIRECTORY, asked),
+        'status': await _console(asker, 'status', '--control', address),
+        'shown': await _console(asker, 'show', '--control', address),
+    }
 
 
 async def read_leader(
@@ -139,7 +148,6 @@
     asker: Build,
 ) -> dict[str, Any]:
     """Return all answers of all daemons, by daemon."""
-    group.rounds += 1
     answers = {'leader': await read_leader(group, parts)}
     for name in group.programs:
         changes = await read_changes(group, name, parts, examples)
@@ -149,13 +157,35 @@
     return answers
 
 
-async def _announce(address: str, parts: tuple[str, ...], number: int) -> Any:
-    announced = [
-        told
+@asynccontextmanager
+async def announcing(
+    address: str, parts: tuple[str, ...], numbers: Iterator[int]
+) -> AsyncIterator[None]:
+    """Announce upstreams all the time: they are forgotten within seconds."""
+    await _announce(address, parts, next(numbers))
+    task = asyncio.create_task(_announce_on(address, parts, numbers))
+    try:
+        yield
+    finally:
+        task.cancel()
+        await asyncio.wait((task,))
+
+
+async def _announce_on(
+    address: str, parts: tuple[str, ...], numbers: Iterator[int]
+) -> None:
+    while True:
+        await asyncio.sleep(ANNOUNCE_EVERY_S)
+        await _announce(address, parts, next(numbers))
+
+
+async def _announce(address: str, parts: tuple[str, ...], number: int) -> None:
+    told = [
+        announcement
         for part in parts
-        for told in contents.announcements_of(part, number)
+        for announcement in contents.announcements_of(part, number)
     ]
-    return await feed(address, paths.ANNOUNCE, announced)
+    await feed(address, paths.ANNOUNCE, told)
 
 
 async def _console(asker: Build, command: str, *arguments: str) -> Any:
--- a/tests/upgrades/waiting.py
+++ b/tests/upgrades/waiting.py
@@ -11,7 +11,7 @@
 from tests.programs import PATIENCE_S
 
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
+    from collections.abc import Awaitable, Callable, Iterable
 
 Found = TypeVar('Found')
 
@@ -36,3 +36,11 @@
             last = found
         await asyncio.sleep(POLL_S)
     raise TimeoutError(f'{what}: not in time, last {last!r}')
+
+
+async def all_of(starting: Iterable[Awaitable[None]]) -> None:
+    """Wait until all have started or failed; raise the first failure."""
+    ended = await asyncio.gather(*starting, return_exceptions=True)
+    for end in ended:
+        if end is not None:
+            raise end
