--- a/src/snipebend/transport/admin.py
+++ b/src/snipebend/transport/admin.py
@@ -1,8 +1,9 @@
 """The administrative HTTP interface of every daemon.
 
-``/healthz`` answers while the process lives, ``/readyz`` tells the platform's
-balancer whether to send new work, ``/metrics`` is for scraping and ``/dump``
-is the process's state as JSON.
+``/healthz`` responds while the process runs, ``/readyz`` reports to the load
+balancer of the platform whether to send new work, ``/metrics`` is for scraping
+and ``/dump``
+returns the state of the process as JSON.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 class _Healthz:
-    """Liveness."""
+    """Serves the liveness check."""
 
     async def on_get(self, req: Request, resp: Response) -> None:
         resp.content_type = falcon.MEDIA_TEXT
@@ -31,7 +32,7 @@
 
 
 class _Readyz:
-    """Readiness."""
+    """Serves the readiness check."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
@@ -46,7 +47,7 @@
 
 
 class _Metrics:
-    """OpenTelemetry metrics in the text format for scraping."""
+    """Serves the OpenTelemetry metrics in the Prometheus text format."""
 
     async def on_get(self, req: Request, resp: Response) -> None:
         resp.content_type = CONTENT_TYPE_LATEST
@@ -54,7 +55,7 @@
 
 
 class _Dump:
-    """The state of every service of the process."""
+    """Serves the state of every service of the process."""
 
     def __init__(self, dump: Callable[[], dict[str, object]]) -> None:
         self._dump = dump
--- a/src/snipebend/transport/announcer.py
+++ b/src/snipebend/transport/announcer.py
@@ -1,4 +1,4 @@
-"""The agent's announcements of its upstream to every control daemon."""
+"""Announces the upstream of an agent to every control daemon."""
 
 from __future__ import annotations
 
@@ -28,12 +28,13 @@
     from snipebend.kernel.registry import Registry
     from snipebend.settings.model import AgentSettings
 
-#: Seconds that a leaving agent waits for the control daemons to hear it.
-LEAVE_PATIENCE_S = 1.0
+#: Seconds that a draining agent waits until it has sent the control daemons
+#: the announcement that it is leaving.
+LEAVE_TIMEOUT_S = 1.0
 
 
 class Announcer(Service):
-    """Announces the upstream until it has left."""
+    """Announces the upstream periodically until the agent stops."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         cfg: AgentSettings,
         clients: RpcClients,
     ) -> None:
-        """Keep the settings."""
+        """Initialize with the upstream in the serving phase."""
         super().__init__(name)
         self._cfg = cfg
         self._control: Sequence[str] = cfg.control.addresses
@@ -49,11 +50,11 @@
         self._phase = Phase.SERVING
         self._sequence = 0
         self._wake = asyncio.Event()
-        self._told = 0
-        self._all_told = asyncio.Event()
+        self._notified = 0
+        self._all_notified = asyncio.Event()
 
     async def start(self, registry: Registry) -> None:
-        """Find what is announced and begin."""
+        """Look up the announced services and start the announcements."""
         self._http = registry.find('http', HttpServer)
         self._grpc = registry.find('grpc', RpcServer)
         self._relay = registry.find('relay', UpstreamRelay)
@@ -70,18 +71,18 @@
             )
 
     async def drain(self) -> None:
-        """Tell the control daemons at once that the upstream is leaving.
+        """Notify the control daemons immediately that the upstream is leaving.
 
-        A daemon that can't be reached isn't waited for: the lease of the
-        announcement ends there by itself.
+        Waits at most ``LEAVE_TIMEOUT_S``: an unreachable daemon drops the
+        upstream once the lease of the announcement expires there.
         """
         self._phase = Phase.LEAVING
         self._wake.set()
         try:
-            async with asyncio.timeout(LEAVE_PATIENCE_S):
-                await self._all_told.wait()
+            async with asyncio.timeout(LEAVE_TIMEOUT_S):
+                await self._all_notified.wait()
         except TimeoutError:
-            logger.warning('event=leaving_untold told={}', self._told)
+            logger.warning('event=leaving_untold told={}', self._notified)
 
     async def _announce_to(self, peer: str) -> None:
         while True:
@@ -94,35 +95,35 @@
     async def _announcements(self) -> AsyncIterator[Announcement]:
         while True:
             self._sequence += 1
-            announcement = self._compose()
+            announcement = self._build_announcement()
             yield announcement
             if announcement.phase is Phase.LEAVING:
-                self._count_told()
-            await self._pause()
+                self._count_notified()
+            await self._wait_for_next()
 
-    def _count_told(self) -> None:
-        self._told += 1
-        if self._told >= len(self._control):
-            self._all_told.set()
+    def _count_notified(self) -> None:
+        self._notified += 1
+        if self._notified >= len(self._control):
+            self._all_notified.set()
 
-    async def _pause(self) -> None:
-        """Wait for the next turn, which a change of phase brings forward."""
-        span = self._cfg.upstream.report_every_s
+    async def _wait_for_next(self) -> None:
+        """Wait until the next announcement is due; leaving ends the wait."""
+        interval_s = self._cfg.upstream.report_every_s
         if self._phase is Phase.LEAVING:
-            await asyncio.sleep(span)
+            await asyncio.sleep(interval_s)
             return
         try:
-            async with asyncio.timeout(span):
+            async with asyncio.timeout(interval_s):
                 await self._wake.wait()
         except TimeoutError:
             return
 
-    def _present_phase(self) -> Phase:
+    def _current_phase(self) -> Phase:
         if self._phase is Phase.SERVING and self._probe.is_down():
             return Phase.DOWN
         return self._phase
 
-    def _compose(self) -> Announcement:
+    def _build_announcement(self) -> Announcement:
         return Announcement(
             upstream=self._cfg.process.name,
             policy=self._cfg.upstream.policy,
@@ -131,7 +132,7 @@
             grpc_address=self._cfg.listen.public_grpc or self._grpc.address,
             incarnation=self._relay.incarnation,
             sequence=self._sequence,
-            phase=self._present_phase(),
+            phase=self._current_phase(),
             running=self._relay.running,
             revision=self._configuration.revision,
             kv_use=self._load.kv_use,
--- a/src/snipebend/transport/completion_body.py
+++ b/src/snipebend/transport/completion_body.py
@@ -1,6 +1,6 @@
-"""The body of an OpenAI-style completion call, as far as the entry checks it.
+"""Parses the checked members of an OpenAI-style completion body.
 
-Members that the entry doesn't know go through to the engine unread.
+Members that the entry does not know are forwarded to the engine unchecked.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from snipebend.transport.problems import Problem
 
-#: Bound on ``max_tokens``; no engine of ours answers longer.
+#: Limit of ``max_tokens``; no engine of the fleet generates more.
 MAX_TOKENS = 1_000_000
 
 _AT_PATH = re.compile(r' - at `\$\.?([^`]*)`$')
@@ -32,7 +32,7 @@
 
 
 class CompletionBody(Struct, frozen=True):
-    """What routing needs of a completion call."""
+    """The members of a completion call that routing uses."""
 
     model: Annotated[str, Meta(min_length=1)]
     prompt: Prompt | None = None
@@ -43,20 +43,20 @@
 
     @property
     def text(self) -> str:
-        """Return the text whose prefix engines may have cached."""
+        """Return the prompt text for matching cached prefixes."""
         if self.messages is not None:
-            return '\n'.join(map(_line, self.messages))
+            return '\n'.join(map(_format_message, self.messages))
         return self.prompt if isinstance(self.prompt, str) else ''
 
 
 class ChatBody(CompletionBody, frozen=True, kw_only=True):
-    """A chat's body, which can't do without messages."""
+    """The body of a chat completion; requires messages."""
 
     messages: list[Message] | None
 
 
 class TextBody(CompletionBody, frozen=True, kw_only=True):
-    """A plain completion's body, which can't do without a prompt."""
+    """The body of a text completion; requires a prompt."""
 
     prompt: Prompt | None
 
@@ -64,7 +64,7 @@
 _TEXT_PATH = '/v1/completions'
 _CHAT_PATH = '/v1/chat/completions'
 
-#: The paths whose bodies these are.
+#: The paths that accept these bodies.
 COMPLETION_PATHS = frozenset((_TEXT_PATH, _CHAT_PATH))
 
 _TEXT_DECODER = Decoder(TextBody)
@@ -72,7 +72,7 @@
 
 
 def parse_completion(path: str, body: bytes) -> Result[CompletionBody, Problem]:
-    """Check a body; the problem names the member that is wrong."""
+    """Parse a body; the problem names the invalid member."""
     try:
         if path == _CHAT_PATH:
             return Ok(_CHAT_DECODER.decode(body))
@@ -83,7 +83,7 @@
         return Err(_NOT_JSON)
 
 
-def _line(message: Message) -> str:
+def _format_message(message: Message) -> str:
     return f'{message.get("role")}: {message.get("content")}'
 
 
--- a/src/snipebend/transport/events.py
+++ b/src/snipebend/transport/events.py
@@ -1,4 +1,4 @@
-"""Cutting a server-sent event stream into its events (WHATWG HTML, 9.2)."""
+"""Splits server-sent event streams into events (WHATWG HTML, 9.2)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 MEDIA_EVENTS = 'text/event-stream'
 
-#: An event beyond this many bytes means that the stream is damaged.
+#: A larger event, in bytes, means that the stream is corrupt.
 MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 _DONE = re.compile(rb'^data: ?\[DONE\]\r?$', re.MULTILINE)
@@ -15,26 +15,26 @@
 
 
 class EventBuffer:
-    """Cuts arriving bytes into events, each with its closing blank line."""
+    """Splits received bytes into events with their closing blank lines."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize with an empty buffer."""
         self._buffer = b''
 
     @property
     def partial(self) -> bool:
-        """Tell whether the start of an event waits for its rest."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def rest(self) -> bytes:
-        """Return the bytes behind the last event."""
+        """Return the bytes after the last complete event."""
         return self._buffer
 
     def feed(self, received: bytes) -> list[bytes]:
-        """Return the events that are complete now.
+        """Add received bytes and return the events that they complete.
 
         Raises:
-            ValueError: when one event grows beyond all bounds.
+            ValueError: if an incomplete event exceeds ``MAX_EVENT_BYTES``.
         """
         buffer = self._buffer + received if self._buffer else received
         events: list[bytes] = []
@@ -49,15 +49,15 @@
 
 
 def is_done(event: bytes) -> bool:
-    """Tell whether an event closes a complete stream."""
+    """Return whether an event ends a complete stream."""
     return b'[DONE]' in event and _DONE.search(event) is not None
 
 
 def is_error(event: bytes) -> bool:
-    """Tell whether an event says that the stream failed."""
+    """Return whether an event reports that the stream failed."""
     return event.startswith(b'event') and _ERROR.search(event) is not None
 
 
 def is_comment(event: bytes) -> bool:
-    """Tell whether an event carries nothing but a comment."""
+    """Return whether an event contains only a comment."""
     return event.startswith(b':')
--- a/src/snipebend/transport/frames.py
+++ b/src/snipebend/transport/frames.py
@@ -1,9 +1,10 @@
-"""The frames in which an agent's answer travels to the entry.
+"""Encodes and decodes the frames of responses from agents to entries.
 
-Every answer, streamed or whole, goes as a body of frames: a length of four
-bytes, big-endian, and a MessagePack record. The agent says at once that it
-has admitted the attempt, then beats while the engine is quiet, and closes
-with :class:`End`; a body without it is incomplete, however it ended.
+Every response, streamed or not, is a body of frames: a length of four bytes,
+big-endian, and a MessagePack record. The agent immediately confirms that it
+has admitted the attempt, sends heartbeats while the engine sends nothing, and
+ends with :class:`End`; a body without it is incomplete, even if HTTP reports
+no error.
 """
 
 from __future__ import annotations
@@ -16,28 +17,28 @@
 
 MEDIA_FRAMES = 'application/x-snipebend-frames'
 
-#: Frames beyond 16 MiB mean that the stream is damaged.
+#: Frames above 16 MiB mean that the stream is corrupt.
 MAX_FRAME_BYTES = 0x1000000
 
 _LENGTH = struct.Struct('>I')
 
 
 class Accepted(Struct, frozen=True, tag=True):
-    """The attempt was admitted and is on its way to the upstream."""
+    """The attempt was admitted and is being sent to the upstream."""
 
     request_id: str
     attempt: int
 
 
 class Declined(Struct, frozen=True, tag=True):
-    """The attempt isn't started."""
+    """The agent refused to start the attempt."""
 
     attempt: int
     reason: RefusalReason
 
 
 class Head(Struct, frozen=True, tag=True):
-    """Status and headers of the upstream's answer."""
+    """Status and headers of the upstream's response."""
 
     attempt: int
     status: int
@@ -45,10 +46,10 @@
 
 
 class Chunk(Struct, frozen=True, tag=True):
-    """One piece of the body: a whole event of a stream, or some bytes.
+    """One chunk of the body: a complete event of a stream, or some bytes.
 
-    ``seq`` counts from 0 in the whole answer; a resumed attempt goes on where
-    the former one stopped.
+    ``seq`` counts from 0 over the complete response; a resumed attempt
+    continues where the previous one stopped.
     """
 
     attempt: int
@@ -57,22 +58,22 @@
 
 
 class Beat(Struct, frozen=True, tag=True):
-    """A sign of life while the upstream is quiet."""
+    """A heartbeat while the upstream sends nothing."""
 
 
 class End(Struct, frozen=True, tag=True):
-    """The answer is complete; ``next_seq`` is one past its last chunk."""
+    """The response is complete; ``next_seq`` is one past its last chunk."""
 
     attempt: int
     next_seq: int
 
 
 class Broken(Struct, frozen=True, tag=True):
-    """The upstream failed; the answer won't get complete.
+    """The upstream failed; the response remains incomplete.
 
-    ``ran`` tells whether it may have begun the work, ``died`` that it is gone
-    since: nothing listens at its address; ``alone`` that nothing else ran there
-    when it died.
+    ``ran``: the upstream may have begun the work. ``died``: its address now
+    refuses connections. ``alone``: no other attempt was running there when it
+    died.
     """
 
     attempt: int
@@ -89,27 +90,27 @@
 
 
 class FrameError(ValueError):
-    """Bytes that are no frame."""
+    """The received bytes are not a valid frame."""
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of one frame."""
+    """Encode one frame with its length."""
     record = _ENCODER.encode(frame)
     return _LENGTH.pack(len(record)) + record
 
 
 class FrameBuffer:
-    """Cuts arriving bytes into frames."""
+    """Splits received bytes into frames."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize with an empty buffer."""
         self._buffer = bytearray()
 
     def feed(self, received: bytes) -> list[Frame]:
-        """Return the frames that are complete now.
+        """Add received bytes and return the frames that they complete.
 
         Raises:
-            FrameError: when the bytes are no frames.
+            FrameError: if a frame is too long or cannot be decoded.
         """
         self._buffer += received
         frames: list[Frame] = []
@@ -120,13 +121,15 @@
                 break
             frames.append(_decode(self._buffer[start + _LENGTH.size : end]))
             start = end
-        del self._buffer[:start]  # noqa: WPS420  # the cheap way to cut
+        del self._buffer[:start]  # noqa: WPS420  # cheapest removal
         return frames
 
     def _length_at(self, start: int) -> int:
         length: int = _LENGTH.unpack_from(self._buffer, start)[0]
         if length > MAX_FRAME_BYTES:
-            raise FrameError(f'a frame of {length} bytes')
+            raise FrameError(
+                f'frame of {length} bytes exceeds {MAX_FRAME_BYTES}'
+            )
         return length
 
 
--- a/src/snipebend/transport/http_server.py
+++ b/src/snipebend/transport/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP listener: ``uvicorn`` as a service of the kernel."""
+"""Runs ``uvicorn`` as a kernel service that serves HTTP."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class _QuietServer(Server):
-    """Leaves the signals to the process, which drains before it stops."""
+    """Server without signal handlers: the process drains before it stops."""
 
     def install_signal_handlers(self) -> None:
-        """Install nothing."""
+        """Do nothing, so that the process keeps its signal handlers."""
 
 
 class HttpServer(Service):
     """Serves one ASGI application on one address."""
 
     def __init__(self, name: str, host: str, port: int) -> None:
-        """Keep the address; port 0 lets the system choose."""
+        """Initialize with an address; with port 0 the system chooses one."""
         super().__init__(name)
         self._host = host
         self._port = port
@@ -39,15 +39,15 @@
 
     @property
     def address(self) -> str:
-        """Return ``host:port`` once the server listens."""
+        """Return ``host:port``; the port is final once the server listens."""
         return f'{self._host}:{self._port}'
 
     def serve(self, app: Any) -> None:
-        """Set the application; only before the start."""
+        """Set the application; must be called before ``start``."""
         self._app = app
 
     async def start(self, registry: Registry) -> None:
-        """Listen and serve."""
+        """Open the listening socket and start serving."""
         sock = open_listener(self._host, self._port)
         self._port = sock.getsockname()[1]
         self._server = _QuietServer(_configuration(self._app))
@@ -55,7 +55,7 @@
         logger.info('event=listening proto=http address={}', self.address)
 
     async def stop(self) -> None:
-        """Stop accepting and wait until the last answer is written."""
+        """Stop accepting and wait until the last response is written."""
         if self._server is None or self._task is None:
             return
         self._server.should_exit = True
@@ -69,7 +69,8 @@
 
     async def _serve(self, sock: socket.socket) -> None:
         if self._server is not None:
-            # Not ``serve``: that one takes over the process's signals.
+            # The public ``serve`` would replace the signal handlers of the
+            # process.
             await self._server._serve([sock])
 
 
--- a/src/snipebend/transport/problems.py
+++ b/src/snipebend/transport/problems.py
@@ -1,7 +1,7 @@
-"""Refusals and errors towards callers: ``application/problem+json``.
+"""Builds error responses to callers as ``application/problem+json``.
 
-Every one of them tells what became of the request: ``not-run``, ``ran`` or
-``unknown`` (RFC 9457 gives the format, the ``outcome`` member is ours).
+Each one contains the outcome of the request: ``not-run``, ``ran`` or
+``unknown``. RFC 9457 defines the format; ``outcome`` is an extension member.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 REVISION_HEADER = 'x-snipebend-revision'
 REQUEST_ID_HEADER = 'x-request-id'
 ATTEMPT_HEADER = 'x-attempt'
-#: An attempt's ticket, as JSON, between entry and agent only.
+#: The ticket of an attempt as JSON, used only between entry and agent.
 TICKET_HEADER = 'x-snipebend-ticket'
 
-#: What makes a resend the same request, between entry and agent only.
+#: Identifies requests with the same content; used only between entry and agent.
 FINGERPRINT_HEADER = 'x-snipebend-fingerprint'
 
-#: Headers between our own processes, which a caller can't set.
+#: Headers used between Snipebend processes; removed from callers' requests.
 INTERNAL_HEADERS = frozenset(
     (TICKET_HEADER, FINGERPRINT_HEADER, REVISION_HEADER, OUTCOME_HEADER)
 )
 
 
 class Problem(NamedTuple):
-    """One refusal; ``retry_after`` is in seconds, 0 where it can't help."""
+    """One error; ``retry_after`` is in seconds, 0 if a retry cannot help."""
 
     status: int
     title: str
@@ -46,7 +46,7 @@
 
 
 def encode_problem(problem: Problem) -> bytes:
-    """Return the document of a refusal."""
+    """Return the problem as JSON."""
     body: dict[str, object] = {
         'title': problem.title,
         'status': problem.status,
@@ -59,7 +59,7 @@
 
 
 def write_problem(resp: Response, problem: Problem) -> None:
-    """Turn a response into the refusal."""
+    """Write the problem to a response."""
     resp.status = falcon.code_to_http_status(problem.status)
     resp.data = encode_problem(problem)
     resp.content_type = MEDIA_PROBLEM
@@ -73,7 +73,7 @@
     resp: Response,
     exc: falcon.HTTPError,
 ) -> None:
-    """Write ``falcon``'s own refusals, which come before anything ran."""
+    """Write the errors that ``falcon`` raises before the request runs."""
     detail = exc.description or exc.title or ''
     problem = Problem(exc.status_code, exc.title or 'Refused', detail)
     write_problem(resp, problem)
@@ -85,7 +85,7 @@
     exc: Exception,
     _: dict[str, Any],
 ) -> None:
-    """Answer a fault of our own; nobody can tell how far it got."""
+    """Respond to an internal error; the outcome is unknown."""
     write_problem(
         resp,
         Problem(
--- a/tests/transport/test_caller_checks.py
+++ b/tests/transport/test_caller_checks.py
@@ -1,4 +1,8 @@
-"""What callers do wrong, over real sockets: each a problem with its field."""
+"""Invalid requests of callers over sockets: each gets a problem document.
+
+Guards against an invalid request that is accepted, crashes the entry, or gets
+a problem with the wrong status, field or outcome.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 from snipebend.transport.methods import APPLY
 
 _LIMIT = 4096
-_TIGHT = """
+_RESTRICTED = """
 [[workspaces]]
 name = "tight"
 api_key = "tight-key"
@@ -37,13 +41,13 @@
 ejection_failures = 5
 ejection_s = 5.0
 """
-_FILE = f'{FLEET}{_TIGHT}\n[routing]\nmax_body_bytes = {_LIMIT}\n'
+_FILE = f'{FLEET}{_RESTRICTED}\n[routing]\nmax_body_bytes = {_LIMIT}\n'
 _TEXT = '/v1/completions'
 _CHAT = '/v1/chat/completions'
 
 
 class Case(NamedTuple):
-    """One wrong request and the problem that it must get."""
+    """One invalid request and the expected problem."""
 
     status: int
     field: str
@@ -54,14 +58,14 @@
 
     @property
     def raw(self) -> bytes:
-        """Return the body as it is sent."""
+        """Return the encoded body."""
         if isinstance(self.body, bytes):
             return self.body
         return json.dumps(self.body).encode()
 
 
-def good(**changes: Any) -> dict[str, Any]:
-    """Return a body that is right but for the changes."""
+def build_body(**changes: Any) -> dict[str, Any]:
+    """Return a valid body with the given changes."""
     return {'model': MODEL, 'prompt': 'x', 'max_tokens': 2, **changes}
 
 
@@ -71,31 +75,31 @@
     Case(400, '', b''),
     Case(400, '', [1, 2]),
     Case(400, 'model', {'prompt': 'x'}),
-    Case(400, 'model', good(model=7)),
-    Case(404, 'model', good(model='nobody')),
-    Case(403, 'model', good(), key='Bearer tight-key'),
+    Case(400, 'model', build_body(model=7)),
+    Case(404, 'model', build_body(model='nobody')),
+    Case(403, 'model', build_body(), key='Bearer tight-key'),
     Case(400, 'prompt', {'model': MODEL}),
-    Case(400, 'prompt', good(prompt={'a': 1})),
-    Case(400, 'max_tokens', good(max_tokens='2')),
-    Case(400, 'max_tokens', good(max_tokens=0)),
-    Case(400, 'max_tokens', good(max_tokens=1.5)),
-    Case(400, 'stream', good(stream='yes')),
-    Case(400, 'messages', good(), path=_CHAT),
-    Case(400, 'messages', good(messages='hello'), path=_CHAT),
-    Case(400, 'messages[0]', good(messages=['hello']), path=_CHAT),
-    Case(413, 'body', good(prompt='x' * _LIMIT)),
-    Case(401, 'authorization', good(), key='Bearer nobody'),
-    Case(401, 'authorization', good(), key='Basic ZGVtbzo='),
-    Case(401, 'authorization', good(), key=''),
-    Case(405, 'method', good(), method='GET'),
+    Case(400, 'prompt', build_body(prompt={'a': 1})),
+    Case(400, 'max_tokens', build_body(max_tokens='2')),
+    Case(400, 'max_tokens', build_body(max_tokens=0)),
+    Case(400, 'max_tokens', build_body(max_tokens=1.5)),
+    Case(400, 'stream', build_body(stream='yes')),
+    Case(400, 'messages', build_body(), path=_CHAT),
+    Case(400, 'messages', build_body(messages='hello'), path=_CHAT),
+    Case(400, 'messages[0]', build_body(messages=['hello']), path=_CHAT),
+    Case(413, 'body', build_body(prompt='x' * _LIMIT)),
+    Case(401, 'authorization', build_body(), key='Bearer nobody'),
+    Case(401, 'authorization', build_body(), key='Basic ZGVtbzo='),
+    Case(401, 'authorization', build_body(), key=''),
+    Case(405, 'method', build_body(), method='GET'),
     Case(405, 'method', b'', path='/v1/models'),
     Case(404, 'path', b'', path='/nowhere', method='GET'),
-    Case(405, 'method', good(), method='MKCOL'),
+    Case(405, 'method', build_body(), method='MKCOL'),
 )
 
 
 class CallerChecksTest(unittest.IsolatedAsyncioTestCase):
-    """Every wrong request is refused, and nothing runs."""
+    """Every invalid request is refused without being run."""
 
     async def test_wrong_requests(self) -> None:
         async with running_cluster() as cluster:
--- a/tests/transport/test_cancelled_waits.py
+++ b/tests/transport/test_cancelled_waits.py
@@ -1,4 +1,8 @@
-"""A cancellation that meets news ends the task, at whatever turn it comes."""
+"""A wait ends when its task is cancelled at the time of its wake-up.
+
+Guards against a wait that swallows the cancellation because the event arrives
+a few iterations of the event loop before it, so that the task never ends.
+"""
 
 from __future__ import annotations
 
@@ -18,19 +22,19 @@
 from snipebend.transport.questions import Questions
 from snipebend.transport.rpc_server import RpcServer
 
-#: Turns of the loop between the news and the cancellation.
+#: Iterations of the event loop between the wake-up and the cancellation.
 TURNS = range(5)
-NEWS = Announcement('u-1', 'p', 'dc', 'h:1', 'g:1', 1, 1)
+ANNOUNCEMENT = Announcement('u-1', 'p', 'dc', 'h:1', 'g:1', 1, 1)
 
 
-async def turn(times: int) -> None:
-    """Let the loop go round."""
+async def run_loop(times: int) -> None:
+    """Run some iterations of the event loop."""
     for _ in range(times):
         await asyncio.sleep(0)
 
 
 async def start_keeper() -> DirectoryKeeper:
-    """Return a directory that is ready for watchers."""
+    """Return a started directory that serves watchers."""
     keeper = DirectoryKeeper('directory', RpcServer('grpc', '127.0.0.1', 0))
     configuration = mock.create_autospec(ConfigurationKeeper, instance=True)
     configuration.name = 'configuration'
@@ -42,15 +46,15 @@
 
 
 class CancelledWaitsTest(unittest.IsolatedAsyncioTestCase):
-    """The task must have ended some turns after the cancellation."""
+    """The task must have ended some iterations after the cancellation."""
 
-    async def check_ends(self, task, news, turns: int) -> None:
-        """Give the news, cancel after some turns, look whether it ended."""
-        await turn(3)
-        news()
-        await turn(turns)
+    async def assert_cancelled(self, task, wake, turns: int) -> None:
+        """Wake the task, cancel it after some turns, check that it ended."""
+        await run_loop(3)
+        wake()
+        await run_loop(turns)
         task.cancel()
-        await turn(10)
+        await run_loop(10)
         done = task.done()
         task.cancel()
         with suppress(asyncio.CancelledError):
@@ -61,30 +65,34 @@
         for turns in TURNS:
             keeper = await start_keeper()
             task = asyncio.create_task(self.follow(keeper))
-            await self.check_ends(task, partial(keeper.record, NEWS), turns)
+            await self.assert_cancelled(
+                task, partial(keeper.record, ANNOUNCEMENT), turns
+            )
 
     async def test_confirmations_of_an_entry(self) -> None:
         for turns in TURNS:
             follower = ConfigurationFollower('c', 'e-1', (), mock.Mock())
-            task = asyncio.create_task(self.wait_for_ever(follower))
-            await self.check_ends(task, follower._changed.set, turns)
+            task = asyncio.create_task(self.wait_repeatedly(follower))
+            await self.assert_cancelled(task, follower._changed.set, turns)
 
     async def test_read_of_the_state(self) -> None:
         for turns in TURNS:
             questions = Questions()
-            task = asyncio.create_task(self.read_for_ever(questions))
-            await self.check_ends(task, partial(questions.executed, 1), turns)
+            task = asyncio.create_task(self.read_repeatedly(questions))
+            await self.assert_cancelled(
+                task, partial(questions.executed, 1), turns
+            )
 
     async def follow(self, keeper: DirectoryKeeper) -> None:
         async for _ in keeper.watch(DirectoryRequest('e-1')):
             await asyncio.sleep(0)
 
-    async def wait_for_ever(self, follower: ConfigurationFollower) -> None:
+    async def wait_repeatedly(self, follower: ConfigurationFollower) -> None:
         while True:
             await follower.wait_newer(0, 60)
             follower._changed.clear()
 
-    async def read_for_ever(self, questions: Questions) -> None:
+    async def read_repeatedly(self, questions: Questions) -> None:
         while True:
             await questions.wait(1, 0, 60)
 
--- a/tests/transport/test_directory_watch.py
+++ b/tests/transport/test_directory_watch.py
@@ -1,4 +1,8 @@
-"""The directory's watch with a bounded subset, by the feeds that are open."""
+"""Watches of the directory that are limited to a subset of upstreams.
+
+Guards against a subset that does not follow the number of entries with open
+confirmation feeds, or that does not change with the directory.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +14,13 @@
 from snipebend.membership.directory_delta import DirectoryCopy
 from snipebend.membership.messages import Announcement, DirectoryRequest
 from snipebend.transport.directory_api import DirectoryKeeper
-from tests.transport.test_cancelled_waits import start_keeper, turn
+from tests.transport.test_cancelled_waits import start_keeper, run_loop
 
 UPSTREAMS = 400
 
 
 class DirectoryWatchTest(unittest.IsolatedAsyncioTestCase):
-    """Entries count while they feed their confirmations."""
+    """Entries count while their confirmation feeds are open."""
 
     async def asyncSetUp(self) -> None:
         self.keeper = await start_keeper()
@@ -27,25 +31,25 @@
         self.tasks: list[asyncio.Task[object]] = []
 
     async def test_more_entries_make_smaller_subsets(self) -> None:
-        bound = DirectoryRequest('e-1', max_upstreams=256)
-        whole = DirectoryRequest('')
-        self.assertEqual(await self.shown(bound), 256)
-        self.assertEqual(await self.shown(whole), UPSTREAMS)
+        bounded = DirectoryRequest('e-1', max_upstreams=256)
+        unbounded = DirectoryRequest('')
+        self.assertEqual(await self.subset_size(bounded), 256)
+        self.assertEqual(await self.subset_size(unbounded), UPSTREAMS)
         for number in range(128):
             feed = self.keeper.confirm(self.confirm(f'e-{number}'))
             self.tasks.append(asyncio.create_task(feed))
-        await turn(3)
-        self.assertEqual(await self.shown(bound), 125)
+        await run_loop(3)
+        self.assertEqual(await self.subset_size(bounded), 125)
         self.assertEqual(await self.entries(), 128)
-        self.assertEqual(await self.shown(whole), UPSTREAMS)
+        self.assertEqual(await self.subset_size(unbounded), UPSTREAMS)
         for task in self.tasks:
             task.cancel()
             with suppress(asyncio.CancelledError):
                 await task
-        self.assertEqual(await self.shown(bound), 256)
+        self.assertEqual(await self.subset_size(bounded), 256)
 
     async def entries(self) -> int:
-        """Return how many entries a new watcher is told to share with."""
+        """Return the number of entries reported to a new watcher."""
         copy = DirectoryCopy()
         async with aclosing(self.keeper.watch(DirectoryRequest(''))) as watch:
             copy.apply(await anext(watch))
@@ -62,20 +66,20 @@
             while not newer.done():
                 number += 1
                 self.record_new(self.keeper, number)
-                await turn(3)
+                await run_loop(3)
             copy.apply(newer.result())
         after = {one.upstream for one in copy.upstreams()}
         self.assertEqual((len(before), len(after)), (20, 20))
         self.assertNotEqual(before, after)
 
     def record_new(self, keeper: DirectoryKeeper, number: int) -> None:
-        """Add an upstream that wasn't there before."""
+        """Add a new upstream to the directory."""
         keeper.record(
             Announcement(f'n-{number}', 'p', 'dc', 'h:1', 'g:1', 1, 1)
         )
 
-    async def shown(self, req: DirectoryRequest) -> int:
-        """Return how many upstreams a new watch begins with."""
+    async def subset_size(self, req: DirectoryRequest) -> int:
+        """Return the number of upstreams in the first difference."""
         watch = self.keeper.watch(req)
         async with aclosing(watch):
             return len((await anext(watch)).joined)
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -1,4 +1,8 @@
-"""Frames and events, cut at every byte."""
+"""Frames and events are decoded however the bytes are split.
+
+Guards against frames or events that are lost or corrupted at the boundaries of
+reads, and against corrupt frames that go undetected.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +36,7 @@
 
 
 class FrameBufferTest(unittest.TestCase):
-    def test_any_cut_gives_the_same_frames(self) -> None:
+    def test_any_split_gives_the_same_frames(self) -> None:
         wire = b''.join(map(encode_frame, _FRAMES))
         for size in (1, 2, 3, 7, 64, len(wire)):
             buffer = FrameBuffer()
@@ -41,15 +45,15 @@
                 frames.extend(buffer.feed(wire[start : start + size]))
             self.assertEqual(tuple(frames), _FRAMES)
 
-    def test_damage_is_an_error(self) -> None:
+    def test_corrupt_frames_raise(self) -> None:
         wire = encode_frame(Beat())
-        for damaged in (b'\xff' * 8, wire[:4] + b'\x00' * (len(wire) - 4)):
+        for corrupt in (b'\xff' * 8, wire[:4] + b'\x00' * (len(wire) - 4)):
             with self.assertRaises(FrameError):
-                FrameBuffer().feed(damaged)
+                FrameBuffer().feed(corrupt)
 
 
 class EventBufferTest(unittest.TestCase):
-    def test_any_cut_gives_the_same_events(self) -> None:
+    def test_any_split_gives_the_same_events(self) -> None:
         events = [
             b'data: a\n\n',
             b'event: error\ndata: b\n\n',
@@ -67,7 +71,7 @@
         self.assertEqual([one for one in events if is_done(one)], events[3:])
         self.assertEqual([one for one in events if is_error(one)], events[1:2])
 
-    def test_done_inside_a_text_is_no_end(self) -> None:
+    def test_done_inside_a_text_does_not_end_the_stream(self) -> None:
         self.assertFalse(is_done(b'data: {"text": "data: [DONE]"}\n\n'))
 
 
--- a/tests/transport/test_load_reader.py
+++ b/tests/transport/test_load_reader.py
@@ -1,4 +1,8 @@
-"""What an agent reads of its engine's load."""
+"""An agent reads the KV cache use that its engine reports.
+
+Guards against a wrong share for unusual or invalid responses, and against
+reads from plain services.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 
 
 class LoadReaderTest(unittest.IsolatedAsyncioTestCase):
-    """Engines are asked, services never."""
+    """Engines are read; plain services are not."""
 
     async def asyncSetUp(self) -> None:
         self.asked = 0
@@ -48,7 +52,7 @@
         return web.Response(text=self.body)
 
     async def reader(self, kind: str) -> LoadReader:
-        """Return a reader beside the first upstream of a kind."""
+        """Return a started reader for the first upstream of a kind."""
         registry = Registry(SystemClock(), TaskSupervisor())
         configuration = mock.create_autospec(
             ConfigurationFollower, instance=True
@@ -66,7 +70,7 @@
             await reader.start(registry)
         return reader
 
-    async def test_share_of_the_cache(self) -> None:
+    async def test_used_share_of_the_cache(self) -> None:
         reader = await self.reader('engine')
         for body, share in BODIES:
             self.body = body
--- a/tests/transport/test_upstream_api.py
+++ b/tests/transport/test_upstream_api.py
@@ -1,4 +1,7 @@
-"""The agent's relay: what its guard is told of attempts."""
+"""The agent's relay reports attempts to its guard.
+
+Guards against a response that is never read and holds a slot of the upstream.
+"""
 
 from __future__ import annotations
 
@@ -18,20 +21,20 @@
 from snipebend.transport.problems import TICKET_HEADER
 from snipebend.transport.upstream_api import UpstreamRelay
 
-_NOBODY = '127.0.0.1:1'
+_UNREACHABLE = '127.0.0.1:1'
 
 
 class UpstreamRelayTest(unittest.IsolatedAsyncioTestCase):
-    """An attempt counts from the moment at which its answer begins."""
+    """An attempt is admitted when its response is first read."""
 
-    async def test_an_answer_that_nobody_reads_holds_no_slot(self) -> None:
+    async def test_unread_response_holds_no_slot(self) -> None:
         process = build_agent(
             AgentSettings.from_table(
                 {
                     'process': {'name': 'agent', 'data_center': 'dc-1'},
                     'listen': {'grace_s': 0.0},
-                    'control': {'addresses': [_NOBODY]},
-                    'upstream': {'policy': 'drafting', 'address': _NOBODY},
+                    'control': {'addresses': [_UNREACHABLE]},
+                    'upstream': {'policy': 'drafting', 'address': _UNREACHABLE},
                 },
             ),
         )
--- a/tests/transport/test_upstream_views.py
+++ b/tests/transport/test_upstream_views.py
@@ -1,4 +1,8 @@
-"""The age of the loads that the router is shown."""
+"""The age of the loads in the router's views.
+
+Guards against loads that seem outdated although control confirmed them with an
+empty difference.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +18,23 @@
 from snipebend.membership.messages import DirectoryRequest
 from snipebend.transport import directory_api
 from snipebend.transport.upstream_views import UpstreamViews
-from tests.transport.test_cancelled_waits import NEWS, start_keeper
+from tests.transport.test_cancelled_waits import ANNOUNCEMENT, start_keeper
 
 
 class UpstreamViewsTest(unittest.IsolatedAsyncioTestCase):
-    """Each difference, also an empty one, dates every load anew."""
+    """Each difference, even an empty one, updates the time of every load."""
 
     async def test_loads_are_as_old_as_the_latest_difference(self) -> None:
         copy = DirectoryCopy()
         views = UpstreamViews()
         loads = []
         for now, delta in (
-            (10, DirectoryDelta(1, reset=True, joined=(Joined(0, NEWS),))),
+            (
+                10,
+                DirectoryDelta(
+                    1, reset=True, joined=(Joined(0, ANNOUNCEMENT),)
+                ),
+            ),
             (15, DirectoryDelta(1, loads=(LoadChange(0, 7, 2),))),
             (20, DirectoryDelta(1)),
         ):
@@ -36,9 +45,9 @@
             loads.append((view.load.running, view.load.taken_at))
         self.assertEqual(loads, [(0, 10), (7, 15), (7, 20)])
 
-    async def test_a_quiet_watch_goes_on_to_confirm(self) -> None:
+    async def test_unchanged_directory_sends_empty_differences(self) -> None:
         keeper = await start_keeper()
-        keeper.record(NEWS)
+        keeper.record(ANNOUNCEMENT)
         watch = keeper.watch(DirectoryRequest('e-1'))
         with mock.patch.object(directory_api, 'LOADS_EVERY_S', 0.001):
             first = await anext(watch)
