--- a/src/snipebend/daemons/agent.py
+++ b/src/snipebend/daemons/agent.py
@@ -14,7 +14,7 @@
 from snipebend.settings.model import AgentSettings
 from snipebend.transport.announcer import Announcer
 from snipebend.transport.control_calls import ControlCalls
-from snipebend.transport.crash_witness import CrashWitness
+from snipebend.transport.crash_reporter import CrashReporter
 from snipebend.transport.fence_reader import FenceReader
 from snipebend.transport.followers import ConfigurationFollower
 from snipebend.transport.forward import HttpClient
@@ -44,7 +44,7 @@
             clients,
         ),
         ControlCalls('control-calls', cfg.control.addresses, clients),
-        CrashWitness('witness', cfg.process.name),
+        CrashReporter('witness', cfg.process.name),
         UpstreamProbe('probe', cfg.upstream),
         UpstreamRelay('relay', cfg, http, grpc),
         OrdersApi('orders', grpc, cfg.upstream.address, reader),
--- a/src/snipebend/daemons/entry.py
+++ b/src/snipebend/daemons/entry.py
@@ -19,7 +19,7 @@
 from snipebend.transport.followers import ConfigurationFollower
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.http_server import HttpServer
-from snipebend.transport.routing_desk import RoutingDesk
+from snipebend.transport.routing_service import RoutingService
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.suspect_follower import SuspectFollower
 from snipebend.transport.suspect_leases import SuspectLeases
@@ -38,7 +38,7 @@
         DirectoryFollower('directory', cfg, clients),
         ControlCalls('control-calls', control, clients),
         SuspectLeases('suspect-leases'),
-        RoutingDesk('routing', cfg),
+        RoutingService('routing', cfg),
         SuspectFollower('suspects', name),
         Dispatcher('dispatch', cfg),
         CallerApi('callers', cfg, http),
--- a/src/snipebend/transport/asgi.py
+++ b/src/snipebend/transport/asgi.py
@@ -1,8 +1,9 @@
-"""Reading the whole body first and noticing the caller's disconnect.
+"""ASGI middleware that buffers request bodies and detects disconnects.
 
-``falcon`` reads bodies, but tells nothing of a caller that hangs up while the
-answer is being made. This layer reads the body up to a bound, hands it on, and
-then watches the connection. It also breaks an answer off visibly.
+``falcon`` reads bodies, but does not report a caller that disconnects while
+the response is produced. This middleware reads the body up to a limit, passes
+it to the application, and then watches the connection. It also aborts the
+connection of an incomplete response, so that the caller can detect it.
 """
 
 from __future__ import annotations
@@ -21,43 +22,43 @@
 Send = Callable[[Any], Awaitable[None]]
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-#: Keys under which the layer adds to the ASGI scope.
+#: Keys that the middleware adds to the ASGI scope.
 BODY_KEY = 'snipebend.body'
 CONNECTION_KEY = 'snipebend.connection'
 
-#: Bodies beyond 64 MiB are cut, whatever the fleet file allows.
+#: Bodies are truncated above 64 MiB, even if the fleet file allows more.
 MAX_BODY_BYTES = 0x4000000
 
 
-def largest_body() -> int:
-    """Return the limit of those who have no other."""
+def default_body_limit() -> int:
+    """Return the body limit for applications without a configured one."""
     return MAX_BODY_BYTES
 
 
-class BrokenAnswerError(Exception):
-    """The answer can't get complete; its connection is to be aborted."""
+class IncompleteResponseError(Exception):
+    """The response cannot be completed; its connection must be aborted."""
 
 
 class Connection:
-    """The other end of one request: tells once that it is gone."""
+    """The client side of one request; notifies listeners of a disconnect."""
 
     def __init__(self) -> None:
-        """Begin with the other end there."""
-        self.gone = False
-        #: Called once the answer has been written, or has failed.
-        self.on_answered: Callable[[], object] = bool
+        """Initialize as connected."""
+        self.disconnected = False
+        #: Called after the response has been written or has failed.
+        self.on_response_end: Callable[[], object] = bool
         self._listeners: list[Callable[[], object]] = []
 
-    def when_gone(self, listener: Callable[[], object]) -> None:
-        """Call ``listener`` once the other end is gone, maybe at once."""
-        if self.gone:
+    def on_disconnect(self, listener: Callable[[], object]) -> None:
+        """Call ``listener`` on disconnect; immediately if it has happened."""
+        if self.disconnected:
             listener()
             return
         self._listeners.append(listener)
 
     def close(self) -> None:
-        """Tell all listeners."""
-        self.gone = True
+        """Mark the client as disconnected and call all listeners."""
+        self.disconnected = True
         listeners = tuple(self._listeners)
         self._listeners.clear()
         for listener in listeners:
@@ -68,10 +69,10 @@
     serve: Callable[..., Awaitable[None]],
     body_limit: Callable[[], int],
 ) -> Application:
-    """Build an application that hands every request to one function.
+    """Build an application that passes every request to one function.
 
-    A body beyond ``body_limit()`` bytes is cut right after the limit, so that
-    the function sees that it is too long.
+    Reading of a body stops once it exceeds ``body_limit()`` bytes, so that the
+    function can detect that it is too long.
     """
     app = App()
     app.add_sink(cast(Any, serve), prefix='/')
@@ -81,14 +82,14 @@
 
 
 class BodyAndDisconnect:
-    """Adds the body and the connection to the scope."""
+    """Middleware that adds the body and the connection to the scope."""
 
     def __init__(
         self,
         app: Application,
         body_limit: Callable[[], int],
     ) -> None:
-        """Wrap an application."""
+        """Initialize with the wrapped application."""
         self._app = app
         self._body_limit = body_limit
 
@@ -105,18 +106,18 @@
         connection = Connection()
         scope[BODY_KEY] = await _read_body(receive, self._body_limit())
         scope[CONNECTION_KEY] = connection
-        watcher = asyncio.create_task(_watch(receive, connection))
+        watcher = asyncio.create_task(_watch_disconnect(receive, connection))
         try:
-            await self._app(scope, _replay(connection), send)
-        except BrokenAnswerError:
-            # The server aborts the connection of an answer without its end.
+            await self._app(scope, _build_receive(connection), send)
+        except IncompleteResponseError:
+            # The server aborts the connection of an incomplete response.
             logger.debug('event=answer_aborted')
         except Exception as exc:
             logger.error('event=answer_failed reason={!r}', exc)
             raise
         finally:
             watcher.cancel()
-            connection.on_answered()
+            connection.on_response_end()
 
 
 async def _read_body(receive: Receive, limit: int) -> bytes:
@@ -132,23 +133,23 @@
     return b''.join(parts)
 
 
-async def _watch(receive: Receive, connection: Connection) -> None:
-    while not connection.gone:
+async def _watch_disconnect(receive: Receive, connection: Connection) -> None:
+    while not connection.disconnected:
         event = await receive()
         if event['type'] == 'http.disconnect':
             connection.close()
 
 
-def _replay(connection: Connection) -> Receive:
+def _build_receive(connection: Connection) -> Receive:
     delivered = False
 
     async def receive() -> Any:
-        nonlocal delivered  # noqa: WPS420  # the one state of this function
+        nonlocal delivered  # noqa: WPS420  # the only state of this function
         if not delivered:
             delivered = True
             return {'type': 'http.request', 'body': b'', 'more_body': False}
         closed = asyncio.Event()
-        connection.when_gone(closed.set)
+        connection.on_disconnect(closed.set)
         await closed.wait()
         return {'type': 'http.disconnect'}
 
--- a/src/snipebend/transport/attempt_stream.py
+++ b/src/snipebend/transport/attempt_stream.py
@@ -1,4 +1,4 @@
-"""One attempt as an entry sees it: sent once, its frames read as events."""
+"""Sends one attempt from an entry to an agent and reads its frames."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     ChunkArrived,
 )
 from snipebend.delivery.events import Event
-from snipebend.transport.engine_call import BROKEN_OFF, UNSENT
+from snipebend.transport.engine_call import TRANSFER_ERRORS, CONNECT_ERRORS
 from snipebend.transport.forward import (
     CONNECT_TIMEOUT_S,
     HttpClient,
-    Outgoing,
-    read_some,
+    OutgoingRequest,
+    read_chunk,
 )
 from snipebend.transport.frames import (
     MEDIA_FRAMES,
@@ -50,41 +50,42 @@
 
 
 class AttemptStream(NamedTuple):
-    """Sends one attempt and posts what becomes of it.
+    """Sends one attempt and posts its events.
 
-    ``outgoing`` is the caller's request without the ticket. The agent beats
-    while its upstream is quiet: a connection that says nothing for
-    ``silent_after_s`` is given up, and its peer's others with it.
+    ``outgoing`` is the caller's request without the ticket. The agent sends
+    heartbeats while its upstream sends nothing: a connection that delivers no
+    data for ``silent_after_s`` is closed, and no other connection to that peer
+    is reused.
     """
 
     client: HttpClient
-    outgoing: Outgoing
+    outgoing: OutgoingRequest
     attempt: SendAttempt
     silent_after_s: float
     post: Post
-    note_death: Callable[[int, bool], None]
+    on_upstream_death: Callable[[int, bool], None]
 
     async def run(self) -> None:
-        """Post events up to the end of the attempt, which comes last."""
+        """Post the events of the attempt; the last one ends it."""
         try:
             async with AsyncExitStack() as stack:
                 await self._read(await self._send(stack))
-        except UNSENT as exc:
-            await self._broke(exc, sent=False)
+        except CONNECT_ERRORS as exc:
+            await self._report_failure(exc, sent=False)
         except TimeoutError as exc:
             await self.client.retire(self.outgoing.peer)
-            await self._broke(exc, sent=True)
-        except BROKEN_OFF as exc:
-            await self._broke(exc, sent=True)
+            await self._report_failure(exc, sent=True)
+        except TRANSFER_ERRORS as exc:
+            await self._report_failure(exc, sent=True)
 
     async def _send(self, stack: AsyncExitStack) -> ClientResponse:
-        """Send the attempt; the agent answers before its upstream does."""
+        """Send the attempt; the agent responds before its upstream does."""
         async with asyncio.timeout(CONNECT_TIMEOUT_S + self.silent_after_s):
             return await stack.enter_async_context(
                 self.client.send(self._with_ticket()),
             )
 
-    def _with_ticket(self) -> Outgoing:
+    def _with_ticket(self) -> OutgoingRequest:
         ticket = self.attempt.ticket
         headers = CIMultiDict(self.outgoing.headers)
         headers[ATTEMPT_HEADER] = str(ticket.attempt)
@@ -93,13 +94,15 @@
 
     async def _read(self, response: ClientResponse) -> None:
         if response.content_type != MEDIA_FRAMES:
-            raise FrameError(f'status {response.status} without frames')
+            raise FrameError(
+                f'status {response.status}: response body is not {MEDIA_FRAMES}'
+            )
         buffer = FrameBuffer()
         closed = False
         while not closed:
-            received = await read_some(response, self.silent_after_s)
+            received = await read_chunk(response, self.silent_after_s)
             if not received:
-                raise ClientError('frames without their end')
+                raise ClientError('response ended before the last frame')
             frames = buffer.feed(received)
             closed = any(map(_is_last, frames))
             events = self._translate(frames)
@@ -108,10 +111,10 @@
         await self._release(response)
 
     async def _release(self, response: ClientResponse) -> None:
-        """Read the end of the body, so that the connection is used again."""
+        """Read to the end of the body so that the connection can be reused."""
         try:
-            with suppress(*BROKEN_OFF):
-                await read_some(response, self.silent_after_s)
+            with suppress(*TRANSFER_ERRORS):
+                await read_chunk(response, self.silent_after_s)
         except TimeoutError:
             await self.client.retire(self.outgoing.peer)
 
@@ -133,19 +136,19 @@
                 return AttemptFinished(attempt, next_seq)
             case Broken(attempt=attempt, ran=ran):
                 if frame.died:
-                    self.note_death(attempt, frame.alone)
+                    self.on_upstream_death(attempt, frame.alone)
                 return AttemptBroken(attempt, sent=ran)
             case Declined(attempt=attempt, reason=reason):
                 return AttemptRefused(attempt, reason)
             case Accepted(request_id=request_id):
-                self._check_own(request_id)
+                self._check_request_id(request_id)
         return None
 
-    def _check_own(self, request_id: str) -> None:
+    def _check_request_id(self, request_id: str) -> None:
         if request_id != self.attempt.ticket.request_id:
-            raise FrameError('the answer to another request')
+            raise FrameError(f'response belongs to request {request_id}')
 
-    async def _broke(self, exc: Exception, *, sent: bool) -> None:
+    async def _report_failure(self, exc: Exception, *, sent: bool) -> None:
         ticket = self.attempt.ticket
         logger.warning(
             'event=attempt_failed id={} attempt={} peer={} sent={} reason={!r}',
--- a/src/snipebend/transport/caller_api.py
+++ b/src/snipebend/transport/caller_api.py
@@ -22,11 +22,11 @@
 from snipebend.transport.asgi import (
     CONNECTION_KEY,
     MAX_BODY_BYTES,
-    BrokenAnswerError,
+    IncompleteResponseError,
     build_sink_app,
 )
 from snipebend.transport.caller_checks import (
-    Wanted,
+    CheckedRequest,
     check_request,
     model_names,
 )
@@ -53,10 +53,11 @@
     from snipebend.transport.delivery_driver import Delivery
     from snipebend.transport.http_server import HttpServer
 
-#: Answers that never have a body (RFC 9110, section 6.4.1).
-_BODILESS = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
+#: Status codes of responses without a body (RFC 9110, section 6.4.1).
+_BODILESS_STATUSES = frozenset((HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED))
 
-_ALWAYS_WRONG = frozenset(
+#: Requests refused with these are malformed: they cannot have run before.
+_NEVER_RUN_STATUSES = frozenset(
     (HTTPStatus.BAD_REQUEST, HTTPStatus.METHOD_NOT_ALLOWED),
 )
 
@@ -78,7 +79,7 @@
     'this entry takes no new work',
     retry_after=1,
 )
-_GONE = Problem(
+_CALLER_DISCONNECTED = Problem(
     HTTPStatus.REQUEST_TIMEOUT,
     'Caller gone',
     'the connection closed before the answer began',
@@ -87,7 +88,7 @@
 
 
 class CallerApi(Service):
-    """Takes callers' requests and streams the answers back."""
+    """Accepts callers' requests and streams the responses back."""
 
     def __init__(
         self,
@@ -95,14 +96,14 @@
         cfg: EntrySettings,
         server: HttpServer,
     ) -> None:
-        """Serve on ``server``."""
+        """Register the application with ``server``."""
         super().__init__(name)
         self._grace_s = cfg.listen.grace_s
         self._leaving = False
         server.serve(build_sink_app(self._serve, self._body_limit))
 
     async def start(self, registry: Registry) -> None:
-        """Find the configuration and the dispatcher."""
+        """Look up the configuration and the dispatcher."""
         self._clock = registry.clock
         self._dispatcher = registry.find('dispatch', Dispatcher)
         self._configuration = registry.find(
@@ -111,35 +112,36 @@
         )
 
     async def drain(self) -> None:
-        """Refuse new work and wait for what is in flight.
+        """Refuse new requests and wait for those in flight.
 
-        New work is still taken for the grace period, in which the platform's
-        balancer sees that this entry isn't ready and moves on.
+        New requests are still accepted during the grace period, in which the
+        load balancer of the platform observes that this entry is not ready
+        and stops sending requests.
         """
         await asyncio.sleep(self._grace_s)
         self._leaving = True
         await self._dispatcher.wait_idle()
 
     def dump(self) -> Mapping[str, object]:
-        """Return whether new work is refused."""
+        """Return whether new requests are refused."""
         return {'leaving': self._leaving}
 
     async def _serve(self, req: Request, resp: Response, **_: str) -> None:
         req_id = correlation_id(req)
         resp.set_header(REQUEST_ID_HEADER, req_id)
         match self._admit(req):
-            case Ok((index, wanted)) if wanted.target is None:
-                _list_models(resp, model_names(index, wanted.workspace))
-            case Ok((index, wanted)):
-                await self._deliver(req, resp, index, wanted)
+            case Ok((index, checked)) if checked.target is None:
+                _list_models(resp, model_names(index, checked.workspace))
+            case Ok((index, checked)):
+                await self._deliver(req, resp, index, checked)
             case Err(problem):
-                self._dispatcher.meters.refused(problem.status)
-                write_problem(resp, _doubt_key(req, problem))
+                self._dispatcher.meters.record_refusal(problem.status)
+                write_problem(resp, _with_key_outcome(req, problem))
 
     def _admit(
         self,
         req: Request,
-    ) -> Result[tuple[FleetIndex, Wanted], Problem]:
+    ) -> Result[tuple[FleetIndex, CheckedRequest], Problem]:
         index = self._configuration.index
         if self._leaving:
             return Err(_LEAVING)
@@ -147,10 +149,10 @@
             return Err(_NO_CONFIGURATION)
         if self._refuses_stale(index):
             return Err(_STALE_CONFIGURATION)
-        return check_request(index, req).map(lambda wanted: (index, wanted))
+        return check_request(index, req).map(lambda checked: (index, checked))
 
     def _refuses_stale(self, index: FleetIndex) -> bool:
-        """Tell whether new work is refused for an outdated configuration."""
+        """Return whether an outdated configuration refuses requests."""
         if index.fleet.stale_policy == 'serve':
             return False
         return self._configuration.lapsed(self._clock.now())
@@ -160,26 +162,28 @@
         req: Request,
         resp: Response,
         index: FleetIndex,
-        wanted: Wanted,
+        checked: CheckedRequest,
     ) -> None:
-        record, delivery = await self._dispatcher.open(req, index, wanted)
+        record, delivery = await self._dispatcher.open(req, index, checked)
         connection = req.scope[CONNECTION_KEY]
-        # Also when the answer fails before its body has begun.
+        # Also closes the delivery if the response fails before its body.
         close = self._dispatcher.close
-        connection.on_answered = lambda: close(record, delivery)
+        connection.on_response_end = lambda: close(record, delivery)
         match await delivery.begin(record.facts, connection):
             case RelayHead() as head:
                 await self._relay(req, resp, head, record, delivery)
                 return
             case SendStoredResponse() as stored:
-                record.ended(Outcome.RAN, stored.answer.status)
+                record.record_outcome(Outcome.RAN, stored.answer.status)
                 _write_stored(resp, stored)
             case Refuse() as refusal:
-                record.ended(refusal.outcome, refusal.status)
+                record.record_outcome(refusal.outcome, refusal.status)
                 write_problem(resp, _to_problem(refusal))
             case None:
-                record.ended(Outcome.UNKNOWN, _GONE.status)
-                write_problem(resp, _GONE)
+                record.record_outcome(
+                    Outcome.UNKNOWN, _CALLER_DISCONNECTED.status
+                )
+                write_problem(resp, _CALLER_DISCONNECTED)
 
     async def _relay(
         self,
@@ -193,11 +197,11 @@
         for name, text in end_to_end(head.headers).items():
             resp.set_header(name, text)
         resp.set_header(REQUEST_ID_HEADER, correlation_id(req))
-        record.began(head.status)
+        record.record_status(head.status)
         streams = resp.content_type == MEDIA_EVENTS
         body = self._body(record, delivery, streams=streams)
-        if req.method == 'HEAD' or head.status in _BODILESS:
-            await _exhaust(body)
+        if req.method == 'HEAD' or head.status in _BODILESS_STATUSES:
+            await _drain_body(body)
         else:
             resp.stream = body
 
@@ -209,14 +213,14 @@
         streams: bool,
     ) -> AsyncIterator[bytes]:
         try:
-            async for piece in delivery.body():
-                if isinstance(piece, AbortResponse):
-                    record.ended(piece.outcome)
-                    yield _error_event(piece) if streams else b''
-                    raise BrokenAnswerError
-                record.passed_chunk()
-                yield piece
-            record.ended(Outcome.RAN)
+            async for output in delivery.body():
+                if isinstance(output, AbortResponse):
+                    record.record_outcome(output.outcome)
+                    yield _error_event(output) if streams else b''
+                    raise IncompleteResponseError
+                record.record_chunk()
+                yield output
+            record.record_outcome(Outcome.RAN)
         finally:
             self._dispatcher.close(record, delivery)
 
@@ -226,18 +230,18 @@
         return min(limit, MAX_BODY_BYTES)
 
 
-async def _exhaust(body: AsyncIterator[bytes]) -> None:
-    """Wait for the end of an answer that has no body."""
+async def _drain_body(body: AsyncIterator[bytes]) -> None:
+    """Wait for the end of a response that has no body."""
     while await anext(body, None) is not None:
         await asyncio.sleep(0)
 
 
-def _doubt_key(req: Request, problem: Problem) -> Problem:
-    """Don't call a request "not run" whose key may have run before.
+def _with_key_outcome(req: Request, problem: Problem) -> Problem:
+    """Report the outcome as unknown if the idempotency key may have run.
 
-    What is wrong in itself can't have run, whatever was in force then.
+    A malformed request cannot have run under any earlier configuration.
     """
-    if problem.status in _ALWAYS_WRONG or not req.get_header(KEY_HEADER):
+    if problem.status in _NEVER_RUN_STATUSES or not req.get_header(KEY_HEADER):
         return problem
     return problem._replace(outcome=Outcome.UNKNOWN)
 
--- a/src/snipebend/transport/caller_checks.py
+++ b/src/snipebend/transport/caller_checks.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, checked against the fleet before it is routed."""
+"""Checks callers' requests against the fleet before they are routed."""
 
 from __future__ import annotations
 
@@ -42,11 +42,11 @@
 )
 
 
-class Wanted(NamedTuple):
-    """A checked request: whose it is and what is to serve it.
+class CheckedRequest(NamedTuple):
+    """A checked request with its workspace and target.
 
-    Without a target it is the one call that the entry answers on its own, the
-    list of models. ``completion`` is None for plain services. ``repeatable``
+    A request without a target lists the models, the only call that the entry
+    serves itself. ``completion`` is None for plain services. ``repeatable``
     calls may run more than once.
     """
 
@@ -59,16 +59,18 @@
 def check_request(
     index: FleetIndex,
     req: Request,
-) -> Result[Wanted, Problem]:
+) -> Result[CheckedRequest, Problem]:
     """Check workspace, path, method, size and body, in this order."""
-    workspace = _find_workspace(index, req.auth or '')
+    workspace = _authenticate(index, req.auth or '')
     if workspace is None:
         return Err(_NO_WORKSPACE)
     limit = index.fleet.routing.max_body_bytes
     if len(req.scope[BODY_KEY]) > limit:
         return Err(_too_large(limit))
     if req.path == MODELS_PATH:
-        return _require_method(req, _GET).map(lambda _: Wanted(workspace))
+        return _require_method(req, _GET).map(
+            lambda _: CheckedRequest(workspace)
+        )
     if req.path in COMPLETION_PATHS:
         return _require_method(req, _POST).and_then(
             lambda _: _check_completion(index, req, workspace),
@@ -84,7 +86,7 @@
     return tuple(sorted(names))
 
 
-def _find_workspace(index: FleetIndex, authorization: str) -> Workspace | None:
+def _authenticate(index: FleetIndex, authorization: str) -> Workspace | None:
     scheme, _, key = authorization.partition(' ')
     if scheme.lower() != _BEARER:
         return None
@@ -118,7 +120,7 @@
     index: FleetIndex,
     req: Request,
     workspace: Workspace,
-) -> Result[Wanted, Problem]:
+) -> Result[CheckedRequest, Problem]:
     parsed = parse_completion(req.path, req.scope[BODY_KEY])
     if parsed.is_err():
         return Err(parsed.unwrap_err())
@@ -127,7 +129,7 @@
         return Err(_unknown_model(body.model))
     if workspace.models and body.model not in workspace.models:
         return Err(_forbidden_model(body.model, workspace))
-    return Ok(Wanted(workspace, ModelTarget(body.model), body))
+    return Ok(CheckedRequest(workspace, ModelTarget(body.model), body))
 
 
 def _unknown_model(model: str) -> Problem:
@@ -148,12 +150,12 @@
     index: FleetIndex,
     req: Request,
     workspace: Workspace,
-) -> Result[Wanted, Problem]:
+) -> Result[CheckedRequest, Problem]:
     service = index.service_for_path(req.path)
     if service is None:
         return Err(_NO_PATH)
     return Ok(
-        Wanted(
+        CheckedRequest(
             workspace,
             ServiceTarget(service.name),
             repeatable=index.is_repeatable(service, req.method, req.path),
--- a/src/snipebend/transport/crash_witness.py
+++ b/src/snipebend/transport/crash_reporter.py
@@ -1,4 +1,4 @@
-"""The agent's evidence: what was running when its upstream died."""
+"""Reports which attempts were running when an agent's upstream died."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 _MS_PER_S = 1000
 
 
-class _Running(NamedTuple):
+class _RunningAttempt(NamedTuple):
     request_id: str
     attempt: int
     fingerprint: str
 
 
-class CrashWitness(Service):
-    """Reports each death of the upstream once, with all that ran there."""
+class CrashReporter(Service):
+    """Reports each upstream death once, with all attempts running there."""
 
     def __init__(self, name: str, upstream: str) -> None:
-        """Begin with nothing running; ``upstream`` is the agent's name."""
+        """Initialize without attempts; ``upstream`` is the agent's name."""
         super().__init__(name)
         self._upstream = upstream
-        self._running: set[_Running] = set()
-        self._reported: dict[_Running, bool] = {}
+        self._running: set[_RunningAttempt] = set()
+        self._reported: dict[_RunningAttempt, bool] = {}
 
     async def start(self, registry: Registry) -> None:
-        """Find the way to control."""
+        """Look up the client of the control daemons."""
         self._clock = registry.clock
         self._tasks = registry.tasks
         self._control = registry.find('control-calls', ControlCalls)
 
     def begin(self, ticket: AttemptTicket, fingerprint: str) -> None:
-        """Note an attempt that starts."""
+        """Record the start of an attempt."""
         self._running.add(_identify(ticket, fingerprint))
 
-    def note_death(self, ticket: AttemptTicket, fingerprint: str) -> bool:
-        """Report the death if this attempt is the first to notice it.
+    def record_crash(self, ticket: AttemptTicket, fingerprint: str) -> bool:
+        """Report the death if this attempt is the first to detect it.
 
-        Return whether nothing else was running when the upstream died.
+        Return whether no other attempt was running when the upstream died.
         """
         attempt = _identify(ticket, fingerprint)
         if attempt not in self._reported:
@@ -56,7 +56,7 @@
         return self._reported[attempt]
 
     def end(self, ticket: AttemptTicket, fingerprint: str) -> None:
-        """Note an attempt's end."""
+        """Record the end of an attempt."""
         attempt = _identify(ticket, fingerprint)
         self._running.discard(attempt)
         self._reported.pop(attempt, None)
@@ -72,14 +72,14 @@
         self._tasks.once('report-crash', lambda: self._send(report))
 
     async def _send(self, report: CrashReport) -> None:
-        told = await self._control.report_crash(report)
+        reported = await self._control.report_crash(report)
         logger.warning(
             'event=upstream_died peer={} running={} told={}',
             self._upstream,
             len(report.fingerprints),
-            told.is_ok(),
+            reported.is_ok(),
         )
 
 
-def _identify(ticket: AttemptTicket, fingerprint: str) -> _Running:
-    return _Running(ticket.request_id, ticket.attempt, fingerprint)
+def _identify(ticket: AttemptTicket, fingerprint: str) -> _RunningAttempt:
+    return _RunningAttempt(ticket.request_id, ticket.attempt, fingerprint)
--- a/src/snipebend/transport/delivery_driver.py
+++ b/src/snipebend/transport/delivery_driver.py
@@ -1,4 +1,7 @@
-"""Drives one request's machine: its actions become I/O, I/O its events."""
+"""Drives the state machine of one request.
+
+Executes the actions of the machine as I/O and feeds it the resulting events.
+"""
 
 from __future__ import annotations
 
@@ -17,52 +20,54 @@
 )
 from snipebend.delivery.events import Arrived, CallerDisconnected, Event
 from snipebend.delivery.request_machine import RequestMachine
-from snipebend.transport.delivery_io import DeliveryIo, Inbox, Resources
+from snipebend.transport.delivery_io import DeliveryIo, Inbox, DeliveryResources
 
 if TYPE_CHECKING:
     from snipebend.delivery.facts import RequestFacts
     from snipebend.transport.asgi import Connection
-    from snipebend.transport.forward import Outgoing
+    from snipebend.transport.forward import OutgoingRequest
     from snipebend.transport.routed_request import RoutedRequest
 
-Answer: TypeAlias = RelayHead | Refuse | SendStoredResponse
-_ToCaller: TypeAlias = Answer | RelayChunk | FinishResponse | AbortResponse
+ResponseStart: TypeAlias = RelayHead | Refuse | SendStoredResponse
+_CallerOutput: TypeAlias = (
+    ResponseStart | RelayChunk | FinishResponse | AbortResponse
+)
 
 
 class Delivery:
-    """One request from its arrival to the last thing settled.
+    """One request from its arrival until its last settlement.
 
-    The caller's side pulls: ``begin`` returns the head of the answer and
-    ``body`` its pieces, so that a slow caller slows the upstream down.
+    The caller's side pulls: ``begin`` returns the head of the response and
+    ``body`` its chunks, so that a slow caller slows the upstream down.
     """
 
     def __init__(
         self,
-        shared: Resources,
-        outgoing: Outgoing,
+        shared: DeliveryResources,
+        outgoing: OutgoingRequest,
         routed: RoutedRequest,
     ) -> None:
-        """Prepare; ``outgoing`` is the request without its peer."""
+        """Initialize; ``outgoing`` is the request without its peer."""
         self.chunks = 0
         self._shared = shared
         self._machine = RequestMachine(shared.limits)
         self._inbox = Inbox()
         self.io = DeliveryIo(shared, outgoing, routed, self._inbox)
-        self._outputs: deque[_ToCaller] = deque()
+        self._outputs: deque[_CallerOutput] = deque()
 
     @property
     def done(self) -> bool:
-        """Tell whether nothing is left to do or to hand to the caller."""
+        """Return whether no work and no output for the caller is left."""
         return self._machine.done and not self._outputs
 
     async def begin(
         self,
         facts: RequestFacts,
         connection: Connection,
-    ) -> Answer | None:
-        """Go on until the answer begins; None: the caller is gone."""
+    ) -> ResponseStart | None:
+        """Run until the response begins; None if the caller disconnected."""
         self._inbox.post(Arrived(facts))
-        connection.when_gone(lambda: self._inbox.post(CallerDisconnected()))
+        connection.on_disconnect(lambda: self._inbox.post(CallerDisconnected()))
         while not self.done:
             output = await self._next_output()
             if isinstance(output, (RelayHead, Refuse, SendStoredResponse)):
@@ -70,7 +75,7 @@
         return None
 
     async def body(self) -> AsyncIterator[bytes | AbortResponse]:
-        """Yield the pieces of the body; an abort comes last if it comes."""
+        """Yield the chunks of the body; an abort, if any, is the last item."""
         while not self.done:
             output = await self._next_output()
             if isinstance(output, RelayChunk):
@@ -81,7 +86,7 @@
                 return
 
     async def settle(self) -> None:
-        """Do what is left after the caller's answer, and end all tasks."""
+        """Finish the work left after the caller's response; end all tasks."""
         self._inbox.post(CallerDisconnected())
         try:
             while not self._machine.done:
@@ -89,7 +94,7 @@
         finally:
             self.io.close()
 
-    async def _next_output(self) -> _ToCaller | None:
+    async def _next_output(self) -> _CallerOutput | None:
         while not self._outputs:
             if self._machine.done:
                 return None
@@ -112,7 +117,7 @@
             self._step(event)
 
     def _step(self, event: Event) -> None:
-        self.io.observe(event)
+        self.io.record_event(event)
         now = self._shared.clock.wall()
         for action in self._machine.step(event, now, self._shared.rng):
             self._perform(action)
--- a/src/snipebend/transport/directory_follower.py
+++ b/src/snipebend/transport/directory_follower.py
@@ -1,4 +1,4 @@
-"""The entry's copy of the directory, and its word on its configuration."""
+"""Follows the directory and confirms the entry's configuration."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     from snipebend.kernel.registry import Registry
     from snipebend.settings.model import EntrySettings
 
-#: Seconds between two words on the revision in force here; a new one is told
-#: at once.
-CONFIRM_EVERY_S = 1.0
+#: Seconds between two confirmations of the revision in force here; a new
+#: revision is confirmed immediately.
+CONFIRM_INTERVAL_S = 1.0
 
 
 class DirectoryFollower(Service):
-    """Keeps the upstreams that control knows, from whichever daemon answers.
+    """Keeps a copy of the directory from whichever control daemon responds.
 
-    While no daemon answers the last copy stays: an entry goes on serving with
-    the upstreams it knows, and finds dead ones by itself.
+    While no daemon responds, the last copy is kept: the entry continues to
+    serve with the upstreams it has, and detects dead ones itself.
     """
 
     def __init__(
@@ -42,20 +42,20 @@
         cfg: EntrySettings,
         clients: RpcClients,
     ) -> None:
-        """Keep the settings."""
+        """Initialize with an empty copy of the directory."""
         super().__init__(name)
         self._process_name = cfg.process.name
         self._control = tuple(cfg.control.addresses)
         self._max_upstreams = cfg.connections.max_upstreams
         self._clients = clients
         self._copy = DirectoryCopy()
-        #: Grows with each difference that was taken in.
+        #: Incremented with each applied difference.
         self.version = 0
-        #: When that was, on this process's clock.
-        self.heard_at: float = 0
+        #: When the last difference was applied, on the clock of this process.
+        self.received_at: float = 0
 
     async def start(self, registry: Registry) -> None:
-        """Start to follow and to confirm."""
+        """Start following the directory and confirming the configuration."""
         self._clock = registry.clock
         self._configuration = registry.find(
             'configuration',
@@ -73,7 +73,7 @@
         return self._copy.entries
 
     def upstreams(self) -> tuple[Announcement, ...]:
-        """Return the upstreams known right now."""
+        """Return the upstreams in the current copy."""
         return self._copy.upstreams()
 
     def dump(self) -> Mapping[str, object]:
@@ -98,7 +98,7 @@
             async for delta in deltas:
                 self._copy.apply(delta)
                 self.version += 1
-                self.heard_at = self._clock.now()
+                self.received_at = self._clock.now()
         except UnavailableError as exc:
             logger.warning('event=directory_lost peer={} error={!r}', peer, exc)
 
@@ -108,10 +108,10 @@
                 await self._clients.feed(peer, CONFIRM, self._confirmations())
             except UnavailableError as exc:
                 logger.debug('event=confirm_lost peer={} error={!r}', peer, exc)
-            await asyncio.sleep(CONFIRM_EVERY_S)
+            await asyncio.sleep(CONFIRM_INTERVAL_S)
 
     async def _confirmations(self) -> AsyncIterator[DirectoryRequest]:
         while True:
             revision = self._configuration.revision
             yield DirectoryRequest(self._process_name, revision)
-            await self._configuration.wait_newer(revision, CONFIRM_EVERY_S)
+            await self._configuration.wait_newer(revision, CONFIRM_INTERVAL_S)
--- a/src/snipebend/transport/dispatch.py
+++ b/src/snipebend/transport/dispatch.py
@@ -12,18 +12,18 @@
 from snipebend.transport.asgi import CONNECTION_KEY
 from snipebend.transport.control_calls import ControlCalls
 from snipebend.transport.delivery_driver import Delivery
-from snipebend.transport.delivery_io import Resources
+from snipebend.transport.delivery_io import DeliveryResources
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.meters import EntryMeters
 from snipebend.transport.request_facts import (
     correlation_id,
-    forwarded,
+    build_forwarded_request,
     gather_facts,
-    routing_request,
+    build_routing_request,
 )
 from snipebend.transport.request_record import RequestLabel, RequestRecord
 from snipebend.transport.routed_request import RoutedRequest
-from snipebend.transport.routing_desk import RoutingDesk
+from snipebend.transport.routing_service import RoutingService
 
 if TYPE_CHECKING:
     from falcon.asgi import Request
@@ -31,14 +31,14 @@
     from snipebend.fleet.lookup import FleetIndex
     from snipebend.kernel.registry import Registry
     from snipebend.settings.model import EntrySettings
-    from snipebend.transport.caller_checks import Wanted
+    from snipebend.transport.caller_checks import CheckedRequest
 
 
 class Dispatcher(Service):
-    """Knows every delivery in flight, also those that only settle."""
+    """Tracks all deliveries in flight, including those only settling."""
 
     def __init__(self, name: str, cfg: EntrySettings) -> None:
-        """Begin with nothing in flight."""
+        """Initialize without deliveries."""
         super().__init__(name)
         self.meters = EntryMeters()
         self._cfg = cfg
@@ -47,14 +47,14 @@
         self._idle.set()
 
     async def start(self, registry: Registry) -> None:
-        """Find what deliveries need."""
+        """Look up the services that deliveries use."""
         self._tasks = registry.tasks
-        self._shared = Resources(
+        self._shared = DeliveryResources(
             registry.clock,
             Random(),
             registry.find('client', HttpClient),
             registry.find('control-calls', ControlCalls),
-            registry.find('routing', RoutingDesk),
+            registry.find('routing', RoutingService),
             DeliveryLimits(self._cfg.process.name),
             self._cfg.connections.silent_after_s,
         )
@@ -71,39 +71,43 @@
         self,
         req: Request,
         index: FleetIndex,
-        wanted: Wanted,
+        checked: CheckedRequest,
     ) -> tuple[RequestRecord, Delivery]:
-        """Begin a delivery once it is admitted; ``close`` must follow."""
+        """Start a delivery after admission; ``close`` must be called later."""
         routing = index.fleet.routing
         clock = self._shared.clock
-        span = routing.request_timeout_s
-        facts = gather_facts(req, wanted, clock.wall() + span)
+        timeout_s = routing.request_timeout_s
+        facts = gather_facts(req, checked, clock.wall() + timeout_s)
         label = RequestLabel(
             correlation_id(req),
             req.path,
-            wanted.workspace.name,
+            checked.workspace.name,
         )
         record = RequestRecord(label, facts, clock, self.meters)
         self._in_flight += 1
         self._idle.clear()
         try:
-            verdict = await self._shared.desk.admit(
-                routing_request(index, req, wanted, clock.now() + span),
+            verdict = await self._shared.routing_service.admit(
+                build_routing_request(
+                    index, req, checked, clock.now() + timeout_s
+                ),
                 req.scope[CONNECTION_KEY],
             )
         except BaseException:
-            self._leave()
+            self._finish_one()
             raise
-        routed = RoutedRequest(self._shared.desk, verdict)
+        routed = RoutedRequest(self._shared.routing_service, verdict)
         shared = self._shared._replace(
             limits=self._shared.limits._replace(
                 max_stored_bytes=routing.answer_bytes,
             ),
         )
-        return record, Delivery(shared, forwarded(req, wanted), routed)
+        return record, Delivery(
+            shared, build_forwarded_request(req, checked), routed
+        )
 
     def close(self, record: RequestRecord, delivery: Delivery) -> None:
-        """Report the request; what is to be settled goes on."""
+        """Report the request; its settlement continues in a task."""
         if not record.closed:
             record.closed = True
             record.report(delivery)
@@ -113,9 +117,9 @@
         try:
             await delivery.settle()
         finally:
-            self._leave()
+            self._finish_one()
 
-    def _leave(self) -> None:
+    def _finish_one(self) -> None:
         self._in_flight -= 1
         if not self._in_flight:
             self._idle.set()
--- a/src/snipebend/transport/engine_call.py
+++ b/src/snipebend/transport/engine_call.py
@@ -1,4 +1,4 @@
-"""One attempt at the upstream, as the frames of its answer."""
+"""Calls the upstream for one attempt; yields the response as frames."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     is_done,
     is_error,
 )
-from snipebend.transport.forward import HttpClient, end_to_end, read_some
+from snipebend.transport.forward import HttpClient, end_to_end, read_chunk
 from snipebend.transport.frames import Beat, Broken, Chunk, End, Frame, Head
 
 if TYPE_CHECKING:
@@ -30,57 +30,60 @@
 
     from snipebend.delivery.messages import AttemptTicket
     from snipebend.transport.asgi import Connection
-    from snipebend.transport.forward import Outgoing
+    from snipebend.transport.forward import OutgoingRequest
 
-#: What a connection that never came about raises: nothing was sent.
-UNSENT = (ClientConnectorError, ConnectionTimeoutError)
+#: Errors raised when no connection was established: nothing was sent.
+CONNECT_ERRORS = (ClientConnectorError, ConnectionTimeoutError)
 
-#: What a peer that breaks off raises.
-BROKEN_OFF = (ClientError, OSError, ValueError)
+#: Errors raised when a peer aborts or violates the protocol.
+TRANSFER_ERRORS = (ClientError, OSError, ValueError)
 
-#: Seconds for which an upstream that broke off is watched for its end.
-DEATH_LOOK_S = 0.2
+#: Seconds for which an upstream is checked for death after it aborted.
+DEATH_CHECK_S = 0.2
 
-#: Seconds between two looks.
-LOOK_AGAIN_S = 0.02
+#: Seconds between two of these checks.
+DEATH_CHECK_INTERVAL_S = 0.02
 
 
 class EngineCall(NamedTuple):
-    """An admitted attempt; a sign of life goes out every ``beat_s``.
+    """An admitted attempt; sends a heartbeat every ``heartbeat_s``.
 
-    The upstream is cut off once ``asker`` is gone, which cancels its work. The
-    attempt breaks while ``is_down()`` tells that the upstream is silent.
+    The call is aborted when ``requester`` disconnects, which cancels the work
+    of the upstream. The attempt fails if the upstream sends nothing and
+    ``is_down()`` reports that it is unresponsive.
     """
 
     client: HttpClient
-    outgoing: Outgoing
+    outgoing: OutgoingRequest
     ticket: AttemptTicket
-    beat_s: float
-    asker: Connection
+    heartbeat_s: float
+    requester: Connection
     is_down: Callable[[], bool]
 
     async def frames(self) -> AsyncIterator[list[Frame]]:
-        """Yield the answer as lists of frames; the last is End or Broken."""
+        """Yield the response as lists of frames; the last is End or Broken."""
         attempt = self.ticket.attempt
         try:
             async with AsyncExitStack() as stack:
                 async for frames in self._exchange(stack):
                     yield frames
-        except UNSENT as exc:
+        except CONNECT_ERRORS as exc:
             yield [Broken(attempt, repr(exc), ran=False)]
-        except BROKEN_OFF as exc:
-            died = not self.asker.gone and await self._upstream_died()
+        except TRANSFER_ERRORS as exc:
+            died = (
+                not self.requester.disconnected and await self._upstream_died()
+            )
             yield [Broken(attempt, repr(exc), died=died)]
 
     async def _upstream_died(self) -> bool:
-        """Tell whether nothing listens at the upstream's address any more.
+        """Return whether the upstream's address refuses connections.
 
-        One that is just ending may still accept, so it is looked at again.
+        A process that is just exiting can still accept, so the check repeats.
         """
         with suppress(TimeoutError):
-            async with asyncio.timeout(DEATH_LOOK_S):
+            async with asyncio.timeout(DEATH_CHECK_S):
                 while not await self._is_refused():
-                    await asyncio.sleep(LOOK_AGAIN_S)
+                    await asyncio.sleep(DEATH_CHECK_INTERVAL_S)
                 return True
         return False
 
@@ -102,24 +105,29 @@
         sending = asyncio.ensure_future(
             stack.enter_async_context(self.client.send(self.outgoing)),
         )
-        stack.push_async_callback(_abandon, sending)
-        self.asker.when_gone(sending.cancel)
+        stack.push_async_callback(_cancel_request, sending)
+        self.requester.on_disconnect(sending.cancel)
         while not sending.done():
-            await asyncio.wait((sending,), timeout=self.beat_s)
+            await asyncio.wait((sending,), timeout=self.heartbeat_s)
             if not sending.done():
                 self._check_upstream()
                 yield [Beat()]
         if sending.cancelled():
-            yield [Broken(self.ticket.attempt, 'the asker is gone')]
+            yield [
+                Broken(
+                    self.ticket.attempt,
+                    'the asker is gone',
+                )
+            ]
             return
         response = sending.result()
-        self.asker.when_gone(response.close)
+        self.requester.on_disconnect(response.close)
         yield [self._head(response)]
         async for frames in self._body(response):
             yield frames
 
     def _check_upstream(self) -> None:
-        """Give up on an upstream that is quiet because it is frozen."""
+        """Abort the call if the upstream sends nothing because it is down."""
         if self.is_down():
             raise ServerTimeoutError(f'{self.outgoing.peer} is silent')
 
@@ -132,28 +140,28 @@
         self,
         response: ClientResponse,
     ) -> AsyncIterator[list[Frame]]:
-        cutter = _Cutter(self.ticket, _is_stream(response))
+        framer = _BodyFramer(self.ticket, _is_stream(response))
         while True:
             try:
-                received = await read_some(response, self.beat_s)
+                received = await read_chunk(response, self.heartbeat_s)
             except TimeoutError:
                 self._check_upstream()
                 yield [Beat()]
                 continue
             if not received:
                 break
-            frames = cutter.feed(received)
+            frames = framer.feed(received)
             if frames:
                 yield frames
-            if cutter.failed:
+            if framer.failed:
                 return
         path = self.outgoing.uri.partition('?')[0]
         needs_done = response.ok and path in COMPLETION_PATHS
-        yield [cutter.finish(needs_done=needs_done)]
+        yield [framer.finish(needs_done=needs_done)]
 
 
-class _Cutter:
-    """Numbers the pieces of a body: events of a stream, or any bytes."""
+class _BodyFramer:
+    """Splits a body into numbered chunks: events of a stream, or bytes."""
 
     def __init__(self, ticket: AttemptTicket, streams: bool) -> None:
         self.failed = False
@@ -164,7 +172,7 @@
 
     def feed(self, received: bytes) -> list[Frame]:
         if self._events is None:
-            return [self._number(received)]
+            return [self._next_chunk(received)]
         frames: list[Frame] = []
         for event in self._events.feed(received):
             if is_comment(event):
@@ -174,20 +182,20 @@
                 frames.append(Broken(self._attempt, 'error event'))
                 break
             self._done = is_done(event)
-            frames.append(self._number(event))
+            frames.append(self._next_chunk(event))
         return frames
 
     def finish(self, *, needs_done: bool) -> Frame:
-        """Judge the end of the body, which came cleanly by HTTP."""
+        """Return the last frame of a body that HTTP delivered completely."""
         events = self._events
-        cut = events is not None and (
+        incomplete = events is not None and (
             events.partial or (needs_done and not self._done)
         )
-        if cut:
+        if incomplete:
             return Broken(self._attempt, 'stream without its end')
         return End(self._attempt, self._seq)
 
-    def _number(self, payload: bytes) -> Chunk:
+    def _next_chunk(self, payload: bytes) -> Chunk:
         chunk = Chunk(self._attempt, self._seq, payload)
         self._seq += 1
         return chunk
@@ -197,7 +205,7 @@
     return response.ok and response.content_type == MEDIA_EVENTS
 
 
-async def _abandon(sending: asyncio.Future[ClientResponse]) -> None:
+async def _cancel_request(sending: asyncio.Future[ClientResponse]) -> None:
     sending.cancel()
-    with suppress(asyncio.CancelledError, *BROKEN_OFF):
+    with suppress(asyncio.CancelledError, *TRANSFER_ERRORS):
         await sending
--- a/src/snipebend/transport/engine_client.py
+++ b/src/snipebend/transport/engine_client.py
@@ -1,4 +1,4 @@
-"""The engine's interface for orders, ranks and expert loads, over HTTP."""
+"""HTTP client of the engine for orders, rank states and loads."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
     OrderOutcome,
     OrderReply,
 )
-from snipebend.transport.forward import Outgoing
+from snipebend.transport.forward import OutgoingRequest
 
 if TYPE_CHECKING:
     from snipebend.transport.forward import HttpClient
 
-Answer = TypeVar('Answer')
+Reply = TypeVar('Reply')
 
-#: Seconds for a question to the engine beside it.
+#: Time-out of a read from the engine beside the agent.
 READ_TIMEOUT_S = 2.0
 
 _FAILURES = (ClientError, OSError, asyncio.TimeoutError)
 _JSON = MappingProxyType({'content-type': 'application/json'})
 
 
-class _Answered(NamedTuple):
+class _HttpReply(NamedTuple):
     status: int
     body: bytes
 
 
 class EngineClient:
-    """Calls the one engine beside the agent."""
+    """Calls the engine that runs beside the agent."""
 
     def __init__(self, address: str, http: HttpClient) -> None:
-        """Keep the engine's ``host:port``."""
+        """Initialize with the ``host:port`` of the engine."""
         self._address = address
         self._http = http
 
@@ -52,46 +52,46 @@
         order: EngineOrder,
         timeout: float,
     ) -> OrderReply:
-        """Pass an order on and break off after ``timeout`` seconds.
+        """Send an order and abort after ``timeout`` seconds.
 
-        No answer means that the order may have an effect.
+        Without a response, the order may still have taken effect.
         """
-        answer = await self._send(
+        reply = await self._send(
             'POST',
             '/orders',
             timeout,
             msgspec.json.encode(order),
         )
-        if answer.is_err():
-            reason = answer.unwrap_err().message
+        if reply.is_err():
+            reason = reply.unwrap_err().message
             return OrderReply(OrderOutcome.UNKNOWN, order.fence, reason)
-        return _read_reply(order, answer.unwrap())
+        return _read_reply(order, reply.unwrap())
 
     async def rank_state(self) -> Result[EngineState, UnavailableError]:
-        """Return the map in force and the step in progress."""
+        """Return the expert map in force and the step in progress."""
         return await self._read('/ranks', EngineState)
 
     async def expert_load(self) -> Result[ExpertLoadReply, UnavailableError]:
-        """Return the counts since the last call."""
+        """Return the expert load counts since the last call."""
         return await self._read('/expert-load', ExpertLoadReply)
 
     async def load(self) -> Result[EngineLoad, UnavailableError]:
-        """Return the load as the engine reports it, late."""
+        """Return the load that the engine reports, which lags behind."""
         return await self._read('/load', EngineLoad)
 
     async def _read(
         self,
         uri: str,
-        kind: type[Answer],
-    ) -> Result[Answer, UnavailableError]:
-        answer = await self._send('GET', uri, READ_TIMEOUT_S)
-        if answer.is_err():
-            return Err(answer.unwrap_err())
-        answered = answer.unwrap()
-        if answered.status != HTTPStatus.OK:
-            return Err(self._fail(uri, f'status {answered.status}'))
+        kind: type[Reply],
+    ) -> Result[Reply, UnavailableError]:
+        reply = await self._send('GET', uri, READ_TIMEOUT_S)
+        if reply.is_err():
+            return Err(reply.unwrap_err())
+        response = reply.unwrap()
+        if response.status != HTTPStatus.OK:
+            return Err(self._fail(uri, f'status {response.status}'))
         try:
-            return Ok(msgspec.json.decode(answered.body, type=kind))
+            return Ok(msgspec.json.decode(response.body, type=kind))
         except msgspec.DecodeError as exc:
             return Err(self._fail(uri, str(exc)))
 
@@ -101,12 +101,12 @@
         uri: str,
         timeout: float,
         body: bytes = b'',
-    ) -> Result[_Answered, UnavailableError]:
-        outgoing = Outgoing(method, self._address, uri, _JSON, body)
+    ) -> Result[_HttpReply, UnavailableError]:
+        outgoing = OutgoingRequest(method, self._address, uri, _JSON, body)
         try:
             async with asyncio.timeout(timeout):
                 async with self._http.send(outgoing) as resp:
-                    return Ok(_Answered(resp.status, await resp.read()))
+                    return Ok(_HttpReply(resp.status, await resp.read()))
         except _FAILURES as exc:
             await self._http.retire(self._address)
             return Err(self._fail(uri, str(exc) or type(exc).__name__))
@@ -115,9 +115,9 @@
         return UnavailableError(reason, step=uri, peer=self._address)
 
 
-def _read_reply(order: EngineOrder, answered: _Answered) -> OrderReply:
-    if answered.status != HTTPStatus.OK:
-        reason = answered.body.decode(errors='replace')
+def _read_reply(order: EngineOrder, response: _HttpReply) -> OrderReply:
+    if response.status != HTTPStatus.OK:
+        reason = response.body.decode(errors='replace')
         return OrderReply(OrderOutcome.REFUSED, order.fence, reason)
-    state = msgspec.json.decode(answered.body, type=EngineState)
+    state = msgspec.json.decode(response.body, type=EngineState)
     return OrderReply(OrderOutcome.EXECUTED, order.fence, state=state)
--- a/src/snipebend/transport/forward.py
+++ b/src/snipebend/transport/forward.py
@@ -1,4 +1,4 @@
-"""Passing a request on over HTTP: headers, and pools of connections."""
+"""Forwards requests over HTTP with one connection pool per peer."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 if TYPE_CHECKING:
     from aiohttp import ClientResponse
 
-#: Seconds to open a connection to a peer.
+#: Time-out for opening a connection to a peer.
 CONNECT_TIMEOUT_S = 1.0
 
-#: Seconds for which an idle connection is kept: less than the five after
-#: which ``uvicorn`` closes it from its side, so that the two rarely race.
-IDLE_S = 3.0
+#: Seconds for which an idle connection is kept: less than the five seconds
+#: after which ``uvicorn`` closes it, so that a request rarely meets a
+#: connection that the server is closing.
+IDLE_TIMEOUT_S = 3.0
 
-#: Headers that belong to one hop only (RFC 9110, section 7.6.1).
+#: Headers that apply to one hop only (RFC 9110, section 7.6.1).
 _HOP_HEADERS = frozenset(
     (
         'connection',
@@ -36,13 +37,13 @@
         'upgrade',
     )
 )
-_DROPPED = _HOP_HEADERS | INTERNAL_HEADERS
+_DROPPED_HEADERS = _HOP_HEADERS | INTERNAL_HEADERS
 
 Headers = Mapping[str, str]
 
 
-class Outgoing(NamedTuple):
-    """A request on its way to a peer at ``host:port``."""
+class OutgoingRequest(NamedTuple):
+    """A request to send to the ``host:port`` in ``peer``."""
 
     method: str
     peer: str
@@ -52,7 +53,7 @@
 
 
 class _Pool:
-    """The connections to one peer; closed after its last use if retired."""
+    """The connections to one peer; if retired, closed after the last use."""
 
     def __init__(self) -> None:
         self.in_use = 0
@@ -61,12 +62,13 @@
             connector=TCPConnector(
                 limit=0,
                 use_dns_cache=False,
-                keepalive_timeout=IDLE_S,
+                keepalive_timeout=IDLE_TIMEOUT_S,
             ),
             timeout=ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
             auto_decompress=False,
         )
-        # Only the delivery's own rules say what may be sent twice.
+        # ``aiohttp`` must not resend: the delivery decides which requests may
+        # be sent twice.
         self.session._retry_connection = False
 
     async def __aenter__(self) -> ClientSession:
@@ -79,17 +81,17 @@
             await self.retire()
 
     async def retire(self) -> None:
-        """Close with the last use."""
+        """Close now, or after the last request in flight."""
         self._retired = True
         if not self.in_use:
             await self.session.close()
 
 
 class HttpClient(Service):
-    """The pools of outgoing HTTP connections of one process, one a peer."""
+    """Pools of outgoing HTTP connections of one process, one per peer."""
 
     def __init__(self, name: str) -> None:
-        """Open nothing yet."""
+        """Initialize without pools."""
         super().__init__(name)
         self._pools: dict[str, _Pool] = {}
 
@@ -100,9 +102,10 @@
         self._pools.clear()
 
     async def retire(self, peer: str) -> None:
-        """Use none of the connections to a peer again.
+        """Stop reusing the connections to a peer.
 
-        Requests in flight end on their connections; later ones get new ones.
+        Requests in flight finish on their connections; later requests open
+        new ones.
         """
         pool = self._pools.pop(peer, None)
         if pool is not None:
@@ -113,15 +116,17 @@
         return {peer: pool.in_use for peer, pool in self._pools.items()}
 
     def session(self, peer: str) -> ClientSession:
-        """Return the present session to a peer, for short calls."""
+        """Return the current session with a peer, for short calls."""
         return self._pool(peer).session
 
     @asynccontextmanager
-    async def send(self, outgoing: Outgoing) -> AsyncIterator[ClientResponse]:
-        """Send a request once and close the answer in the end.
+    async def send(
+        self, outgoing: OutgoingRequest
+    ) -> AsyncIterator[ClientResponse]:
+        """Send a request once and close the response on exit.
 
         Raises:
-            aiohttp.ClientError: when the peer can't be reached or breaks off.
+            aiohttp.ClientError: if the peer is unreachable or aborts.
         """
         async with self._pool(outgoing.peer) as session:
             response = await session.request(
@@ -145,19 +150,19 @@
 
 
 def end_to_end(headers: Headers) -> CIMultiDict[str]:
-    """Return the headers without those of one hop and without our own."""
+    """Return the headers without hop-by-hop and internal ones."""
     kept: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
-        if name.lower() not in _DROPPED:
+        if name.lower() not in _DROPPED_HEADERS:
             kept.add(name, value)
     return kept
 
 
-async def read_some(response: ClientResponse, timeout_s: float) -> bytes:
-    """Return the next bytes of a body, none at its end.
+async def read_chunk(response: ClientResponse, timeout_s: float) -> bytes:
+    """Return the next bytes of a body; empty at its end.
 
     Raises:
-        TimeoutError: after ``timeout_s`` seconds; reading may go on.
+        TimeoutError: after ``timeout_s`` seconds; the read can be repeated.
     """
     async with asyncio.timeout(timeout_s):
         return await response.content.readany()
--- a/src/snipebend/transport/load_reader.py
+++ b/src/snipebend/transport/load_reader.py
@@ -1,4 +1,4 @@
-"""The agent's look at the load that its engine reports."""
+"""Reads the load that an agent's engine reports."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 
 
 class LoadReader(Service):
-    """Asks an engine for its load as often as the agent announces it.
+    """Reads the load of an engine as often as the agent announces it.
 
-    A plain service is never asked, nor an engine before its policy is known.
+    Plain services are never asked, nor engines whose policy has not yet been
+    received.
     """
 
     def __init__(self, name: str, cfg: UpstreamSection) -> None:
-        """Keep the settings."""
+        """Initialize with an unknown load."""
         super().__init__(name)
         self._cfg = cfg
-        #: The used share of the KV cache; 0 while the engine doesn't tell.
+        #: The used share of the KV cache; 0 while the engine reports none.
         self.kv_use: float = 0
 
     async def start(self, registry: Registry) -> None:
-        """Find the configuration and begin to ask."""
+        """Look up the configuration and start the periodic reads."""
         self._configuration = registry.find(
             'configuration',
             ConfigurationFollower,
@@ -39,17 +40,17 @@
             self._cfg.address,
             registry.find('client', HttpClient),
         )
-        registry.tasks.start('read-load', self._read_for_ever)
+        registry.tasks.start('read-load', self._run_reads)
 
     def dump(self) -> Mapping[str, object]:
-        """Return what the engine said last."""
+        """Return the load that the engine reported last."""
         return {'kv_use': self.kv_use}
 
     async def read(self) -> None:
-        """Ask once."""
+        """Read the load once."""
         if self._is_engine():
-            answer = await self._engine.load()
-            self.kv_use = answer.unwrap().kv_use if answer.is_ok() else 0
+            reply = await self._engine.load()
+            self.kv_use = reply.unwrap().kv_use if reply.is_ok() else 0
 
     def _is_engine(self) -> bool:
         index = self._configuration.index
@@ -58,7 +59,7 @@
             for policy in index.fleet.upstreams
         )
 
-    async def _read_for_ever(self) -> None:
+    async def _run_reads(self) -> None:
         while True:
             await self.read()
             await asyncio.sleep(self._cfg.report_every_s)
--- a/src/snipebend/transport/meters.py
+++ b/src/snipebend/transport/meters.py
@@ -25,10 +25,10 @@
 
 
 class EntryMeters:
-    """What an entry counts of callers' requests."""
+    """Metrics of callers' requests at an entry."""
 
     def __init__(self) -> None:
-        """Make the instruments."""
+        """Create the instruments."""
         meter = get_meter()
         self._requests = meter.create_counter(
             'snipebend_requests',
@@ -54,27 +54,27 @@
         """Count a request as in flight."""
         self._in_flight += 1
 
-    def first_chunk(self, seconds: float) -> None:
-        """Note how long the first piece took."""
+    def record_first_chunk(self, seconds: float) -> None:
+        """Record the time to the first chunk of a response."""
         self._first_chunk.record(seconds)
 
     def end(self, outcome: str, chunks: int) -> None:
-        """Count a request that has ended."""
+        """Count a finished request."""
         self._in_flight -= 1
         self._requests.add(1, {'outcome': outcome})
         if chunks:
             self._chunks.add(chunks)
 
-    def refused(self, status: int) -> None:
+    def record_refusal(self, status: int) -> None:
         """Count a request that was refused before it was routed."""
         self._requests.add(1, {'outcome': 'not-run', 'status': str(status)})
 
 
 class AgentMeters:
-    """What an agent counts of attempts."""
+    """Metrics of the attempts at an agent."""
 
     def __init__(self) -> None:
-        """Make the instruments."""
+        """Create the instruments."""
         meter = get_meter()
         self._attempts = meter.create_counter('snipebend_attempts')
         self._chunks = meter.create_counter('snipebend_upstream_chunks')
@@ -88,9 +88,9 @@
         """Count an attempt as running."""
         self._running += 1
 
-    def end(self, ending: str, chunks: int) -> None:
-        """Count an attempt that has ended."""
+    def end(self, outcome: str, chunks: int) -> None:
+        """Count a finished attempt."""
         self._running -= 1
-        self._attempts.add(1, {'ending': ending})
+        self._attempts.add(1, {'ending': outcome})
         if chunks:
             self._chunks.add(chunks)
--- a/src/snipebend/transport/request_facts.py
+++ b/src/snipebend/transport/request_facts.py
@@ -1,4 +1,4 @@
-"""What an entry makes of a checked request before it is delivered."""
+"""Derives the inputs of delivery and routing from a checked request."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from snipebend.routing.prefix_index import hash_chain
 from snipebend.routing.quarantine import fingerprint_of
 from snipebend.transport.asgi import BODY_KEY
-from snipebend.transport.forward import Outgoing, end_to_end
+from snipebend.transport.forward import OutgoingRequest, end_to_end
 from snipebend.transport.problems import FINGERPRINT_HEADER, REQUEST_ID_HEADER
 
 if TYPE_CHECKING:
     from falcon.asgi import Request
 
     from snipebend.fleet.lookup import FleetIndex
-    from snipebend.transport.caller_checks import Wanted
+    from snipebend.transport.caller_checks import CheckedRequest
 
 KEY_HEADER = 'idempotency-key'
 
@@ -30,7 +30,7 @@
 
 
 def correlation_id(req: Request) -> str:
-    """Return the caller's own id of the request, or one made for it."""
+    """Return the request id given by the caller, or a generated one."""
     known: str = req.scope.get(_CORRELATION_KEY, '')
     if not known:
         given = req.get_header(REQUEST_ID_HEADER) or ''
@@ -42,30 +42,32 @@
 
 def gather_facts(
     req: Request,
-    wanted: Wanted,
+    checked: CheckedRequest,
     deadline_at: float,
 ) -> RequestFacts:
-    """Return what the delivery needs to know; the id is a new one."""
-    body = wanted.completion
+    """Return the facts for the delivery, with a new request id."""
+    body = checked.completion
     streaming = bool(body and body.stream)
     return RequestFacts(
         request_id=uuid4().hex,
-        workspace=wanted.workspace.name,
+        workspace=checked.workspace.name,
         key=req.get_header(KEY_HEADER) or '',
         fingerprint=_fingerprint(req),
-        repeatable=wanted.repeatable,
+        repeatable=checked.repeatable,
         streaming=streaming,
         resumable=streaming,
         deadline_at=deadline_at,
     )
 
 
-def forwarded(req: Request, wanted: Wanted) -> Outgoing:
-    """Return the request as it goes on, without a peer yet."""
+def build_forwarded_request(
+    req: Request, checked: CheckedRequest
+) -> OutgoingRequest:
+    """Return the request to forward; its peer is not set."""
     headers = end_to_end(req.headers)
     headers[REQUEST_ID_HEADER] = correlation_id(req)
-    headers[FINGERPRINT_HEADER] = crash_fingerprint(req, wanted)
-    return Outgoing(
+    headers[FINGERPRINT_HEADER] = crash_fingerprint(req, checked)
+    return OutgoingRequest(
         req.method,
         '',
         req.relative_uri,
@@ -74,32 +76,32 @@
     )
 
 
-def crash_fingerprint(req: Request, wanted: Wanted) -> str:
-    """Return the fingerprint under which upstreams' deaths are counted."""
+def crash_fingerprint(req: Request, checked: CheckedRequest) -> str:
+    """Return the fingerprint for counting the deaths of upstreams."""
     known: str = req.scope.get(_FINGERPRINT_KEY, '')
     if not known:
         body = req.scope[BODY_KEY]
-        known = fingerprint_of(wanted.workspace.name, req.path, body)
+        known = fingerprint_of(checked.workspace.name, req.path, body)
         req.scope[_FINGERPRINT_KEY] = known
     return known
 
 
-def routing_request(
+def build_routing_request(
     index: FleetIndex,
     req: Request,
-    wanted: Wanted,
+    checked: CheckedRequest,
     deadline_at: float,
 ) -> RoutingRequest:
-    """Return what routing needs to know; the deadline is on its clock."""
-    workspace = wanted.workspace
-    target = wanted.target or ModelTarget('')
-    body = wanted.completion
+    """Return the request for routing; the deadline is on its clock."""
+    workspace = checked.workspace
+    target = checked.target or ModelTarget('')
+    body = checked.completion
     return RoutingRequest(
         workspace.name,
         index.priority_of(workspace).name,
         target,
         deadline_at,
-        crash_fingerprint(req, wanted),
+        crash_fingerprint(req, checked),
         hash_chain(body.text) if body else (),
     )
 
--- a/src/snipebend/transport/request_record.py
+++ b/src/snipebend/transport/request_record.py
@@ -1,4 +1,4 @@
-"""The log line and the figures of one request at an entry."""
+"""Records the log line and the metrics of one request at an entry."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     from snipebend.transport.delivery_driver import Delivery
     from snipebend.transport.meters import EntryMeters
 
-_CUT = 'cut'
+_INTERRUPTED = 'cut'
 
 
 class RequestLabel(NamedTuple):
-    """What names a request in the log: the caller's id, path, workspace."""
+    """Labels of a request in the log: its caller's id, path, workspace."""
 
     correlation_id: str
     path: str
@@ -25,7 +25,7 @@
 
 
 class RequestRecord:
-    """Collects how a request goes and reports it once."""
+    """Collects the progress of a request and reports it once."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         clock: Clock,
         meters: EntryMeters,
     ) -> None:
-        """Begin to count."""
+        """Initialize and count the request as in flight."""
         self.facts = facts
         self.closed = False
         self._label = label
@@ -42,22 +42,24 @@
         self._meters = meters
         self._started_at = clock.now()
         self._status = 0
-        self._outcome = _CUT
-        self._passed = False
+        self._outcome = _INTERRUPTED
+        self._has_first_chunk = False
         meters.begin()
 
-    def began(self, status: int) -> None:
-        """Note the status that the caller gets."""
+    def record_status(self, status: int) -> None:
+        """Record the status sent to the caller."""
         self._status = status
 
-    def passed_chunk(self) -> None:
-        """Note the first piece of the body."""
-        if not self._passed:
-            self._passed = True
-            self._meters.first_chunk(self._clock.now() - self._started_at)
+    def record_chunk(self) -> None:
+        """Record a chunk of the body; the first one is timed."""
+        if not self._has_first_chunk:
+            self._has_first_chunk = True
+            self._meters.record_first_chunk(
+                self._clock.now() - self._started_at
+            )
 
-    def ended(self, outcome: Outcome, status: int = 0) -> None:
-        """Note what the caller was told."""
+    def record_outcome(self, outcome: Outcome, status: int = 0) -> None:
+        """Record the outcome reported to the caller."""
         self._outcome = outcome.value
         self._status = status or self._status
 
--- a/src/snipebend/transport/kept_answer.py
+++ b/src/snipebend/transport/response_recorder.py
@@ -1,4 +1,7 @@
-"""Watching an answer go by, and keeping it for inquiries if asked to."""
+"""Records the outcome of an attempt and, if asked to, its response.
+
+The agent returns a recorded response to seals of the attempt.
+"""
 
 from __future__ import annotations
 
@@ -8,38 +11,38 @@
 from snipebend.transport.frames import Broken, Chunk, End, Frame, Head
 
 
-class Ending(Enum):
-    """How an attempt at the upstream ended."""
+class UpstreamOutcome(Enum):
+    """Outcome of an attempt at the upstream."""
 
     COMPLETE = 'complete'
-    #: The upstream broke off after it was sent something.
+    #: The upstream aborted after something was sent to it.
     BROKEN = 'broken'
-    #: As before, and the upstream is gone.
+    #: The upstream aborted, and its address refuses connections.
     DIED = 'died'
     #: Nothing was sent to the upstream.
     UNSENT = 'unsent'
-    #: The asker was gone first, or it hasn't ended.
-    CUT = 'cut'
+    #: The requester disconnected first, or the attempt is still running.
+    INTERRUPTED = 'cut'
 
 
 _CONTENT_TYPE = 'content-type'
 
 
-class AnswerKeeper:
-    """Collects one answer up to a bound of bytes; 0 keeps nothing."""
+class ResponseRecorder:
+    """Records one response up to a limit of bytes; 0 stores nothing."""
 
     def __init__(self, limit: int) -> None:
-        """Start before the first frame."""
+        """Initialize before the first frame."""
         self.chunks = 0
-        self.ending = Ending.CUT
-        self._room = limit
+        self.outcome = UpstreamOutcome.INTERRUPTED
+        self._remaining_bytes = limit
         self._head: Head | None = None
         self._parts: list[bytes] | None = [] if limit else None
 
     @property
     def answer(self) -> StoredAnswer | None:
-        """Return the answer if it is complete and fitted."""
-        complete = self.ending is Ending.COMPLETE
+        """Return the response if it is complete and within the limit."""
+        complete = self.outcome is UpstreamOutcome.COMPLETE
         if not complete or self._head is None or self._parts is None:
             return None
         content_type = next(
@@ -53,25 +56,29 @@
         body = b''.join(self._parts)
         return StoredAnswer(self._head.status, content_type, body)
 
-    def note(self, frames: list[Frame]) -> None:
-        """Take the next frames."""
+    def record(self, frames: list[Frame]) -> None:
+        """Record the next frames."""
         for frame in frames:
             match frame:
                 case Head():
                     self._head = frame
                 case Chunk(payload=payload):
-                    self._keep(payload)
+                    self._record_chunk(payload)
                 case End():
-                    self.ending = Ending.COMPLETE
+                    self.outcome = UpstreamOutcome.COMPLETE
                 case Broken(died=True):
-                    self.ending = Ending.DIED
+                    self.outcome = UpstreamOutcome.DIED
                 case Broken(ran=ran):
-                    self.ending = Ending.BROKEN if ran else Ending.UNSENT
+                    self.outcome = (
+                        UpstreamOutcome.BROKEN
+                        if ran
+                        else UpstreamOutcome.UNSENT
+                    )
 
-    def _keep(self, payload: bytes) -> None:
+    def _record_chunk(self, payload: bytes) -> None:
         self.chunks += 1
-        self._room -= len(payload)
-        if self._room < 0:
+        self._remaining_bytes -= len(payload)
+        if self._remaining_bytes < 0:
             self._parts = None
         if self._parts is not None:
             self._parts.append(payload)
--- a/src/snipebend/transport/routed_request.py
+++ b/src/snipebend/transport/routed_request.py
@@ -1,4 +1,4 @@
-"""One request as routing deals with it: its verdict and its attempts."""
+"""Connects one request and its attempts to the routing service."""
 
 from __future__ import annotations
 
@@ -16,61 +16,66 @@
     RoutingRequest,
     Ticket,
 )
-from snipebend.routing.messages import RefusalReason as Reason
+from snipebend.routing.messages import RefusalReason as AdmissionRefusalReason
 
-from snipebend.transport.routing_desk import Chosen, RoutingDesk
+from snipebend.transport.routing_service import (
+    UpstreamSelection,
+    RoutingService,
+)
 
 if TYPE_CHECKING:
     from snipebend.delivery.suspect_lease import SuspectLease
     from snipebend.routing.messages import Admitted
 
 
-#: Refusals after which the upstream isn't chosen again for some time.
-_TAKES_OUT = frozenset((RefusalReason.LEAVING, RefusalReason.UPSTREAM_DOWN))
+#: Refusals after which the upstream is not chosen for some time.
+_UNAVAILABLE_REASONS = frozenset(
+    (RefusalReason.LEAVING, RefusalReason.UPSTREAM_DOWN)
+)
 
 _NO_TICKET = Ticket(-1, RoutingRequest('', '', ModelTarget(''), 0), 0)
 
-_ELSEWHERE = 'an earlier sending of this request has to end first'
+_RUNNING_ELSEWHERE = 'an earlier sending of this request has to end first'
 
 _STATUS = MappingProxyType(
     {
-        Reason.RATE: HTTPStatus.TOO_MANY_REQUESTS,
-        Reason.CONCURRENCY: HTTPStatus.TOO_MANY_REQUESTS,
-        Reason.QUARANTINED: HTTPStatus.UNPROCESSABLE_ENTITY,
-        Reason.UNKNOWN_TARGET: HTTPStatus.NOT_FOUND,
-        Reason.UNKNOWN_WORKSPACE: HTTPStatus.UNAUTHORIZED,
+        AdmissionRefusalReason.RATE: HTTPStatus.TOO_MANY_REQUESTS,
+        AdmissionRefusalReason.CONCURRENCY: HTTPStatus.TOO_MANY_REQUESTS,
+        AdmissionRefusalReason.QUARANTINED: HTTPStatus.UNPROCESSABLE_ENTITY,
+        AdmissionRefusalReason.UNKNOWN_TARGET: HTTPStatus.NOT_FOUND,
+        AdmissionRefusalReason.UNKNOWN_WORKSPACE: HTTPStatus.UNAUTHORIZED,
     },
 )
 
 
 @dataclass(slots=True)
-class _Sent:
-    """An attempt that routing counts; ``latency_s`` once a chunk came."""
+class _SentAttempt:
+    """An attempt counted by routing; ``latency_s`` is set by a chunk."""
 
     upstream: str
     sent_at: float
     latency_s: float | None = None
-    broken: AttemptOutcome = AttemptOutcome.FAILED
+    failure_outcome: AttemptOutcome = AttemptOutcome.FAILED
 
 
 class RoutedRequest:
-    """Asks routing for upstreams, and tells once how each attempt ended.
+    """Requests upstreams from routing and reports each outcome once.
 
-    A request that admission refused gets no upstream. Its refusal goes through
-    the delivery all the same, which knows whether its key has run before.
+    A request that admission refused gets no upstream. Its refusal still passes
+    through the delivery, which checks whether its idempotency key has run.
     """
 
     def __init__(
         self,
-        desk: RoutingDesk,
+        routing_service: RoutingService,
         verdict: Admitted | Refused,
     ) -> None:
-        """Begin without attempts."""
-        self._desk = desk
-        self._clock = desk.clock
+        """Initialize without attempts."""
+        self._routing_service = routing_service
+        self._clock = routing_service.clock
         self._refused = verdict if isinstance(verdict, Refused) else None
         self._ticket = getattr(verdict, 'ticket', _NO_TICKET)
-        self._sent: dict[int, _Sent] = {}
+        self._sent: dict[int, _SentAttempt] = {}
         self._free_retry = False
         self._lease: SuspectLease | None = None
         self._deaths_before = 0
@@ -78,146 +83,159 @@
     def choose(
         self,
         exclude: frozenset[str],
-    ) -> Chosen:
+    ) -> UpstreamSelection:
         """Choose the upstream of the next attempt.
 
-        One that took as many upstreams with it as the fleet file allows gets
-        no other: news of its quarantine may still be on its way.
+        A request that has killed as many upstreams as the fleet file allows
+        gets no further one, because its quarantine may not have been received
+        yet.
         """
         if self._refused is not None:
             return _refusal(self._refused)
         fingerprint = self._ticket.req.fingerprint
-        limit = self._desk.death_limit()
-        if self._desk.deaths.bars(fingerprint, limit, self._clock.now()):
-            return _refusal(Refused(Reason.QUARANTINED))
-        return self._desk.choose(self._ticket, exclude)
+        limit = self._routing_service.death_limit()
+        if self._routing_service.crash_counts.is_blocked(
+            fingerprint, limit, self._clock.now()
+        ):
+            return _refusal(Refused(AdmissionRefusalReason.QUARANTINED))
+        return self._routing_service.choose(self._ticket, exclude)
 
     def ask_retry(self) -> RetryGranted | RetryDenied:
-        """Ask for one more attempt.
+        """Request one more attempt.
 
-        After a refusal that takes the upstream out of the choice it is free:
-        such refusals can't repeat, and the budget is for work that failed.
+        After a refusal that makes the upstream unavailable, the retry is not
+        charged to the budget: such refusals cannot repeat, and the budget
+        limits retries of failed work.
         """
         if self._free_retry:
             self._free_retry = False
             return RetryGranted()
-        return self._desk.ask_retry()
+        return self._routing_service.ask_retry()
 
-    async def take_lease(self) -> NoUpstream | None:
-        """Make sure that a suspect runs nowhere else, or return a refusal.
+    async def acquire_lease(self) -> NoUpstream | None:
+        """Ensure that a suspect runs nowhere else, or return a refusal.
 
-        A death of the last attempt has to be counted before the next one, so
-        that its quarantine is heeded, whoever saw the deaths before.
+        A death in the last attempt must be counted before the next attempt,
+        so that its quarantine applies whichever entry observed the earlier
+        deaths.
         """
-        leases = self._desk.leases
+        leases = self._routing_service.leases
         req = self._ticket.req
         if self._lease is None:
             self._lease = leases.open(req.fingerprint, req.deadline_at)
-        wait_s = await leases.take(self._lease)
+        wait_s = await leases.acquire(self._lease)
         if not wait_s and self._lease.has_killed:
             wait_s = await self._wait_for_count(self._lease)
         if wait_s:
-            return NoUpstream(wait_s, detail=_ELSEWHERE)
-        quarantine = self._desk.router.quarantine
+            return NoUpstream(wait_s, detail=_RUNNING_ELSEWHERE)
+        quarantine = self._routing_service.router.quarantine
         now = self._clock.now()
         until = quarantine.blocked_until(req.fingerprint, now)
         if until is not None:
-            return _no_upstream(Refused(Reason.QUARANTINED, until - now))
+            return _no_upstream(
+                Refused(AdmissionRefusalReason.QUARANTINED, until - now)
+            )
         self._deaths_before = quarantine.death_count(req.fingerprint)
         return None
 
     async def _wait_for_count(self, lease: SuspectLease) -> float:
-        """Return the seconds to wait where the death isn't counted yet."""
+        """Return the seconds to wait if the death is not yet counted, or 0."""
         known = self._deaths_before
-        if await self._desk.await_death(lease.fingerprint, known):
+        if await self._routing_service.wait_for_death(lease.fingerprint, known):
             return 0
         return lease.expires_at - self._clock.wall()
 
     def close(self) -> None:
-        """Forget the request."""
+        """Release the lease and close the request in the router."""
         if self._lease is not None:
-            self._desk.leases.close(self._lease)
+            self._routing_service.leases.close(self._lease)
             self._lease = None
         if self._refused is None:
-            self._desk.close(self._ticket)
+            self._routing_service.close(self._ticket)
 
-    def started(self, attempt: int, upstream: str) -> None:
-        """Count an attempt as handed over."""
-        self._sent[attempt] = _Sent(upstream, self._clock.now())
-        self._desk.router.record_start(
+    def record_start(self, attempt: int, upstream: str) -> None:
+        """Record that an attempt is being sent to an upstream."""
+        self._sent[attempt] = _SentAttempt(upstream, self._clock.now())
+        self._routing_service.router.record_start(
             self._ticket, upstream, self._clock.now()
         )
         if self._lease is not None:
             self._lease.record_start()
 
-    def first_chunk(self, attempt: int) -> None:
-        """Note the time to the first chunk."""
+    def record_first_chunk(self, attempt: int) -> None:
+        """Record the time to the first chunk."""
         sent = self._sent.get(attempt)
         if sent is not None and sent.latency_s is None:
             sent.latency_s = self._clock.now() - sent.sent_at
 
-    def finished(self, attempt: int) -> None:
-        """Report an attempt that was served."""
-        self.first_chunk(attempt)
+    def record_success(self, attempt: int) -> None:
+        """Report a successful attempt."""
+        self.record_first_chunk(attempt)
         sent = self._sent.pop(attempt, None)
         if sent is not None:
-            self._desk.router.record_success(
+            self._routing_service.router.record_success(
                 self._ticket,
                 sent.upstream,
                 sent.latency_s or 0,
                 self._clock.now(),
             )
             fingerprint = self._ticket.req.fingerprint
-            self._desk.deaths.clear(fingerprint)
-            self._desk.on_served(fingerprint, self._lease is not None)
+            self._routing_service.crash_counts.clear(fingerprint)
+            self._routing_service.on_served(
+                fingerprint, self._lease is not None
+            )
         if self._lease is not None:
             self._lease.record_served()
 
-    def refused(self, attempt: int, reason: RefusalReason) -> None:
-        """Report an attempt that the agent didn't start."""
+    def record_refusal(self, attempt: int, reason: RefusalReason) -> None:
+        """Report an attempt that the agent refused to start."""
         sent = self._sent.pop(attempt, None)
         if sent is None:
             return
-        self._free_retry = reason in _TAKES_OUT
+        self._free_retry = reason in _UNAVAILABLE_REASONS
         if self._lease is not None and reason.proves_not_run:
             self._lease.record_not_run()
         if reason is RefusalReason.LEAVING:
-            self._desk.note_leaving(sent.upstream)
+            self._routing_service.record_leaving(sent.upstream)
         is_down = reason is RefusalReason.UPSTREAM_DOWN
         if is_down:
-            self._desk.note_down(sent.upstream)
+            self._routing_service.record_down(sent.upstream)
         outcome = AttemptOutcome.FAILED if is_down else AttemptOutcome.REFUSED
         if reason is RefusalReason.NOT_ALONE:
-            # No sign of overload: the upstream's limit stays.
+            # This does not indicate overload: the upstream's limit stays.
             outcome = AttemptOutcome.CANCELLED
-        self._failed(sent.upstream, outcome)
+        self._record_failure(sent.upstream, outcome)
 
-    def died(self, attempt: int, alone: bool) -> None:
-        """Note that an attempt will break because its upstream died."""
+    def record_upstream_death(self, attempt: int, alone: bool) -> None:
+        """Record that an attempt is about to fail: its upstream died."""
         sent = self._sent.get(attempt)
         if sent is not None:
             fingerprint = self._ticket.req.fingerprint
-            self._desk.deaths.note(fingerprint, alone, self._clock.now())
-            sent.broken = AttemptOutcome.CRASHED
-            self._desk.note_down(sent.upstream)
+            self._routing_service.crash_counts.record_crash(
+                fingerprint, alone, self._clock.now()
+            )
+            sent.failure_outcome = AttemptOutcome.CRASHED
+            self._routing_service.record_down(sent.upstream)
             if self._lease is not None:
                 self._lease.record_death()
 
-    def broke(self, attempt: int, *, was_sent: bool) -> None:
-        """Report an attempt that broke off."""
+    def record_failure(self, attempt: int, *, was_sent: bool) -> None:
+        """Report an attempt that was aborted."""
         sent = self._sent.pop(attempt, None)
         if self._lease is not None and not was_sent:
             self._lease.record_not_run()
         if sent is not None:
-            self._failed(sent.upstream, sent.broken)
+            self._record_failure(sent.upstream, sent.failure_outcome)
 
-    def _failed(self, upstream: str, outcome: AttemptOutcome) -> None:
+    def _record_failure(self, upstream: str, outcome: AttemptOutcome) -> None:
         now = self._clock.now()
-        self._desk.router.record_failure(self._ticket, upstream, outcome, now)
+        self._routing_service.router.record_failure(
+            self._ticket, upstream, outcome, now
+        )
 
 
-def _refusal(refused: Refused) -> Chosen:
-    return Chosen(_no_upstream(refused))
+def _refusal(refused: Refused) -> UpstreamSelection:
+    return UpstreamSelection(_no_upstream(refused))
 
 
 def _no_upstream(refused: Refused) -> NoUpstream:
--- a/src/snipebend/transport/suspect_follower.py
+++ b/src/snipebend/transport/suspect_follower.py
@@ -1,4 +1,4 @@
-"""The entry's copy of the requests suspected of killing upstreams."""
+"""Follows the shared list of requests suspected of killing upstreams."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 from snipebend.routing.views import SuspectView
 from snipebend.state.crashes import SuspectCleared, SuspectList, SuspectQuery
 from snipebend.transport.control_calls import ControlCalls
-from snipebend.transport.routing_desk import RoutingDesk
+from snipebend.transport.routing_service import RoutingService
 
 if TYPE_CHECKING:
     from snipebend.kernel.registry import Registry
 
-#: Seconds between two questions for news.
-ASK_EVERY_S = 0.5
+#: Seconds between two polls of the shared list.
+POLL_INTERVAL_S = 0.5
 
-#: Seconds between two questions while a request waits for a death's count.
-ASK_AGAIN_S = 0.02
+#: Seconds between two polls while a request waits for a death to be counted.
+DEATH_POLL_INTERVAL_S = 0.02
 
-#: Seconds for which a request waits for a death's count.
-DEATH_PATIENCE_S = 2.0
+#: Seconds that a request waits for a death to be counted.
+DEATH_TIMEOUT_S = 2.0
 
 
 class SuspectFollower(Service):
-    """Shows the shared suspects to the router and clears those served."""
+    """Updates the router's suspects and clears those that were served."""
 
     def __init__(self, name: str, process_name: str) -> None:
-        """Begin without suspects."""
+        """Initialize without suspects."""
         super().__init__(name)
         self._process_name = process_name
         self._revision = -1
         self._deaths: dict[str, int] = {}
 
     async def start(self, registry: Registry) -> None:
-        """Begin to ask."""
+        """Connect to the routing service and start polling."""
         self._clock = registry.clock
         self._tasks = registry.tasks
         self._control = registry.find('control-calls', ControlCalls)
-        self._desk = registry.find('routing', RoutingDesk)
-        self._desk.on_served = self._served
-        self._desk.await_death = self._await_death
+        self._routing_service = registry.find('routing', RoutingService)
+        self._routing_service.on_served = self._handle_served
+        self._routing_service.wait_for_death = self._wait_for_death
         registry.tasks.start('follow-suspects', self._follow)
 
     def dump(self) -> Mapping[str, object]:
@@ -51,62 +51,65 @@
 
     async def _follow(self) -> None:
         while True:
-            await self._ask()
-            await asyncio.sleep(ASK_EVERY_S)
+            await self._poll()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _ask(self) -> None:
+    async def _poll(self) -> None:
         query = SuspectQuery(self._process_name, self._revision)
-        answer = await self._control.suspects(query)
-        if answer.is_ok():
-            self._take(answer.unwrap())
+        reply = await self._control.suspects(query)
+        if reply.is_ok():
+            self._apply(reply.unwrap())
 
-    def _take(self, news: SuspectList) -> None:
-        if news.revision == self._revision:
+    def _apply(self, suspect_list: SuspectList) -> None:
+        if suspect_list.revision == self._revision:
             return
-        self._revision = news.revision
-        self._deaths = {one.fingerprint: one.deaths for one in news.suspects}
-        # Quarantines end at wall times; the router has a clock of its own.
+        self._revision = suspect_list.revision
+        self._deaths = {
+            one.fingerprint: one.deaths for one in suspect_list.suspects
+        }
+        # Quarantines end at wall-clock times; the router uses the clock of
+        # this process, whose start differs.
         offset = self._clock.now() - self._clock.wall()
-        self._desk.router.update_suspects(
+        self._routing_service.router.update_suspects(
             SuspectView(
                 one.fingerprint,
                 one.deaths,
                 max(0, one.quarantined_until + offset),
             )
-            for one in news.suspects
+            for one in suspect_list.suspects
         )
 
-    def _served(self, fingerprint: str, alone: bool) -> None:
+    def _handle_served(self, fingerprint: str, alone: bool) -> None:
         deaths = self._deaths.get(fingerprint)
         if deaths is not None:
             cleared = SuspectCleared(fingerprint, deaths)
             self._tasks.once('clear-suspect', lambda: self._clear(cleared))
         elif alone:
             self._tasks.once(
-                'clear-suspect', lambda: self._clear_unread(fingerprint)
+                'clear-suspect', lambda: self._clear_after_poll(fingerprint)
             )
 
-    async def _await_death(self, fingerprint: str, known: int) -> bool:
-        give_up_at = self._clock.now() + DEATH_PATIENCE_S
+    async def _wait_for_death(self, fingerprint: str, known: int) -> bool:
+        give_up_at = self._clock.now() + DEATH_TIMEOUT_S
         while self._deaths.get(fingerprint, 0) <= known:
             if self._clock.now() >= give_up_at:
                 return False
-            await asyncio.sleep(ASK_AGAIN_S)
-            await self._ask()
+            await asyncio.sleep(DEATH_POLL_INTERVAL_S)
+            await self._poll()
         return True
 
-    async def _clear_unread(self, fingerprint: str) -> None:
-        """Clear a suspect whose first death this entry hasn't read yet.
+    async def _clear_after_poll(self, fingerprint: str) -> None:
+        """Clear a suspect whose first death this entry has not read yet.
 
-        Its lease kept it from running elsewhere, so that a death which is
-        counted by now came before the run that clears it.
+        The lease kept the request from running elsewhere, so any death counted
+        by now precedes the run that clears it.
         """
-        await self._ask()
+        await self._poll()
         deaths = self._deaths.get(fingerprint)
         if deaths is not None:
             await self._clear(SuspectCleared(fingerprint, deaths))
 
     async def _clear(self, cleared: SuspectCleared) -> None:
-        answer = await self._control.clear_suspect(cleared)
-        if answer.is_ok():
-            self._take(answer.unwrap())
+        reply = await self._control.clear_suspect(cleared)
+        if reply.is_ok():
+            self._apply(reply.unwrap())
--- a/src/snipebend/transport/upstream_api.py
+++ b/src/snipebend/transport/upstream_api.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP interface: passes attempts on to the one upstream."""
+"""The agent's HTTP interface: forwards attempts to its upstream."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from snipebend.kernel.service import Service
 from snipebend.transport.asgi import (
     build_sink_app,
-    largest_body,
+    default_body_limit,
 )
-from snipebend.transport.crash_witness import CrashWitness
-from snipebend.transport.engine_calls import find_engine_calls
+from snipebend.transport.crash_reporter import CrashReporter
+from snipebend.transport.engine_call_factory import create_engine_call_factory
 from snipebend.transport.followers import ConfigurationFollower
 from snipebend.transport.frames import (
     MEDIA_FRAMES,
@@ -30,7 +30,10 @@
     Frame,
     encode_frame,
 )
-from snipebend.transport.kept_answer import AnswerKeeper, Ending
+from snipebend.transport.response_recorder import (
+    ResponseRecorder,
+    UpstreamOutcome,
+)
 from snipebend.transport.meters import AgentMeters
 from snipebend.transport.agent_methods import SEAL
 from snipebend.transport.problems import (
@@ -50,8 +53,8 @@
     from snipebend.transport.http_server import HttpServer
 
 
-#: Answers up to this many bytes are kept before a configuration is known.
-_ANSWER_BYTES = 262_144
+#: Limit in bytes of stored responses until a configuration is received.
+_DEFAULT_STORED_BYTES = 262_144
 _MS_PER_S = 1000
 
 _NO_TICKET = Problem(
@@ -63,7 +66,7 @@
 
 
 class UpstreamRelay(Service):
-    """Guards the upstream: admits attempts, runs them and answers seals."""
+    """Guards the upstream: admits and runs attempts, responds to seals."""
 
     def __init__(
         self,
@@ -72,26 +75,28 @@
         http: HttpServer,
         grpc: RpcServer,
     ) -> None:
-        """Serve attempts on ``http`` and seals on ``grpc``."""
+        """Initialize; serves attempts on ``http`` and seals on ``grpc``."""
         super().__init__(name)
         self.running = 0
         self._cfg = cfg
         self._idle = asyncio.Event()
         self._idle.set()
         self._meters = AgentMeters()
-        http.serve(build_sink_app(self._serve, largest_body))
+        http.serve(build_sink_app(self._serve, default_body_limit))
         grpc.add(Endpoint(SEAL, self.seal))
 
     @property
     def incarnation(self) -> int:
-        """Return the number of this life of the agent."""
+        """Return the incarnation of the agent."""
         return self._guard.incarnation
 
     async def start(self, registry: Registry) -> None:
-        """Begin a new life, which knows of no attempts."""
+        """Begin a new incarnation, without attempts."""
         self._clock = registry.clock
-        self._witness = registry.find('witness', CrashWitness)
-        self._calls = find_engine_calls(registry, self._cfg.upstream)
+        self._crash_reporter = registry.find('witness', CrashReporter)
+        self._call_factory = create_engine_call_factory(
+            registry, self._cfg.upstream
+        )
         self._configuration = registry.find(
             'configuration',
             ConfigurationFollower,
@@ -102,17 +107,18 @@
         )
 
     async def drain(self) -> None:
-        """Refuse new attempts and wait for those that run.
+        """Refuse new attempts and wait for the running ones.
 
-        The listener stays for the grace period, so that entries that haven't
-        heard yet get the refusal, which proves that nothing ran.
+        The listener stays open for the grace period, so that entries that have
+        not received the announcement get the refusal, which proves that
+        nothing ran.
         """
         self._guard.leave()
         await asyncio.sleep(self._cfg.listen.grace_s)
         await self._idle.wait()
 
     async def seal(self, req: SealRequest) -> SealReply:
-        """Tell what became of an attempt, and bar it if it is unseen."""
+        """Return the verdict on an attempt; bar it if it has not arrived."""
         reply = self._guard.seal(req, self._clock.wall())
         logger.info(
             'event=sealed request={} attempt={} verdict={}',
@@ -123,7 +129,7 @@
         return reply
 
     def dump(self) -> Mapping[str, object]:
-        """Return the load."""
+        """Return the running attempts and the incarnation."""
         return {'running': self.running, 'incarnation': self.incarnation}
 
     async def _serve(self, req: Request, resp: Response, **_: str) -> None:
@@ -132,16 +138,17 @@
             write_problem(resp, _NO_TICKET)
             return
         resp.content_type = MEDIA_FRAMES
-        resp.stream = self._answer(req, ticket)
+        resp.stream = self._respond(req, ticket)
 
-    async def _answer(
+    async def _respond(
         self,
         req: Request,
         ticket: AttemptTicket,
     ) -> AsyncIterator[bytes]:
-        """Admit the attempt once its answer is read, and run it.
+        """Admit and run the attempt when its response is first read.
 
-        Not before: an answer that nobody reads would hold its slot for ever.
+        Admitted earlier, a response that is never read would hold its slot
+        for ever.
         """
         admission = self._guard.admit(ticket, self._clock.wall())
         if isinstance(admission, Refused):
@@ -157,24 +164,26 @@
         req: Request,
         ticket: AttemptTicket,
     ) -> AsyncGenerator[bytes, None]:
-        """Yield the frames; whatever happens, the guard learns the end."""
-        keeper = AnswerKeeper(self._answer_bytes(ticket))
+        """Yield the frames; always report the end to the guard."""
+        recorder = ResponseRecorder(self._max_stored_bytes(ticket))
         fingerprint = req.get_header(FINGERPRINT_HEADER) or ''
         self._begin()
-        self._witness.begin(ticket, fingerprint)
+        self._crash_reporter.begin(ticket, fingerprint)
         try:
             yield encode_frame(Accepted(ticket.request_id, ticket.attempt))
-            async for frames in self._calls.build(req, ticket).frames():
-                keeper.note(frames)
-                if keeper.ending is Ending.UNSENT:
+            async for frames in self._call_factory.build(req, ticket).frames():
+                recorder.record(frames)
+                if recorder.outcome is UpstreamOutcome.UNSENT:
                     break
-                if keeper.ending is Ending.DIED:
-                    alone = self._witness.note_death(ticket, fingerprint)
+                if recorder.outcome is UpstreamOutcome.DIED:
+                    alone = self._crash_reporter.record_crash(
+                        ticket, fingerprint
+                    )
                     frames = [_mark_alone(one, alone) for one in frames]
                 yield b''.join(map(encode_frame, frames))
         finally:
-            refused = self._end(ticket, keeper, fingerprint)
-            self._log(req, ticket, keeper.ending.value)
+            refused = self._end(ticket, recorder, fingerprint)
+            self._log(req, ticket, recorder.outcome.value)
         if refused is not None:
             yield encode_frame(Declined(ticket.attempt, refused.reason))
 
@@ -186,39 +195,42 @@
     def _end(
         self,
         ticket: AttemptTicket,
-        keeper: AnswerKeeper,
+        recorder: ResponseRecorder,
         fingerprint: str,
     ) -> Refused | None:
-        self._witness.end(ticket, fingerprint)
-        self._meters.end(keeper.ending.value, keeper.chunks)
+        self._crash_reporter.end(ticket, fingerprint)
+        self._meters.end(recorder.outcome.value, recorder.chunks)
         self.running -= 1
         if not self.running:
             self._idle.set()
         attempt_id = (ticket.request_id, ticket.attempt)
-        match keeper.ending:
-            case Ending.COMPLETE:
-                self._guard.finish(*attempt_id, keeper.answer)
-            case Ending.UNSENT:
+        match recorder.outcome:
+            case UpstreamOutcome.COMPLETE:
+                self._guard.finish(*attempt_id, recorder.answer)
+            case UpstreamOutcome.UNSENT:
                 return self._guard.withdraw(*attempt_id)
             case _:
                 self._guard.fail(*attempt_id)
         return None
 
-    def _answer_bytes(self, ticket: AttemptTicket) -> int:
+    def _max_stored_bytes(self, ticket: AttemptTicket) -> int:
         if not ticket.keep_answer:
             return 0
         index = self._configuration.index
-        return index.fleet.routing.answer_bytes if index else _ANSWER_BYTES
+        return (
+            index.fleet.routing.answer_bytes if index else _DEFAULT_STORED_BYTES
+        )
 
-    def _log(self, req: Request, ticket: AttemptTicket, ending: str) -> None:
-        # The entry logs each request: here only what didn't go well counts.
-        level = 'DEBUG' if ending == Ending.COMPLETE.value else 'INFO'
+    def _log(self, req: Request, ticket: AttemptTicket, outcome: str) -> None:
+        # The entry logs each request, so complete attempts are only debug
+        # messages here.
+        level = 'DEBUG' if outcome == UpstreamOutcome.COMPLETE.value else 'INFO'
         logger.log(
             level,
             'event=attempt request={} id={} step={} attempt={} peer={}',
             req.get_header(REQUEST_ID_HEADER),
             ticket.request_id,
-            ending,
+            outcome,
             ticket.attempt,
             self._cfg.upstream.address,
         )
--- a/src/snipebend/transport/upstream_probe.py
+++ b/src/snipebend/transport/upstream_probe.py
@@ -1,4 +1,4 @@
-"""The agent's probe of its upstream: a small request again and again."""
+"""Probes an agent's upstream with periodic small requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from snipebend.kernel.service import Service
 from snipebend.membership.upstream_health import UpstreamHealth
-from snipebend.transport.forward import HttpClient, Outgoing
+from snipebend.transport.forward import HttpClient, OutgoingRequest
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -18,26 +18,26 @@
     from snipebend.kernel.registry import Registry
     from snipebend.settings.model import UpstreamSection
 
-#: What is asked; any answer, also "not found", shows that the upstream lives.
+#: Path of the probe; any response, even 404, shows that the upstream is up.
 PROBE_PATH = '/healthz'
 
 #: Seconds between two probes.
-PROBE_EVERY_S = 0.5
+PROBE_INTERVAL_S = 0.5
 
-#: Seconds for one probe.
+#: Time-out of one probe.
 PROBE_TIMEOUT_S = 1.0
 
 
 class UpstreamProbe(Service):
-    """Knows whether the upstream answers."""
+    """Tracks whether the upstream responds."""
 
     def __init__(self, name: str, cfg: UpstreamSection) -> None:
-        """Keep where the upstream listens."""
+        """Initialize with the settings of the upstream."""
         super().__init__(name)
         self._cfg = cfg
 
     async def start(self, registry: Registry) -> None:
-        """Begin to probe."""
+        """Start the periodic probes."""
         self._clock = registry.clock
         self._client = registry.find('client', HttpClient)
         self._health = UpstreamHealth(
@@ -47,30 +47,30 @@
         self._was_down = False
         self._task = registry.tasks.start(
             'probe-upstream',
-            self._probe_for_ever,
+            self._run_probes,
         )
 
     async def stop(self) -> None:
-        """End the probes before the client's pools are closed."""
+        """Stop the probes before the pools of the client are closed."""
         self._task.cancel()
 
     def is_down(self) -> bool:
-        """Tell whether the upstream has been silent for too long."""
+        """Return whether the upstream is unresponsive or refused a probe."""
         return self._health.is_down(self._clock.now())
 
     def dump(self) -> Mapping[str, object]:
         """Return whether the upstream is down."""
         return {'down': self.is_down()}
 
-    async def _probe_for_ever(self) -> None:
+    async def _run_probes(self) -> None:
         while True:
             await self._probe()
             self._log_change()
-            await asyncio.sleep(PROBE_EVERY_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
     async def _probe(self) -> None:
         peer = self._cfg.address
-        outgoing = Outgoing('GET', peer, PROBE_PATH, {}, b'')
+        outgoing = OutgoingRequest('GET', peer, PROBE_PATH, {}, b'')
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 async with self._client.send(outgoing):
@@ -78,7 +78,7 @@
         except ClientConnectorError:
             self._health.record_refusal(self._clock.now())
         except (ClientError, OSError, TimeoutError):
-            # The connection may be the silent one: the next probe is new.
+            # The connection itself may be dead: the next probe opens a new one.
             await self._client.retire(peer)
 
     def _log_change(self) -> None:
--- a/src/snipebend/transport/upstream_views.py
+++ b/src/snipebend/transport/upstream_views.py
@@ -1,4 +1,4 @@
-"""What the router is shown of the announced upstreams."""
+"""Converts announced upstreams into views for the router."""
 
 from __future__ import annotations
 
@@ -14,61 +14,63 @@
     from snipebend.membership.messages import Announcement
 
 
-class _Seen(NamedTuple):
-    """An announcement, and when its incarnation was news."""
+class _KnownUpstream(NamedTuple):
+    """An announcement, and when its incarnation was first received."""
 
     announcement: Announcement
     joined_at: float
 
 
 class UpstreamViews:
-    """Turns announcements into the router's views, on the entry's clock.
+    """Converts announcements into the router's views, on the entry's clock.
 
-    An upstream that refused work because it is leaving counts as leaving,
-    whatever its announcements still say, until it comes back.
+    An upstream that refused work because it is leaving counts as leaving, even
+    if later announcements do not say so, until a new incarnation is announced.
     """
 
     def __init__(self) -> None:
-        """Begin with no upstreams."""
-        self._seen: dict[str, _Seen] = {}
+        """Initialize without upstreams."""
+        self._known_upstreams: dict[str, _KnownUpstream] = {}
         self._loads_at: float = 0
-        self._left: dict[str, int] = {}
+        self._left_incarnations: dict[str, int] = {}
         self._down_until: dict[str, float] = {}
 
     def update(
-        self, announcements: Iterable[Announcement], heard_at: float
+        self, announcements: Iterable[Announcement], received_at: float
     ) -> None:
-        """Replace the announcements; those not named are gone.
+        """Replace all announcements; upstreams not named are removed.
 
-        All their loads count as of ``heard_at``, when control last told what
-        changed: what it left out is still so, within ``CHANGE_SHARE``.
+        All loads are dated ``received_at``, the time of the last difference
+        from control: a load that it left out is unchanged, within
+        ``CHANGE_SHARE``.
         """
-        self._loads_at = heard_at
-        self._seen = {
-            one.upstream: self._compare(one, heard_at) for one in announcements
+        self._loads_at = received_at
+        self._known_upstreams = {
+            one.upstream: self._build_known(one, received_at)
+            for one in announcements
         }
 
-    def note_down(self, upstream: str, until: float) -> None:
-        """Remember that an agent found nothing at its upstream's address."""
+    def record_down(self, upstream: str, until: float) -> None:
+        """Record that the address of an upstream refuses connections."""
         self._down_until[upstream] = until
 
     def expire(self, now: float) -> bool:
-        """Try those again whose time is over; tell whether there are any."""
-        over = [name for name, at in self._down_until.items() if at <= now]
-        for name in over:
+        """Restore upstreams whose hold has expired; return if there are any."""
+        expired = [name for name, at in self._down_until.items() if at <= now]
+        for name in expired:
             self._down_until.pop(name)
-        return bool(over)
+        return bool(expired)
 
     def views(self) -> tuple[UpstreamView, ...]:
-        """Return all upstreams as the router sees them."""
-        return tuple(map(self._view, self._seen.values()))
+        """Return the router's views of all upstreams."""
+        return tuple(map(self._view, self._known_upstreams.values()))
 
     def target(self, upstream: str) -> Target | None:
-        """Return where an upstream is reached, None if it has gone."""
-        seen = self._seen.get(upstream)
-        if seen is None:
+        """Return the addresses of an upstream, None if it was removed."""
+        known = self._known_upstreams.get(upstream)
+        if known is None:
             return None
-        announcement = seen.announcement
+        announcement = known.announcement
         return Target(
             announcement.upstream,
             announcement.incarnation,
@@ -76,22 +78,28 @@
             announcement.grpc_address,
         )
 
-    def note_leaving(self, upstream: str) -> None:
-        """Remember that this life of an upstream takes no new work."""
-        seen = self._seen.get(upstream)
-        if seen is not None:
-            self._left[upstream] = seen.announcement.incarnation
+    def record_leaving(self, upstream: str) -> None:
+        """Record that this incarnation of an upstream accepts no new work."""
+        known = self._known_upstreams.get(upstream)
+        if known is not None:
+            self._left_incarnations[upstream] = known.announcement.incarnation
 
-    def _compare(self, announcement: Announcement, now: float) -> _Seen:
-        known = self._seen.get(announcement.upstream)
+    def _build_known(
+        self, announcement: Announcement, now: float
+    ) -> _KnownUpstream:
+        known = self._known_upstreams.get(announcement.upstream)
         if known is None:
-            return _Seen(announcement, now)
-        same_life = known.announcement.incarnation == announcement.incarnation
-        return _Seen(announcement, known.joined_at if same_life else now)
+            return _KnownUpstream(announcement, now)
+        same_incarnation = (
+            known.announcement.incarnation == announcement.incarnation
+        )
+        return _KnownUpstream(
+            announcement, known.joined_at if same_incarnation else now
+        )
 
-    def _view(self, seen: _Seen) -> UpstreamView:
-        announcement = seen.announcement
-        left = self._left.get(announcement.upstream)
+    def _view(self, known: _KnownUpstream) -> UpstreamView:
+        announcement = known.announcement
+        left = self._left_incarnations.get(announcement.upstream)
         is_leaving = (
             announcement.phase is not Phase.SERVING
             or left == announcement.incarnation
@@ -109,5 +117,5 @@
                 announcement.kv_use,
                 self._loads_at,
             ),
-            joined_at=seen.joined_at,
+            joined_at=known.joined_at,
         )
--- a/tests/transport/test_engine_call.py
+++ b/tests/transport/test_engine_call.py
@@ -1,4 +1,8 @@
-"""How the agent judges the ends of an engine's answers, over a socket."""
+"""Outcomes of engine calls over sockets, by the way the response ends.
+
+Guards against an incomplete response that is taken for a complete one, and
+against a complete one that is reported as broken.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 from snipebend.delivery.messages import AttemptTicket
 from snipebend.transport.asgi import Connection
 from snipebend.transport.engine_call import EngineCall
-from snipebend.transport.forward import HttpClient, Outgoing
+from snipebend.transport.forward import HttpClient, OutgoingRequest
 from snipebend.transport.frames import Beat, Broken, Chunk, End, Frame, Head
 
 _HOST = '127.0.0.1'
@@ -18,36 +22,36 @@
 _CHUNKED = b'%btransfer-encoding: chunked\r\n\r\n' % _OK
 _STREAM = b'%bcontent-type: text/event-stream\r\n%b' % (_OK, _CHUNKED[17:])
 _A = b'data: a\n\n'
-_HALF = b'data: a\n\ndata: b'
+_PARTIAL = b'data: a\n\ndata: b'
 _ERROR = b'data: a\n\nevent: error\ndata: x\n\n'
-_WHOLE = b'data: a\n\ndata: [DONE]\n\n'
-_LAST = b'0\r\n\r\n'
+_COMPLETE = b'data: a\n\ndata: [DONE]\n\n'
+_LAST_CHUNK = b'0\r\n\r\n'
 
 
-def piece(payload: bytes) -> bytes:
-    """Return a piece of a chunked body."""
+def encode_chunk(payload: bytes) -> bytes:
+    """Return one chunk in the chunked transfer coding."""
     return b'%x\r\n%b\r\n' % (len(payload), payload)
 
 
 class Case(NamedTuple):
-    """What the engine sends, how many chunks go on, and the verdict."""
+    """Bytes of the engine, most chunks to expect, and the last frame."""
 
     sent: bytes
     chunks: int
-    ending: type[Frame]
+    last_frame: type[Frame]
     path: str = '/v1/completions'
 
 
 CASES = (
-    Case(b''.join((_STREAM, piece(_WHOLE), _LAST)), 2, End),
-    Case(b''.join((_STREAM, piece(_WHOLE))), 2, Broken),
-    Case(b''.join((_STREAM, piece(_A), _LAST)), 1, Broken),
-    Case(b''.join((_STREAM, piece(_HALF), _LAST)), 1, Broken),
-    Case(b''.join((_STREAM, piece(_ERROR), _LAST)), 1, Broken),
-    Case(b''.join((_STREAM, piece(_A), _LAST)), 1, End, '/feed'),
+    Case(b''.join((_STREAM, encode_chunk(_COMPLETE), _LAST_CHUNK)), 2, End),
+    Case(b''.join((_STREAM, encode_chunk(_COMPLETE))), 2, Broken),
+    Case(b''.join((_STREAM, encode_chunk(_A), _LAST_CHUNK)), 1, Broken),
+    Case(b''.join((_STREAM, encode_chunk(_PARTIAL), _LAST_CHUNK)), 1, Broken),
+    Case(b''.join((_STREAM, encode_chunk(_ERROR), _LAST_CHUNK)), 1, Broken),
+    Case(b''.join((_STREAM, encode_chunk(_A), _LAST_CHUNK)), 1, End, '/feed'),
     Case(b'%bcontent-length: 4\r\n\r\nbody' % _OK, 1, End),
     Case(b'%bcontent-length: 9\r\n\r\nbody' % _OK, 1, Broken),
-    Case(b''.join((_CHUNKED, piece(b'body'))), 1, Broken),
+    Case(b''.join((_CHUNKED, encode_chunk(b'body'))), 1, Broken),
     Case(b'HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n', 0, End),
     Case(b'no http at all\r\n\r\n', 0, Broken),
     Case(b'', 0, Broken),
@@ -58,9 +62,9 @@
     async def test_ends(self) -> None:
         for case in CASES:
             with self.subTest(case=case):
-                frames = _without_beats(await _call(case))
-                self.assertIsInstance(frames[-1], case.ending)
-                # What was read just before a break may be lost with it.
+                frames = _without_beats(await _call_engine(case))
+                self.assertIsInstance(frames[-1], case.last_frame)
+                # Bytes read just before an abort can be lost.
                 seqs = [one.seq for one in frames if isinstance(one, Chunk)]
                 self.assertEqual(seqs, list(range(7, 7 + len(seqs))))
                 self.assertLessEqual(len(seqs), case.chunks)
@@ -68,12 +72,12 @@
                     self.assertIsInstance(frames[0], Head)
                     self.assertEqual(frames[-1].next_seq, 7 + case.chunks)
 
-    async def test_nothing_listens(self) -> None:
-        frames = await _ask('127.0.0.1:1', '/', Connection())
+    async def test_connection_refused(self) -> None:
+        frames = await _collect_frames('127.0.0.1:1', '/', Connection())
         self.assertEqual([type(one) for one in frames], [Broken])
         self.assertFalse(frames[0].ran)
 
-    async def test_quiet_engine_beats_until_the_asker_is_gone(self) -> None:
+    async def test_heartbeats_until_the_requester_disconnects(self) -> None:
         quiet = asyncio.Event()
 
         async def serve(_: object, writer: asyncio.StreamWriter) -> None:
@@ -81,36 +85,40 @@
             writer.close()
 
         async with await asyncio.start_server(serve, _HOST, 0) as server:
-            asker = Connection()
-            asking = asyncio.create_task(_ask(_address(server), '/', asker))
+            requester = Connection()
+            collecting = asyncio.create_task(
+                _collect_frames(_address(server), '/', requester)
+            )
             await asyncio.sleep(0.1)
-            asker.close()
-            frames = await asking
+            requester.close()
+            frames = await collecting
             quiet.set()
         self.assertIsInstance(frames[0], Beat)
         self.assertIsInstance(frames[-1], Broken)
 
 
-async def _call(case: Case) -> list[Frame]:
+async def _call_engine(case: Case) -> list[Frame]:
     async def serve(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        # The agent also looks whether anybody listens, and says nothing.
+        # The agent also probes the address without sending a request.
         with suppress(asyncio.IncompleteReadError):
             await reader.readuntil(b'\r\n\r\n')
             writer.write(case.sent)
         writer.close()
 
     async with await asyncio.start_server(serve, _HOST, 0) as server:
-        return await _ask(_address(server), case.path, Connection())
+        return await _collect_frames(_address(server), case.path, Connection())
 
 
-async def _ask(peer: str, path: str, asker: Connection) -> list[Frame]:
+async def _collect_frames(
+    peer: str, path: str, requester: Connection
+) -> list[Frame]:
     client = HttpClient('client')
     ticket = AttemptTicket('r', 1, 1, 0, resume_from=7)
-    outgoing = Outgoing('POST', peer, path, {}, b'')
-    call = EngineCall(client, outgoing, ticket, 0.02, asker, bool)
+    outgoing = OutgoingRequest('POST', peer, path, {}, b'')
+    call = EngineCall(client, outgoing, ticket, 0.02, requester, bool)
     try:
         return [one async for frames in call.frames() for one in frames]
     finally:
