--- a/tests/upgrades/builds.py
+++ b/tests/upgrades/builds.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from tests.programs import PATIENCE_S, Program, start_daemon, start_module
+from tests.programs import WAIT_TIMEOUT_S, Program, start_daemon, start_module
 
 _WHERE = (
     'import snipebend, snipebend_platform;'
@@ -80,7 +80,9 @@
             env={**os.environ, **self.environment},
         )
         try:
-            out, err = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+            out, err = await asyncio.wait_for(
+                process.communicate(), WAIT_TIMEOUT_S
+            )
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/upgrades/waiting.py
+++ b/tests/upgrades/waiting.py
@@ -8,7 +8,7 @@
 
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from tests.programs import PATIENCE_S
+from tests.programs import WAIT_TIMEOUT_S
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Iterable
@@ -24,7 +24,7 @@
 async def until(what: str, look: Callable[[], Awaitable[Found]]) -> Found:
     """Look again and again until the answer is true; return it."""
     last: object = None
-    deadline = time.monotonic() + PATIENCE_S
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < deadline:
         try:
             found = await look()
