--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -1,4 +1,4 @@
-"""The platform's programs as processes on loopback, each on its own address."""
+"""Runs the platform's programs as processes on separate loopback addresses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def config(version, *prefixes):
-    """Return a configuration with these routes."""
+    """Return a configuration with a route for each path prefix."""
     routes = [
         {
             'name': prefix.strip('/'),
@@ -57,7 +57,7 @@
 
 
 def answer(req):
-    """Return an upstream's proved answer."""
+    """Return a response that carries the upstream's signature."""
     request_id = req.headers['snipebend-attempt-id']
     return (
         f'HTTP/1.1 200 OK\r\nSnipebend-Attempt-Id: {request_id}\r\n'
@@ -66,42 +66,42 @@
 
 
 def free_ports(number):
-    """Return ports that the system says are free."""
+    """Return ports that the system reports as free."""
     socks = [socket.socket() for _ in range(number)]
     for sock in socks:
         sock.bind(('127.0.0.1', 0))
-    ports = [one.getsockname()[1] for one in socks]
-    for taken in socks:
-        taken.close()
+    ports = [opened.getsockname()[1] for opened in socks]
+    for bound in socks:
+        bound.close()
     return ports
 
 
 class Deployment:
-    """Control daemons, one entry and upstreams of the test."""
+    """Control daemons, one entry and the upstreams of a test."""
 
     def __init__(self, folder: Path, stack: AsyncExitStack) -> None:
         self.folder = folder
         self.stack = stack
         ports = free_ports(5)
-        self.grpc = ports[0]
-        self.admin = ports[1]
-        self.outer = ports[2]
-        self.callers = ports[3]
-        self.ready = ports[4]
+        self.grpc_port = ports[0]
+        self.admin_port = ports[1]
+        self.outer_port = ports[2]
+        self.callers_port = ports[3]
+        self.ready_port = ports[4]
         self.seeds = [f'127.0.0.{number}:1' for number in (1, 2, 3)]
         self.controls: dict[str, Program] = {}
         self.session = ClientSession()
 
     async def start_control(self, host, *, bootstrap=False):
-        """Start a control daemon on an address of its own."""
+        """Start a control daemon on the given host address."""
         text = (
-            f'outer = "{host}:{self.outer}"\n'
+            f'outer = "{host}:{self.outer_port}"\n'
             f'[process]\nname = "core-{host}"\ndata_center = "dc-a"\n'
-            f'[listen]\nhost = "{host}"\ngrpc_port = {self.grpc}\n'
-            f'admin_port = {self.admin}\n'
+            f'[listen]\nhost = "{host}"\ngrpc_port = {self.grpc_port}\n'
+            f'admin_port = {self.admin_port}\n'
             f'[storage]\nfolder = "{self.folder / host}"\n'
             f'[seeds]\naddresses = {json.encode(self.seeds).decode()}\n'
-            f'grpc_port = {self.grpc}\n'
+            f'grpc_port = {self.grpc_port}\n'
             f'bootstrap = {str(bootstrap).lower()}\n'
         )
         program = await self._start('control', host, text)
@@ -111,30 +111,30 @@
     async def start_entry(self):
         """Start the entry."""
         text = (
-            f'callers = "{ENTRY_HOST}:{self.callers}"\n'
-            f'readiness = "{ENTRY_HOST}:{self.ready}"\n'
+            f'callers = "{ENTRY_HOST}:{self.callers_port}"\n'
+            f'readiness = "{ENTRY_HOST}:{self.ready_port}"\n'
             'stop_within_s = 3.0\n'
             '[process]\nname = "entry-1"\ndata_center = "dc-a"\n'
-            f'[listen]\nhost = "{ENTRY_HOST}"\nadmin_port = {self.admin}\n'
+            f'[listen]\nhost = "{ENTRY_HOST}"\nadmin_port = {self.admin_port}\n'
             f'[control]\naddresses = {json.encode(self.seeds).decode()}\n'
-            f'grpc_port = {self.grpc}\n'
+            f'grpc_port = {self.grpc_port}\n'
         )
         self.entry = await self._start('entry', 'entry', text)
         return self.entry
 
     async def start_upstream(self, script):
-        """Start an upstream that follows a script."""
+        """Start an upstream that handles requests with ``script``."""
         upstream = FakeUpstream(script)
         await upstream.start()
         self.stack.push_async_callback(upstream.stop)
         return upstream
 
     def wipe(self, host):
-        """Lose a daemon's disk."""
+        """Delete the data folder of a daemon."""
         shutil.rmtree(self.folder / host)
 
     async def call(self, path, body=None, hosts=()):
-        """Call control daemons in turn until one answers without a 5xx."""
+        """Call control daemons in turn until one responds without a 5xx."""
         turns = cycle(hosts or tuple(self.controls))
         async with asyncio.timeout(PATIENCE_S):
             while True:
@@ -144,17 +144,19 @@
                 await asyncio.sleep(POLL_S)
 
     async def call_one(self, host, path, body=None):
-        """Call one daemon once; status 0: no answer."""
+        """Call one daemon once; status 0 means no response."""
         method = 'GET' if body is None else 'POST'
-        url = f'http://{host}:{self.outer}{path}'
+        url = f'http://{host}:{self.outer_port}{path}'
         try:
             async with self.session.request(method, url, data=body) as resp:
                 return resp.status, await resp.read()
         except OSError:
             return 0, b''
 
-    async def beat(self, identity, upstream, state='ready', **options):
-        """Announce an upstream."""
+    async def send_heartbeat(
+        self, identity, upstream, state='ready', **options
+    ):
+        """Send a heartbeat of an upstream."""
         body = msgpack.encode(
             {
                 'service': CONFIG_SERVICE,
@@ -168,9 +170,11 @@
         path = f'/-/replicas/{identity}/heartbeat'
         return await self.call(path, body, **options)
 
-    async def ask(self, path='/a/', key='key', request_id='r1'):
-        """Send one request to the entry; return its answer."""
-        reader, writer = await asyncio.open_connection(ENTRY_HOST, self.callers)
+    async def send_request(self, path='/a/', key='key', request_id='r1'):
+        """Send one request to the entry and return the response."""
+        reader, writer = await asyncio.open_connection(
+            ENTRY_HOST, self.callers_port
+        )
         writer.write(
             (
                 f'POST {path} HTTP/1.1\r\nHost: {HOST}\r\n'
@@ -179,37 +183,37 @@
             ).encode()
         )
         async with asyncio.timeout(PATIENCE_S):
-            got = await read_answer(reader)
+            response = await read_answer(reader)
         writer.close()
-        return got
+        return response
 
-    async def ask_until(self, status, **options):
-        """Ask until the answer has this status."""
+    async def send_until(self, status, **options):
+        """Send requests until a response has this status."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
-                got = await self.ask(**options)
-                if got.status == status:
-                    return got
+                response = await self.send_request(**options)
+                if response.status == status:
+                    return response
                 await asyncio.sleep(POLL_S)
 
     async def dump(self, host):
         """Return the state dump of a process."""
-        url = f'http://{host}:{self.admin}/dump'
+        url = f'http://{host}:{self.admin_port}/dump'
         async with self.session.get(url) as resp:
             return await resp.json()
 
     async def metrics(self, host):
         """Return the text of a process's metrics."""
-        url = f'http://{host}:{self.admin}/metrics'
+        url = f'http://{host}:{self.admin_port}/metrics'
         async with self.session.get(url) as resp:
             return await resp.text()
 
-    async def metrics_until(self, host, figure):
-        """Read a process's metrics until they hold a figure."""
+    async def metrics_until(self, host, metric):
+        """Read a process's metrics until they contain a text."""
         async with asyncio.timeout(PATIENCE_S):
             while True:
                 text = await self.metrics(host)
-                if figure in text:
+                if metric in text:
                     return text
                 await asyncio.sleep(POLL_S)
 
@@ -229,13 +233,13 @@
 async def deployment(folder):
     """Run three control daemons and one entry."""
     async with AsyncExitStack() as stack:
-        made = Deployment(Path(folder), stack)
-        stack.push_async_callback(made.session.close)
+        cluster = Deployment(Path(folder), stack)
+        stack.push_async_callback(cluster.session.close)
         await asyncio.gather(
             *(
-                made.start_control(seed.partition(':')[0], bootstrap=True)
-                for seed in made.seeds
+                cluster.start_control(seed.partition(':')[0], bootstrap=True)
+                for seed in cluster.seeds
             ),
-            made.start_entry(),
+            cluster.start_entry(),
         )
-        yield made
+        yield cluster
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in their folder, and the folder small."""
+"""Names of the platform occur only in its adapter, which stays small."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from snipebend.settings.relay import RelaySettings
 
 ROOT = Path(__file__).parent.parent.parent
-FOLDER = ROOT / 'platform' / 'snipebend_platform'
+ADAPTER_FOLDER = ROOT / 'platform' / 'snipebend_platform'
 
-#: Headers, calls, and names of fields that mean nothing outside.
-NAMES = re.compile(
+#: Headers, paths and field names that belong to the platform only.
+PLATFORM_NAMES = re.compile(
     r'Snipebend-(?:[A-Z][a-z]+-?)+|/-/(?:replicas|config|order|picked|report)'
     + r'|\b(?:traffic_split|target_latency_ms|gap_aim_ms|api_keys'
     + r'|allow_anonymous|resume_streams|kv_tokens|expert_mb|heartbeat_addr'
     + r'|cold_remaining_ms|retry_budget_ratio|stability_window_ms)\b'
 )
-MAX_LINES = 900
+MAX_ADAPTER_LINES = 900
 
-#: What the platform fills into a template, of the fields that ours name.
-FILLED = MappingProxyType(
+#: Values that the platform fills into the fields of our templates.
+TEMPLATE_VALUES = MappingProxyType(
     {
         'listen.front': '10.1.0.40:8227',
         'listen.ready': '10.1.0.40:8220',
@@ -45,36 +45,38 @@
 
 
 class TestBoundary(unittest.TestCase):
-    """One folder speaks the platform's words."""
+    """Only the adapter uses the platform's names."""
 
-    def test_no_other_module_names_them(self):
+    def test_no_other_module_uses_platform_names(self):
         found = [
             f'{path.relative_to(ROOT)}: {match[0]}'
             for path in (ROOT / 'src').rglob('*.py')
-            for match in NAMES.finditer(path.read_text('utf-8'))
+            for match in PLATFORM_NAMES.finditer(path.read_text('utf-8'))
         ]
         self.assertEqual(found, [])
 
     def test_the_folder_is_small(self):
         lines = sum(
             len(path.read_text('utf-8').splitlines())
-            for path in FOLDER.rglob('*.py')
+            for path in ADAPTER_FOLDER.rglob('*.py')
         )
-        self.assertLessEqual(lines, MAX_LINES)
+        self.assertLessEqual(lines, MAX_ADAPTER_LINES)
 
 
 class TestTemplates(unittest.TestCase):
-    """The templates fill the product's own settings."""
+    """A filled template is a valid settings file."""
 
     def fill(self, name):
         text = (ROOT / 'deploy' / f'{name}.template').read_text('utf-8')
         text = re.sub(r'{{#seeds}}.*?{{/seeds}}', SEEDS, text)
         text = re.sub(
             r'{{#([\w.]+)}}(.*?){{\.}}{{/\1}}',
-            lambda match: match[2] + FILLED[match[1]],
+            lambda match: match[2] + TEMPLATE_VALUES[match[1]],
             text,
         )
-        return re.sub(r'{{([\w.]+)}}', lambda match: FILLED[match[1]], text)
+        return re.sub(
+            r'{{([\w.]+)}}', lambda match: TEMPLATE_VALUES[match[1]], text
+        )
 
     def test_entry(self):
         cfg = RelaySettings.from_table(tomllib.loads(self.fill('entry')))
--- a/tests/platform/test_declining.py
+++ b/tests/platform/test_declining.py
@@ -1,4 +1,4 @@
-"""The platform's entry before upstreams that want no work, as processes."""
+"""An entry process sends no requests to upstreams that decline them."""
 
 from __future__ import annotations
 
@@ -9,59 +9,62 @@
 from tests.platform.deployment import answer, config, deployment
 from tests.programs import PATIENCE_S
 
-#: Requests beside the first one that is served.
-NUMBER = 8
-RESTS = (
+#: Requests sent after the declining upstream received its first one.
+REQUESTS = 8
+RETRY_LATER = (
     'HTTP/1.1 503 Busy\r\nSnipebend-Not-Executed: 1\r\nRetry-After: 60\r\n'
     'Content-Length: 0\r\n\r\n'
 ).encode()
 
 
-async def whole(req, writer):
+async def serve(req, writer):
     writer.write(answer(req))
     return True
 
 
-async def rests(req, writer):
-    writer.write(RESTS)
+async def refuse_for_a_minute(req, writer):
+    writer.write(RETRY_LATER)
     return True
 
 
-async def leaves(req, writer):
+async def serve_and_leave(req, writer):
     head = b'HTTP/1.1 200 OK\r\nServer-Leaving: 1'
     writer.write(answer(req).replace(b'HTTP/1.1 200 OK', head))
     return True
 
 
 class TestDeclining(unittest.IsolatedAsyncioTestCase):
-    """What upstreams say in answers reaches the choice of the next call."""
+    """Response headers of an upstream affect the choice for the next call.
 
-    async def seen_by(self, script):
-        """Return how many requests the second of two upstreams got."""
+    Retry-After and Server-Leaving both exclude the upstream.
+    """
+
+    async def requests_received(self, script):
+        """Return how many requests the second of two upstreams received."""
         with tempfile.TemporaryDirectory() as folder:
-            async with deployment(folder) as made:
-                serving = await made.start_upstream(whole)
-                await made.call('/-/config/put', config(4, '/a/'))
-                await made.beat('i-1', serving)
-                await made.ask_until(200)
-                declining = await made.start_upstream(script)
-                await made.beat('i-2', declining)
-                await self.ask_until_seen(made, declining)
-                for _ in range(NUMBER):
-                    got = await made.ask()
-                    self.assertEqual(got.status, 200)
+            async with deployment(folder) as cluster:
+                serving = await cluster.start_upstream(serve)
+                await cluster.call('/-/config/put', config(4, '/a/'))
+                await cluster.send_heartbeat('i-1', serving)
+                await cluster.send_until(200)
+                declining = await cluster.start_upstream(script)
+                await cluster.send_heartbeat('i-2', declining)
+                await self.send_until_received(cluster, declining)
+                for _ in range(REQUESTS):
+                    response = await cluster.send_request()
+                    self.assertEqual(response.status, 200)
                 return len(declining.seen)
 
-    async def ask_until_seen(self, made, upstream):
+    async def send_until_received(self, cluster, upstream):
         async with asyncio.timeout(PATIENCE_S):
             while not upstream.seen:
-                await made.ask_until(200)
+                await cluster.send_until(200)
 
-    async def test_no_request_in_a_rest(self):
-        self.assertEqual(await self.seen_by(rests), 1)
+    async def test_no_request_during_a_backoff(self):
+        self.assertEqual(await self.requests_received(refuse_for_a_minute), 1)
 
-    async def test_no_request_after_it_said_that_it_leaves(self):
-        self.assertEqual(await self.seen_by(leaves), 1)
+    async def test_no_request_after_it_announced_leaving(self):
+        self.assertEqual(await self.requests_received(serve_and_leave), 1)
 
 
 if __name__ == '__main__':
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers, both ways."""
+"""Parsing and building of the platform's headers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class TestDialect(unittest.TestCase):
-    """Names and formats."""
+    """Header names and value formats."""
 
     def setUp(self):
         self.dialect = PlatformDialect()
@@ -39,7 +39,7 @@
     def read(self, *headers):
         return self.dialect.read_caller(RequestHead(b'POST', b'/', headers))
 
-    def test_a_caller(self):
+    def test_headers_of_a_caller(self):
         facts = self.read(*HEADERS)
         self.assertEqual(facts.request_id, '9c41')
         self.assertEqual(facts.host, 'ficu95.example')
@@ -51,7 +51,7 @@
             facts.prefix, (PrefixPart('5c1e', 800), PrefixPart('91bd', 410))
         )
 
-    def test_what_cannot_be_read(self):
+    def test_invalid_headers(self):
         for header in (
             (b'Snipebend-Deadline-Ms', b'soon'),
             (b'Snipebend-Token-Count', b'many'),
@@ -61,7 +61,7 @@
             with self.subTest(header=header):
                 self.assertIsNone(self.read((b'Host', b'h'), header))
 
-    def test_an_upstream_gets_no_key_and_no_forged_header(self):
+    def test_credentials_and_forged_headers_are_not_forwarded(self):
         sent = dict(self.dialect.upstream_headers(HEADERS, CALL))
         self.assertNotIn(b'Snipebend-Credential', sent)
         self.assertEqual(sent[b'Snipebend-Tenant'], b'hule930')
@@ -77,10 +77,10 @@
         ]
         self.assertEqual(len(names), len(set(names)))
 
-    def test_a_stream_that_is_resumed(self):
+    def test_resumed_stream(self):
         call = CALL._replace(resume_after=17)
         sent = self.dialect.upstream_headers(HEADERS, call)
-        events = [one for name, one in sent if name == b'Last-Event-Id']
+        events = [value for name, value in sent if name == b'Last-Event-Id']
         self.assertEqual(events, [b'17'])
 
     def test_answers(self):
@@ -96,7 +96,7 @@
             facts(200, (b'Snipebend-Attempt-Id', b'9c41')).request_id, '9c41'
         )
 
-    def test_limits_of_requests(self):
+    def test_request_limits(self):
         def limit(*texts):
             headers = tuple((b'Server-Limit', text) for text in texts)
             head = AnswerHead(200, b'', headers)
@@ -105,27 +105,27 @@
         self.assertIsNone(limit())
         self.assertEqual(limit(b'2.5'), NamedLimit(2.5))
         self.assertEqual(limit(b'0'), NamedLimit(0.0))
-        # The lowest of several that can be read.
+        # Of several values, the lowest valid one counts.
         self.assertEqual(limit(b'4', b'x', b'3, 9'), NamedLimit(3.0))
         for text in (b'', b'-1', b'nan', b'inf', b'few', b'1;2', b'\xff'):
             with self.subTest(text=text):
                 self.assertEqual(limit(text), NamedLimit(None))
 
-    def test_rests(self):
-        def rest(*texts, status=503):
+    def test_backoffs(self):
+        def backoff(*texts, status=503):
             headers = tuple((b'Retry-After', text) for text in texts)
             head = AnswerHead(status, b'', headers)
             return self.dialect.read_answer(head).rest
 
-        self.assertIsNone(rest())
-        self.assertIsNone(rest(b'3', status=200))
-        self.assertEqual(rest(b'3'), RestAsked(3.0))
-        self.assertEqual(rest(b'2.5', status=429), RestAsked(2.5))
-        # The longest of several that can be read.
-        self.assertEqual(rest(b'1', b'x', b'3, 2'), RestAsked(3.0))
+        self.assertIsNone(backoff())
+        self.assertIsNone(backoff(b'3', status=200))
+        self.assertEqual(backoff(b'3'), RestAsked(3.0))
+        self.assertEqual(backoff(b'2.5', status=429), RestAsked(2.5))
+        # Of several values, the longest valid one counts.
+        self.assertEqual(backoff(b'1', b'x', b'3, 2'), RestAsked(3.0))
         for text in (b'', b'-1', b'nan', b'inf', b'soon', b'\xff'):
             with self.subTest(text=text):
-                self.assertEqual(rest(text), RestAsked(None))
+                self.assertEqual(backoff(text), RestAsked(None))
 
     def test_leaving(self):
         def leaving(*headers):
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as a host table."""
+"""Conversion of the platform's configuration into a host table."""
 
 from __future__ import annotations
 
@@ -72,16 +72,16 @@
 
 
 class TestReadTable(unittest.TestCase):
-    """Fields decoded once, into seconds and words of the project."""
+    """All fields are converted, times into seconds."""
 
-    def test_as_sent_and_as_kept_by_earlier_releases(self):
+    def test_msgpack_and_the_json_of_earlier_releases(self):
         tables = [
             read_table(encode(dict(CONFIG))).unwrap()
             for encode in (msgpack.encode, json.encode)
         ]
         self.assertEqual(*tables)
 
-    def test_a_whole_configuration(self):
+    def test_complete_configuration(self):
         table = read_table(msgpack.encode(dict(CONFIG))).unwrap()
         first, second = table.routes
         self.assertEqual(table.number, 7)
@@ -101,12 +101,12 @@
         self.assertEqual(table.limits.idle_timeout_s, 15.0)
         self.assertEqual(table.workspaces[0].keys, ('k1', 'k2'))
 
-    def test_an_unknown_kind_must_not_run_twice(self):
+    def test_unknown_kind_must_not_run_twice(self):
         table = read_table(self.changed('kind', 'new')).unwrap()
         self.assertIs(table.routes[0].kind, Kind.UNSAFE)
 
     def test_invalid(self):
-        double_key = [
+        duplicate_key = [
             {'name': 't', 'api_keys': ['k']},
             {'name': 'u', 'api_keys': ['k']},
         ]
@@ -122,14 +122,14 @@
             self.changed('traffic_split', [{'service': 'none', 'weight': 1}]),
             self.changed('path_prefix', '/pufi791/'),
             self.changed('timeout_ms', 'soon'),
-            msgpack.encode({**CONFIG, 'tenants': double_key}),
+            msgpack.encode({**CONFIG, 'tenants': duplicate_key}),
         )
         for body in cases:
             with self.subTest(body=body[:60]):
                 self.assertTrue(read_table(body).is_err())
 
     def changed(self, field, setting):
-        """Return the configuration with another field in its first route."""
+        """Return the configuration with a changed field in the first route."""
         first = {**CONFIG['routes'][0], field: setting}
         return msgpack.encode(
             {**CONFIG, 'routes': [first, CONFIG['routes'][1]]}
--- a/tests/platform/test_engine_answers.py
+++ b/tests/platform/test_engine_answers.py
@@ -1,4 +1,4 @@
-"""What engines answer, whoever wrote it."""
+"""Responses of engines, including invalid ones."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from snipebend.experts.direct_orders import RankCounts
 from snipebend.experts.sizes import ExpertSizes, initial_map, is_complete_map
 from snipebend_platform.documents import read_message
-from snipebend_platform.engine_calls import _Picked, _Report
+from snipebend_platform.engine_calls import _ExpertCounts, _Report
 
 REPORT = MappingProxyType(
     {
@@ -24,14 +24,16 @@
         'pace': 1.0,
     }
 )
-NOISE = st.none() | st.integers(-9, 9) | st.text(max_size=3) | st.booleans()
+ARBITRARY_VALUES = (
+    st.none() | st.integers(-9, 9) | st.text(max_size=3) | st.booleans()
+)
 
 
 class TestReports(unittest.TestCase):
-    """A report that can't be read says nothing."""
+    """An invalid report is rejected completely."""
 
-    def test_a_state_that_is_not_named(self):
-        """It doesn't take the group for one that stands still."""
+    def test_unknown_state(self):
+        """An unknown state is not mistaken for a stopped group."""
         group = REPORT['group'] | {'state': 'forming'}
         body = msgpack.encode(REPORT | {'group': group})
         self.assertTrue(read_message(body, _Report).is_err())
@@ -40,19 +42,19 @@
         )
 
     @settings(derandomize=True, max_examples=200)
-    @given(st.binary(max_size=100) | NOISE.map(msgpack.encode))
-    def test_anything_is_read_or_refused(self, body):
-        for kind in (_Report, _Picked):
+    @given(st.binary(max_size=100) | ARBITRARY_VALUES.map(msgpack.encode))
+    def test_any_body_is_decoded_or_rejected(self, body):
+        for kind in (_Report, _ExpertCounts):
             read_message(body, kind)
 
-    def test_no_number_is_below_nothing(self):
+    def test_negative_numbers_are_rejected(self):
         for name in ('size', 'step', 'map', 'prepared', 'held', 'pace'):
             body = msgpack.encode(REPORT | {name: -1})
             self.assertTrue(read_message(body, _Report).is_err(), name)
 
 
 class TestShapes(unittest.TestCase):
-    """What has another shape than the document declares tells nothing."""
+    """Counts and maps are ignored unless their shape fits the configuration."""
 
     def test_counts_of_another_length(self):
         demand = Demand(2, 3)
@@ -60,12 +62,12 @@
         demand.end({0: RankCounts(1, 6, (900, 900, 900))}, is_unmixed=True)
         self.assertIsNone(demand.shares)
 
-    def test_maps_that_lack_something(self):
+    def test_incomplete_maps(self):
         sizes = ExpertSizes(2, 4, 3, 1, 0.8)
-        whole = initial_map(sizes, 2)
-        self.assertTrue(is_complete_map(sizes, whole))
-        self.assertFalse(is_complete_map(sizes, whole[:1]))
-        self.assertFalse(is_complete_map(sizes, (whole[0], ((0, 2), (1,)))))
+        complete = initial_map(sizes, 2)
+        self.assertTrue(is_complete_map(sizes, complete))
+        self.assertFalse(is_complete_map(sizes, complete[:1]))
+        self.assertFalse(is_complete_map(sizes, (complete[0], ((0, 2), (1,)))))
         self.assertFalse(
-            is_complete_map(sizes, (whole[0], ((0, 2), (1, 3, 9))))
+            is_complete_map(sizes, (complete[0], ((0, 2), (1, 3, 9))))
         )
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""What replicas, or others in their name, may send."""
+"""Decoding of heartbeats and departures, including invalid messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from snipebend.state.roster import RecordRequest, Roster, RosterPhase
 from snipebend_platform.heartbeats import read_departure, read_heartbeat
 
-BEAT = MappingProxyType(
+HEARTBEAT = MappingProxyType(
     {
         'service': 's',
         'address': '10.0.0.1:80',
@@ -25,10 +25,10 @@
 )
 
 
-def noise(numbers):
-    """Return anything, with whole numbers of a kind."""
+def arbitrary_values(integers):
+    """Return a strategy for nested values with the given integers."""
     return st.recursive(
-        st.none() | st.booleans() | numbers | st.floats() | st.text(),
+        st.none() | st.booleans() | integers | st.floats() | st.text(),
         lambda inner: (
             st.lists(inner, max_size=3)
             | st.dictionaries(st.text(max_size=5), inner, max_size=3)
@@ -37,60 +37,64 @@
     )
 
 
-#: Forms of a body, with what each of them can write.
-FORMS = (
-    (json.encode, noise(st.integers())),
-    (msgpack.encode, noise(st.integers(-(2**63), 2**64 - 1))),
+#: Encodings of a body, each with the values that it can encode.
+ENCODINGS = (
+    (json.encode, arbitrary_values(st.integers())),
+    (msgpack.encode, arbitrary_values(st.integers(-(2**63), 2**64 - 1))),
 )
-BODIES = st.one_of(*(written.map(encode) for encode, written in FORMS))
+BODIES = st.one_of(*(strategy.map(encode) for encode, strategy in ENCODINGS))
 
 
-def spoil(encode, written):
-    """Return a good message with one field written over, and its name."""
-    return st.tuples(st.sampled_from(sorted(BEAT)), written).map(
-        lambda pair: (pair[0], encode(BEAT | {pair[0]: pair[1]}))
+def changed_heartbeats(encode, strategy):
+    """Return a strategy for heartbeats with a changed field, and its name."""
+    return st.tuples(st.sampled_from(sorted(HEARTBEAT)), strategy).map(
+        lambda pair: (pair[0], encode(HEARTBEAT | {pair[0]: pair[1]}))
     )
 
 
-SPOILT = st.one_of(*(spoil(*form) for form in FORMS))
+CHANGED_HEARTBEATS = st.one_of(
+    *(changed_heartbeats(*form) for form in ENCODINGS)
+)
 
 
 class TestReading(unittest.TestCase):
-    """A message that can't be read whole names no replica to use."""
+    """An invalid message adds no replica to the roster."""
 
-    def test_a_whole_message(self):
-        record = read_heartbeat('i-1', msgpack.encode(dict(BEAT))).unwrap()
+    def test_complete_message(self):
+        record = read_heartbeat('i-1', msgpack.encode(dict(HEARTBEAT))).unwrap()
         self.assertEqual(
             (record.identity, record.service, record.slots, record.phase),
             ('i-1', 's', 6, RosterPhase.READY),
         )
-        self.assertEqual(record.born, BEAT['born'])
+        self.assertEqual(record.born, HEARTBEAT['born'])
 
-    def test_a_state_that_is_not_named(self):
-        """It isn't taken for leaving: that can't be taken back."""
+    def test_unknown_state(self):
+        """An unknown state is not taken for leaving, which is irreversible."""
         for state in ('warming', '', 'READY', None, 3):
             with self.subTest(state=state):
-                body = msgpack.encode(BEAT | {'state': state})
+                body = msgpack.encode(HEARTBEAT | {'state': state})
                 self.assertTrue(read_heartbeat('i-1', body).is_err())
 
-    def test_fields_that_are_missing_or_of_another_type(self):
+    def test_missing_fields_and_wrong_types(self):
         for name in ('service', 'address', 'state'):
             body = msgpack.encode(
-                {key: one for key, one in BEAT.items() if key != name}
+                {key: value for key, value in HEARTBEAT.items() if key != name}
             )
             self.assertTrue(read_heartbeat('i-1', body).is_err(), name)
         for name in ('service', 'address', 'state', 'slots', 'born', 'zone'):
-            body = msgpack.encode(BEAT | {name: [1]})
+            body = msgpack.encode(HEARTBEAT | {name: [1]})
             self.assertTrue(read_heartbeat('i-1', body).is_err(), name)
 
-    def test_without_a_start(self):
+    def test_without_a_start_time(self):
         body = msgpack.encode({'service': 's', 'address': '10.0.0.1:80'})
         self.assertTrue(read_heartbeat('i-1', body).is_err())
-        beat = {key: one for key, one in BEAT.items() if key != 'born'}
-        record = read_heartbeat('i-1', msgpack.encode(beat)).unwrap()
+        heartbeat = {
+            key: value for key, value in HEARTBEAT.items() if key != 'born'
+        }
+        record = read_heartbeat('i-1', msgpack.encode(heartbeat)).unwrap()
         self.assertEqual(record.born, 0)
 
-    def test_an_end_tells_its_start_or_nothing(self):
+    def test_departure_with_and_without_start_time(self):
         self.assertEqual(read_departure('i', b'').unwrap().born, 0)
         self.assertEqual(read_departure('i', b'{"born":5}').unwrap().born, 5)
         self.assertTrue(read_departure('i', b'{"born":"5"}').is_err())
@@ -98,18 +102,18 @@
 
     @settings(derandomize=True, max_examples=200)
     @given(st.binary(max_size=200) | BODIES)
-    def test_anything_is_answered(self, body):
+    def test_any_body_is_decoded_or_rejected(self, body):
         for read in (read_heartbeat('i-1', body), read_departure('i-1', body)):
             self.assertTrue(read.is_err() or read.unwrap().identity == 'i-1')
 
     @settings(derandomize=True, max_examples=200)
-    @given(SPOILT)
-    def test_no_field_takes_a_good_replica_out(self, spoilt):
-        """Unless it says that it leaves, or that it started again."""
+    @given(CHANGED_HEARTBEATS)
+    def test_no_changed_field_removes_a_valid_replica(self, changed):
+        """The record changes only on leaving or with a new start time."""
         roster = Roster()
-        good = read_heartbeat('i-1', msgpack.encode(dict(BEAT))).unwrap()
+        good = read_heartbeat('i-1', msgpack.encode(dict(HEARTBEAT))).unwrap()
         roster.record(RecordRequest(good))
-        name, body = spoilt
+        name, body = changed
         read = read_heartbeat('i-1', body)
         if name == 'born' or read.is_err():
             return
--- a/tests/platform/test_metrics.py
+++ b/tests/platform/test_metrics.py
@@ -1,4 +1,4 @@
-"""What processes tell on their metrics addresses."""
+"""Metrics that processes export."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from tests.platform.deployment import ENTRY_HOST, answer, config, deployment
 
 #: Labels that the metrics library adds to each line.
-SCOPE = re.compile(r'otel_scope_\w+="[^"]*",?')
+SCOPE_LABELS = re.compile(r'otel_scope_\w+="[^"]*",?')
 
-SYNCS = 'snipebend_log_sync_seconds_count'
+LOG_SYNCS = 'snipebend_log_sync_seconds_count'
 
-ENTRY_FIGURES = (
+ENTRY_METRICS = (
     'snipebend_relay_requests_total{kind="unsafe",status="200"}',
     'snipebend_relay_refusals_total{reason="No route",status="404"} 1',
     'snipebend_relay_calls_total{ending="answered",service="s-1"}',
@@ -26,7 +26,7 @@
 )
 
 
-async def whole(req, writer):
+async def serve(req, writer):
     writer.write(answer(req))
     return True
 
@@ -36,23 +36,27 @@
 
     async def test_entry_and_control(self):
         with tempfile.TemporaryDirectory() as folder:
-            async with deployment(folder) as made:
-                upstream = await made.start_upstream(whole)
-                await made.call('/-/config/put', config(4, '/a/'))
-                await made.beat('i-1', upstream)
-                await made.ask_until(200)
-                await made.ask(path='/b/')
-                shown = SCOPE.sub('', await made.metrics(ENTRY_HOST))
-                for figure in ENTRY_FIGURES:
-                    self.assertIn(figure, shown)
-                # A majority is enough for what was asked so far.
+            async with deployment(folder) as cluster:
+                upstream = await cluster.start_upstream(serve)
+                await cluster.call('/-/config/put', config(4, '/a/'))
+                await cluster.send_heartbeat('i-1', upstream)
+                await cluster.send_until(200)
+                await cluster.send_request(path='/b/')
+                exported = SCOPE_LABELS.sub(
+                    '', await cluster.metrics(ENTRY_HOST)
+                )
+                for metric in ENTRY_METRICS:
+                    self.assertIn(metric, exported)
+                # The writes so far need only a majority: one daemon may lag.
                 texts = [
-                    SCOPE.sub('', await made.metrics_until(host, SYNCS))
-                    for host in made.controls
+                    SCOPE_LABELS.sub(
+                        '', await cluster.metrics_until(host, LOG_SYNCS)
+                    )
+                    for host in cluster.controls
                 ]
-                leading = [
+                leaders = [
                     text
                     for text in texts
                     if 'snipebend_role_changes_total{role="leader"}' in text
                 ]
-                self.assertTrue(leading)
+                self.assertTrue(leaders)
