--- a/src/snipebend/errors/hierarchy.py
+++ b/src/snipebend/errors/hierarchy.py
@@ -1,4 +1,4 @@
-"""The error hierarchy: each error knows the step and the peer it arose at."""
+"""The error hierarchy: each error names its step and its peer."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 class SnipebendError(Exception):
     """Base of every error that the project raises or returns.
 
-    ``step`` names what was being done (``"route"``, ``"claim"``), ``peer``
-    names the other end as ``host:port`` or a process name; an empty peer means
-    that nobody else took part.
+    ``step`` names the failed operation (``"route"``, ``"claim"``). ``peer``
+    names the other end as ``host:port`` or a process name; it is empty if no
+    other process was involved.
     """
 
     def __init__(self, message: str, *, step: str, peer: str = '') -> None:
@@ -20,21 +20,21 @@
 
     def __str__(self) -> str:
         """Render as one line of key=value pairs."""
-        where = f' peer={self.peer}' if self.peer else ''
-        return f'{self.message} (step={self.step}{where})'
+        peer = f' peer={self.peer}' if self.peer else ''
+        return f'{self.message} (step={self.step}{peer})'
 
 
 class InvalidInputError(SnipebendError):
-    """A file, a setting or a request that can't be accepted as it stands."""
+    """A file, a setting or a request is invalid."""
 
 
 class UnavailableError(SnipebendError):
-    """A peer didn't answer, or can't serve right now."""
+    """A peer did not respond or is temporarily unable to serve."""
 
 
 class ConflictError(SnipebendError):
-    """Another writer won; the message shows the winner."""
+    """Another writer's change came first; the message names it."""
 
 
 class CorruptionError(SnipebendError):
-    """Stored bytes that fail their checksum where no torn write explains it."""
+    """Stored bytes fail their checksum, and a torn write can't be the cause."""
--- a/src/snipebend/kernel/__init__.py
+++ b/src/snipebend/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The micro-kernel: named services, mailboxes, supervised tasks, a clock."""
+"""Runtime of a process: services, mailboxes, supervised tasks, a clock."""
--- a/src/snipebend/kernel/clock.py
+++ b/src/snipebend/kernel/clock.py
@@ -1,4 +1,4 @@
-"""The clock that everything in a process asks, so that tests can replace it."""
+"""The clock of a process; a protocol, so that tests can replace it."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 class Clock(Protocol):
     """A source of time in seconds."""
 
-    #: Monotonic seconds before which this process promised nobody anything.
+    #: Start of this process in monotonic seconds; it made no promises earlier.
     began_at: float
 
     def now(self) -> float:
-        """Return monotonic seconds; only differences mean anything."""
+        """Return monotonic seconds; only differences are meaningful."""
 
     def wall(self) -> float:
         """Return seconds since the Unix epoch, for deadlines between VMs."""
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def __init__(self, began_at: float | None = None) -> None:
-        """Keep when the process began; none: now."""
+        """Set the start time of the process; ``None`` means now."""
         self.began_at = self.now() if began_at is None else began_at
 
     def now(self) -> float:
-        """Return seconds since the machine started, its sleep included.
+        """Return seconds since the VM booted, including suspended time.
 
-        The monotonic clock stands still while a VM is suspended: a lease that
-        is counted on it would outlive the time that others wait for its end.
+        The usual monotonic clock stops while a VM is suspended. A lease
+        measured by it would still be held after other VMs consider it expired.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/src/snipebend/kernel/process.py
+++ b/src/snipebend/kernel/process.py
@@ -1,4 +1,4 @@
-"""One process: starts its services, waits for a signal, stops gracefully."""
+"""Life cycle of a process: start services, wait for a signal, stop them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Process:
-    """The services of one process, from their start to a graceful stop."""
+    """Starts, reloads and gracefully stops the services of one process."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         *,
         clock: Clock | None = None,
     ) -> None:
-        """Register the services in the order in which they shall start."""
+        """Register the services; they start in the given order."""
         self.name = name
         self.registry = Registry(clock or SystemClock(), TaskSupervisor())
         self._stopping = asyncio.Event()
@@ -37,13 +37,13 @@
             self.registry.register(service)
 
     def ready(self) -> bool:
-        """Tell whether the process may get new work."""
+        """Return whether the process accepts new work."""
         if self._stopping.is_set():
             return False
         return all(service.ready() for service in self.registry)
 
     def dump(self) -> dict[str, object]:
-        """Return the state of every service by its name."""
+        """Return the state of all services by service name."""
         state: dict[str, object] = {
             'process': self.name,
             'ready': self.ready(),
@@ -54,13 +54,13 @@
         return state
 
     async def reload(self, cfg: object) -> None:
-        """Tell all services of changed settings."""
+        """Pass changed settings to all services."""
         logger.info('event=reloaded process={}', self.name)
         for service in self.registry:
             await service.reload(cfg)
 
     def request_stop(self) -> None:
-        """Ask the process to drain and end; safe to call twice."""
+        """Request a graceful stop; calling it again has no effect."""
         self._stopping.set()
 
     async def start(self) -> None:
@@ -70,7 +70,7 @@
         logger.info('event=started process={}', self.name)
 
     async def stop(self) -> None:
-        """Drain all services at once, then stop them in reverse order."""
+        """Drain all services concurrently, then stop them in reverse order."""
         self._stopping.set()
         logger.info('event=draining process={}', self.name)
         services = tuple(self.registry)
--- a/src/snipebend/kernel/registry.py
+++ b/src/snipebend/kernel/registry.py
@@ -1,4 +1,4 @@
-"""The registry in which the services of one process find each other."""
+"""The registry through which services of a process find each other."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """Services by name, in the order in which they were registered."""
 
     def __init__(self, clock: Clock, tasks: TaskSupervisor) -> None:
-        """Keep the process's clock and its task supervisor for all services."""
+        """Provide the process's clock and task supervisor to all services."""
         self.clock = clock
         self.tasks = tasks
         self._services: dict[str, Service] = {}
@@ -30,20 +30,28 @@
         return iter(tuple(self._services.values()))
 
     def register(self, service: Service) -> None:
-        """Add a service; a name is taken once only."""
+        """Add a service.
+
+        Raises:
+            InvalidInputError: if the name is already registered.
+        """
         if service.name in self._services:
             raise InvalidInputError(
-                f'service {service.name!r} is registered twice',
+                f'service {service.name!r} is already registered',
                 step='register',
             )
         self._services[service.name] = service
 
     def find(self, name: str, kind: type[AnyService]) -> AnyService:
-        """Return the service of that name, which must be of that kind."""
+        """Return the service with this name and type.
+
+        Raises:
+            InvalidInputError: if there is none.
+        """
         service = self._services.get(name)
         if isinstance(service, kind):
             return service
         raise InvalidInputError(
-            f'no service {name!r} of kind {kind.__name__}',
+            f'no service {name!r} of type {kind.__name__}',
             step='find',
         )
--- a/src/snipebend/kernel/service.py
+++ b/src/snipebend/kernel/service.py
@@ -1,4 +1,4 @@
-"""What the kernel asks of a service."""
+"""The base class of services."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 class Service:
     """A part of a process that owns its tasks, its sockets and its state.
 
-    Subclasses override what they need. The kernel calls ``start`` in the order
-    of registration, ``drain`` on all services at once and ``stop`` in the
-    reverse order.
+    Subclasses override the methods that they need. ``Process`` calls ``start``
+    in the order of registration, ``drain`` on all services concurrently and
+    ``stop`` in reverse order.
     """
 
     def __init__(self, name: str) -> None:
-        """Keep the name under which other services find this one."""
+        """Set the name by which other services find this one."""
         self.name = name
 
     async def start(self, registry: Registry) -> None:
-        """Find peers in the registry, open sockets and start tasks."""
+        """Look up other services, open sockets and start tasks."""
 
     async def reload(self, cfg: object) -> None:
-        """Take over changed settings, as far as that is possible."""
+        """Apply those changed settings that need no restart."""
 
     async def drain(self) -> None:
-        """Take no new work and return when the work in flight has ended."""
+        """Stop accepting work; return once the work in flight has finished."""
 
     async def stop(self) -> None:
-        """Close sockets and end tasks."""
+        """Close sockets and stop tasks."""
 
     def ready(self) -> bool:
-        """Tell whether this service can do its work right now."""
+        """Return whether this service can currently do its work."""
         return True
 
     def dump(self) -> Mapping[str, object]:
--- a/src/snipebend/kernel/tasks.py
+++ b/src/snipebend/kernel/tasks.py
@@ -1,4 +1,4 @@
-"""Supervised tasks: a task that fails is logged and started again."""
+"""Supervised tasks: failures are logged and failed tasks restarted."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 from loguru import logger
 
-#: Seconds before a failed task is started again.
+#: Seconds before a failed task is restarted.
 RESTART_DELAY_S = 0.2
 
 TaskFactory = Callable[[], Coroutine[Any, Any, None]]
 
 
 class TaskSupervisor:
-    """Owns the long-running tasks of one process."""
+    """Runs and cancels the background tasks of one process."""
 
     def __init__(self) -> None:
-        """Start with no tasks."""
+        """Create a supervisor without tasks."""
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, name: str, factory: TaskFactory) -> asyncio.Task[None]:
-        """Run ``factory()`` and again after each failure, until cancelled."""
+        """Run ``factory()``, restarting it after each failure."""
         return self._keep(
             asyncio.create_task(_supervise(name, factory), name=name)
         )
 
     def once(self, name: str, factory: TaskFactory) -> asyncio.Task[None]:
-        """Run ``factory()`` one time; a failure is logged."""
+        """Run ``factory()`` once; a failure is logged."""
         return self._keep(
             asyncio.create_task(_log_failure(name, factory), name=name)
         )
 
     async def stop(self) -> None:
-        """Cancel all tasks and wait for their ends."""
+        """Cancel all tasks and wait until they have finished."""
         tasks = tuple(self._tasks)
         for task in tasks:
             task.cancel()
@@ -77,7 +77,7 @@
 
 
 def _innermost_line(exc: BaseException) -> str:
-    """Return ``file:line`` of where the error arose, for a one-line log."""
+    """Return ``file:line`` where the error was raised, for a one-line log."""
     frames = traceback.extract_tb(exc.__traceback__)
     if not frames:
         return '-'
--- a/src/snipebend/settings/__init__.py
+++ b/src/snipebend/settings/__init__.py
@@ -1,1 +1,1 @@
-"""A process's own TOML settings, checked all at once."""
+"""The TOML settings of each process and their validation."""
--- a/src/snipebend/settings/base.py
+++ b/src/snipebend/settings/base.py
@@ -1,7 +1,7 @@
-"""What the sections of all settings files are made of.
+"""Base class and field types of the sections in settings files.
 
-``msgspec`` checks them: its import and the models take 0.4 s less at each start
-of a process than those of the library that checks fleet files, and 8 MB less.
+``msgspec`` validates them instead of ``pydantic``, which validates fleet files:
+importing it and the models takes 0.4 s and 8 MB less at each process start.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 MAX_PORT = 65535
 MAX_SPAN_S = 3600.0
 MAX_CLOCK_DRIFT = 0.2
-#: Pools up to this size are never cut.
-MIN_SUBSET = 20
+#: Every entry uses all upstreams of a pool up to this size.
+MIN_SUBSET_SIZE = 20
 
-#: ``host:port`` with a host by IP number.
+#: ``host:port`` with an IPv4 address as the host.
 Address = Annotated[
     str,
     Meta(pattern=r'^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$'),
 ]
-#: An address or nothing.
+#: An address, or the empty string.
 AddressOrEmpty = Annotated[
     str,
     Meta(pattern=r'^(\d{1,3}(\.\d{1,3}){3}:\d{1,5})?$'),
@@ -40,13 +40,13 @@
 
 
 class Section(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A table of the file: unknown keys and loose types are errors."""
+    """A table of the file; rejects unknown keys and values of other types."""
 
     @classmethod
     def from_table(cls, table: Mapping[str, Any]) -> Self:
-        """Read a table.
+        """Convert a table.
 
         Raises:
-            ValidationError: for the first thing that is wrong in it.
+            ValidationError: for the first invalid key or value.
         """
         return convert(table, cls)
--- a/src/snipebend/settings/checking.py
+++ b/src/snipebend/settings/checking.py
@@ -1,4 +1,4 @@
-"""Finding all that is wrong in a settings file, each with its key."""
+"""Validation of a settings file that reports all problems with their keys."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SettingsProblem(NamedTuple):
-    """One thing wrong in a settings file."""
+    """One problem in a settings file."""
 
     source: str
     key: str
@@ -35,47 +35,51 @@
 def check_table(
     table: Mapping[str, Any], model: type[Section], source: str, key: str = ''
 ) -> Iterator[SettingsProblem]:
-    """Yield what is wrong in a table, key by key."""
+    """Yield the problems in a table, key by key."""
     known = {field.name: field for field in fields(model)}
     for name in table.keys() - known.keys():
-        yield SettingsProblem(source, f'{key}{name}', 'is not known')
+        yield SettingsProblem(source, f'{key}{name}', 'unknown key')
     for name, field in known.items():
-        found = table.get(name, NODEFAULT)
-        if found is not NODEFAULT:
-            yield from _check(found, field.type, source, f'{key}{name}')
+        raw = table.get(name, NODEFAULT)
+        if raw is not NODEFAULT:
+            yield from _check_field(raw, field.type, source, f'{key}{name}')
         elif field.required:
-            yield SettingsProblem(source, f'{key}{name}', 'is missing')
+            yield SettingsProblem(
+                source, f'{key}{name}', 'required key is missing'
+            )
 
 
-def _check(
-    found: Any, kind: Any, source: str, key: str
+def _check_field(
+    raw: Any, kind: Any, source: str, key: str
 ) -> Iterator[SettingsProblem]:
-    section = _section_of(kind)
-    if section is not None and isinstance(found, dict):
-        yield from check_table(found, section, source, f'{key}.')
+    section = _section_type(kind)
+    if section is not None and isinstance(raw, dict):
+        yield from check_table(raw, section, source, f'{key}.')
         return
-    if isinstance(found, list) and found:
-        item_kind = _item_of(kind)
+    if isinstance(raw, list) and raw:
+        item_kind = _item_type(kind)
         if item_kind is not None:
-            for at, item in enumerate(found):
-                yield from _check(item, item_kind, source, f'{key}.{at}')
+            for index, item in enumerate(raw):
+                yield from _check_field(
+                    item, item_kind, source, f'{key}.{index}'
+                )
             return
     try:
-        convert(found, kind)
+        convert(raw, kind)
     except ValidationError as exc:
         yield SettingsProblem(source, key, str(exc))
 
 
-def _section_of(kind: Any) -> type[Section] | None:
-    """Return the section that a type is, or may be."""
-    for one in (kind, *get_args(kind)):
-        if isinstance(one, type) and issubclass(one, Section):
-            return one if get_origin(kind) is not list else None
+def _section_type(kind: Any) -> type[Section] | None:
+    """Return the section class of a type, also if it is optional."""
+    for candidate in (kind, *get_args(kind)):
+        if isinstance(candidate, type) and issubclass(candidate, Section):
+            return candidate if get_origin(kind) is not list else None
     return None
 
 
-def _item_of(kind: Any) -> Any:
-    """Return the type of a list's items; none: it isn't a list's."""
+def _item_type(kind: Any) -> Any:
+    """Return the item type of a list type; ``None`` for other types."""
     if get_origin(kind) is Annotated:
         kind = get_args(kind)[0]
     return get_args(kind)[0] if get_origin(kind) is list else None
--- a/src/snipebend/settings/loading.py
+++ b/src/snipebend/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reading a settings file: all errors at once, each with file and key."""
+"""Loads settings files; reports all problems at once, with file and key."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 AnySettings = TypeVar('AnySettings', bound=Section)
 
-#: Exit code of a command that was given bad settings or a bad file.
+#: Exit code of a command on invalid settings or an invalid file.
 EXIT_BAD_INPUT = 2
 
 _STEP = 'settings'
 
 
 class SettingsError(InvalidInputError):
-    """All that is wrong in a settings file."""
+    """All problems in a settings file."""
 
     def __init__(self, problems: tuple[SettingsProblem, ...]) -> None:
-        """Join the problems, one a line."""
+        """Store the problems; the message has one line for each."""
         lines = '\n'.join(str(problem) for problem in problems)
         super().__init__(lines, step=_STEP)
         self.problems = problems
@@ -35,11 +35,11 @@
     path: Path,
     model: type[AnySettings],
 ) -> Result[AnySettings, SettingsError]:
-    """Read and check a file against its model."""
+    """Read a settings file and validate it against its model."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
-        return _single(path, '-', str(exc))
+        return _single_problem(path, '-', str(exc))
     return parse_settings(text, path, model)
 
 
@@ -48,20 +48,20 @@
     path: Path,
     model: type[AnySettings],
 ) -> Result[AnySettings, SettingsError]:
-    """Check the text of a settings file against its model."""
+    """Parse the text of a settings file and validate it against its model."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as exc:
-        return _single(path, '-', str(exc))
+        return _single_problem(path, '-', str(exc))
     problems = tuple(check_table(raw, model, str(path)))
     if problems:
         return Err(SettingsError(problems))
     try:
         return Ok(model.from_table(raw))
     except ValidationError as exc:
-        # What concerns several keys at once.
-        return _single(path, '-', str(exc))
+        # Rules that span several keys, from ``__post_init__``.
+        return _single_problem(path, '-', str(exc))
 
 
-def _single(path: Path, key: str, message: str) -> Err[SettingsError]:
+def _single_problem(path: Path, key: str, message: str) -> Err[SettingsError]:
     return Err(SettingsError((SettingsProblem(str(path), key, message),)))
--- a/src/snipebend/settings/model.py
+++ b/src/snipebend/settings/model.py
@@ -12,7 +12,7 @@
     HostIp,
     MAX_CLOCK_DRIFT,
     MAX_SPAN_S,
-    MIN_SUBSET,
+    MIN_SUBSET_SIZE,
     Name,
     Port,
     Seconds,
@@ -24,7 +24,7 @@
 
 
 class ProcessSection(Section, frozen=True, kw_only=True):
-    """Who and where this process is."""
+    """Name and location of this process."""
 
     name: Name
     data_center: Name
@@ -32,31 +32,31 @@
 
 
 class ListenSection(Section, frozen=True, kw_only=True):
-    """Where this process listens; port 0 lets the system choose."""
+    """Listen addresses; for port 0 the system chooses one."""
 
     host: HostIp = '127.0.0.1'
     http_port: Port = 0
     grpc_port: Port = 0
     admin_port: Port = 0
-    #: Where others reach the two ports; empty: where this process listens.
+    #: Addresses at which others reach the two ports; empty: same as listening.
     public_http: AddressOrEmpty = ''
     public_grpc: AddressOrEmpty = ''
-    #: Where to write the chosen ports as JSON, for scripts; empty: nowhere.
+    #: File for the listen addresses as JSON, for scripts; empty: no file.
     ports_file: str = ''
-    #: Seconds of a graceful stop in which peers learn of it: an entry still
-    #: takes new work meanwhile, an agent refuses it.
+    #: Seconds of a graceful stop in which peers are notified; meanwhile an
+    #: entry still accepts new work, and an agent refuses it.
     grace_s: Annotated[float, Meta(ge=0, le=MAX_SPAN_S)] = 1.0
 
 
 class LogSection(Section, frozen=True, kw_only=True):
-    """How much to log."""
+    """Level and format of the log."""
 
     level: Literal['DEBUG', 'INFO', 'WARNING', 'ERROR'] = 'INFO'
     format: Literal['pairs', 'json'] = 'pairs'
 
 
 class DaemonSettings(Section, frozen=True, kw_only=True):
-    """What all daemons share."""
+    """Settings that all daemons have."""
 
     process: ProcessSection
     listen: ListenSection = ListenSection()
@@ -64,20 +64,20 @@
 
 
 class ControlSection(Section, frozen=True, kw_only=True):
-    """The control daemons' gRPC addresses."""
+    """Addresses of the control daemons' gRPC servers."""
 
     addresses: Annotated[list[Address], Meta(min_length=1)]
 
 
 class ConnectionsSection(Section, frozen=True, kw_only=True):
-    """An entry's connections to agents: how many, and their health."""
+    """Number and timeouts of an entry's connections to agents."""
 
-    #: Seconds without a byte after which a connection is given up; agents
-    #: beat more often than that.
+    #: Seconds without received bytes after which a connection is closed;
+    #: agents send heartbeats more often than that.
     silent_after_s: Seconds = 2.0
-    #: Most upstreams of one policy that this entry knows and uses; the counts
-    #: of entries and upstreams may give it fewer.
-    max_upstreams: Annotated[int, Meta(ge=MIN_SUBSET)] = 256
+    #: Maximum number of upstreams of one policy that this entry uses; it can
+    #: be fewer, depending on the numbers of entries and upstreams.
+    max_upstreams: Annotated[int, Meta(ge=MIN_SUBSET_SIZE)] = 256
 
 
 class EntrySettings(DaemonSettings, frozen=True, kw_only=True):
@@ -88,19 +88,19 @@
 
 
 class UpstreamSection(Section, frozen=True, kw_only=True):
-    """The upstream that an agent stands beside."""
+    """The upstream that an agent announces and proxies."""
 
     #: The name of the upstream policy in the fleet file.
     policy: Name
-    #: Where the engine or service listens.
+    #: Listen address of the engine or service.
     address: Address
-    #: Seconds between two announcements and load reports.
+    #: Seconds between announcements, and between load reports.
     report_every_s: Seconds = 1.0
-    #: Seconds between two signs of life while the upstream is quiet.
+    #: Seconds between heartbeats while the upstream sends nothing.
     beat_s: Seconds = 0.5
-    #: Seconds without an answer to a probe after which it counts as down.
+    #: Seconds without a probe response after which the upstream is down.
     silent_after_s: Seconds = 6.0
-    #: Attempts at once, beyond which the agent refuses.
+    #: Maximum number of concurrent attempts; further ones are refused.
     max_running: Annotated[int, Meta(ge=1)] = 1024
 
 
@@ -119,20 +119,20 @@
 
 
 class StorageSection(Section, frozen=True, kw_only=True):
-    """Where the replicated state lives."""
+    """Storage of the replicated state."""
 
-    #: The data folder; nothing outside it is written.
+    #: The data folder; the daemon writes nothing outside of it.
     folder: Annotated[str, Meta(min_length=1)]
-    #: Log entries between two snapshots.
+    #: Number of log entries between snapshots.
     snapshot_every: Annotated[int, Meta(ge=10)] = 1000
 
 
 class ElectionSection(Section, frozen=True, kw_only=True):
-    """Timing of the agreement between control daemons."""
+    """Timing of the consensus between control daemons."""
 
     heartbeat_s: Seconds = 0.25
     election_timeout_s: Seconds = 1.0
-    #: Bound on how far two VMs' clocks drift apart, as a share.
+    #: Maximum relative drift between the clocks of two VMs.
     clock_drift: Annotated[float, Meta(ge=0, le=MAX_CLOCK_DRIFT)] = 0.01
 
 
@@ -141,16 +141,16 @@
 
     storage: StorageSection
     election: ElectionSection = ElectionSection()
-    #: The first members, the same list on each; empty: a group of one.
+    #: Initial members, identical on all of them; empty: a group of one.
     members: list[MemberSection] = []
-    #: Where upstreams and operators call, if they don't speak gRPC.
+    #: HTTP listen address for upstreams and operators without gRPC.
     outer: Address = '127.0.0.1:0'
-    #: In place of ``members``: found the group by seeds, take in any daemon.
+    #: Instead of ``members``: create the group from seeds, admit any daemon.
     seeds: SeedsSection | None = None
 
     @property
     def member_name(self) -> str:
-        """Return the own name among the members: with seeds, the host."""
+        """Return this daemon's member name; with seeds it is the host."""
         return self.listen.host if self.seeds else self.process.name
 
     @property
@@ -161,9 +161,12 @@
         return tuple(member.address for member in self.members)
 
     def __post_init__(self) -> None:
-        """Refuse a list of members that repeats one or lacks this one."""
+        """Check that the members are distinct and include this daemon.
+
+        Members and seeds must not be combined.
+        """
         if self.members and self.seeds:
-            raise ValueError('members and seeds exclude each other')
+            raise ValueError('members and seeds must not both be set')
         names = [member.name for member in self.members]
         addresses = {member.address for member in self.members}
         if len(set(names)) < len(names) or len(addresses) < len(names):
--- a/src/snipebend/settings/relay.py
+++ b/src/snipebend/settings/relay.py
@@ -21,17 +21,17 @@
 
 
 class RelaySection(Section, frozen=True, kw_only=True):
-    """How an entry calls upstreams that have no agent."""
+    """How an entry calls upstreams without an agent."""
 
-    #: Seconds for a new connection to an upstream.
+    #: Timeout for opening a connection to an upstream, in seconds.
     connect_timeout_s: Seconds = 0.4
-    #: Seconds without an acknowledgement from the other end, after which a
-    #: connection is given up.
+    #: Seconds without a TCP acknowledgement from the other end after which a
+    #: connection is closed.
     silent_after_s: Seconds = 1.5
-    #: Share of the requests that may be sent once more, over the whole fleet.
+    #: Retry budget of the whole fleet, as a share of its requests.
     retry_ratio: Annotated[float, Meta(ge=0, le=1)] = 0.2
-    #: Retries that the whole fleet has on top of that share in some seconds;
-    #: entries save half of them.
+    #: Additional retries that the whole fleet has within some seconds; the
+    #: entries save up half of them.
     retry_slack: Annotated[float, Meta(ge=0)] = 90
 
 
@@ -40,11 +40,11 @@
 
     control: SeedsSection
     relay: RelaySection = RelaySection()
-    #: Where callers connect.
+    #: Listen address for callers.
     callers: Address = '127.0.0.1:0'
-    #: Where the balancer asks whether this entry is ready.
+    #: Listen address for the load balancer's readiness checks.
     readiness: Address = '127.0.0.1:0'
-    #: UDP port for the loads that entries tell each other; 0: chosen.
+    #: UDP port for load reports between entries; for 0 the system chooses.
     gossip_port: Port = 0
-    #: Seconds from the signal to stop until the process must have ended.
+    #: Seconds from the stop signal until the process must have exited.
     stop_within_s: Seconds = 8.0
--- a/src/snipebend/telemetry/__init__.py
+++ b/src/snipebend/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics, logs and state dumps."""
+"""Metrics and logs."""
--- a/src/snipebend/telemetry/log_lines.py
+++ b/src/snipebend/telemetry/log_lines.py
@@ -1,4 +1,7 @@
-"""Log lines read back: the life of one request across processes (pure)."""
+"""Parsing of log lines, and the history of one request across processes.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-#: A name, and a word or a quoted text as ``repr`` writes it.
+#: A name with a word or a quoted string in the format of ``repr``.
 _PAIR = re.compile(r"(\w+)=('(?:[^'\\]|\\.)*'|\"(?:[^\"\\]|\\.)*\"|\S+)")
 
-#: Events that tell by what a process decided, until the next one of the kind.
-BELIEFS = frozenset(
+#: Events that set the state by which a process decides, until the next event
+#: of the same kind.
+STATE_EVENTS = frozenset(
     (
         'document_in_force',
         'control_lost',
@@ -25,26 +29,26 @@
 
 
 class LogLine(NamedTuple):
-    """One line with its pairs."""
+    """A log line and its key=value pairs."""
 
     text: str
     pairs: dict[str, str]
 
     @property
     def time(self) -> str:
-        """Return when it was written; sorts as text."""
+        """Return the time of writing; its text sorts chronologically."""
         return self.pairs.get('time', '')
 
 
 def render_json(text: str) -> str:
-    """Return a line of pairs as one of JSON; what is no event, as its text."""
+    """Convert a line of pairs to JSON; a line without event, as plain text."""
     line = read_line(text)
     pairs = line.pairs if line else {'text': text.rstrip()}
     return f'{json.dumps(pairs)}\n'
 
 
 def read_line(text: str) -> LogLine | None:
-    """Read one line in either form; nothing if it is no event."""
+    """Parse a line in either format; ``None`` for a line without event."""
     if text.startswith('{'):
         pairs = _read_json(text)
     else:
@@ -54,35 +58,38 @@
 
 
 def explain(request_id: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return a request's lines in time, and the beliefs they rest on.
+    """Return a request's lines by time, with the state that they depend on.
 
-    Beliefs are each process's latest ones before its first line about the
-    request, and those about the request's upstreams while it lasted.
+    These are the latest state events of each process before the first line
+    about the request, and the later ones until the request's last line.
+    Events about upstreams other than the request's are left out.
     """
     ordered = sorted(lines, key=lambda line: line.time)
-    own = [line for line in ordered if _is_about(line, request_id)]
-    if not own:
+    request_lines = [line for line in ordered if _is_about(line, request_id)]
+    if not request_lines:
         return []
-    upstreams = {line.pairs.get('upstream', '') for line in own} - {''}
-    processes = {line.pairs.get('process', '') for line in own}
-    beliefs = [
+    upstreams = {line.pairs.get('upstream', '') for line in request_lines} - {
+        ''
+    }
+    processes = {line.pairs.get('process', '') for line in request_lines}
+    state_lines = [
         line
         for line in ordered
-        if line.pairs['event'] in BELIEFS
+        if line.pairs['event'] in STATE_EVENTS
         and line.pairs.get('process', '') in processes
-        and line.time <= own[-1].time
+        and line.time <= request_lines[-1].time
     ]
-    wanted = _latest(beliefs, own[0].time, upstreams)
-    return sorted((*wanted, *own), key=lambda line: line.time)
+    relevant = _latest(state_lines, request_lines[0].time, upstreams)
+    return sorted((*relevant, *request_lines), key=lambda line: line.time)
 
 
 def _read_json(text: str) -> dict[str, str]:
     try:
         found = json.loads(text)
     except json.JSONDecodeError:
-        # Cut off, by a process that was killed as it wrote.
+        # Truncated, because the process was killed while writing.
         return {}
-    return {name: str(one) for name, one in found.items()}
+    return {name: str(field) for name, field in found.items()}
 
 
 def _is_about(line: LogLine, request_id: str) -> bool:
@@ -90,11 +97,11 @@
 
 
 def _latest(
-    beliefs: list[LogLine], first_time: str, upstreams: set[str]
+    state_lines: list[LogLine], first_time: str, upstreams: set[str]
 ) -> list[LogLine]:
-    kept: dict[tuple[str, ...], LogLine] = {}
+    latest: dict[tuple[str, ...], LogLine] = {}
     later: list[LogLine] = []
-    for line in beliefs:
+    for line in state_lines:
         upstream = line.pairs.get('upstream', '')
         if upstream and upstream not in upstreams:
             continue
@@ -105,5 +112,5 @@
         if line.pairs['event'] == 'document_in_force':
             peer = ''
         process = line.pairs.get('process', '')
-        kept[(process, line.pairs['event'], upstream, peer)] = line
-    return [*kept.values(), *later]
+        latest[(process, line.pairs['event'], upstream, peer)] = line
+    return [*latest.values(), *later]
--- a/src/snipebend/telemetry/logs.py
+++ b/src/snipebend/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Log set-up: one line of key=value pairs an event, on standard output."""
+"""Log set-up: one line of key=value pairs per event."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-#: File descriptors of a process.
+#: Standard file descriptors.
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
 
@@ -25,9 +25,9 @@
     *,
     as_json: bool = False,
 ) -> LogWriter:
-    """Send events of at least ``level`` to a file descriptor.
+    """Log events of at least ``level`` to a file descriptor.
 
-    Whoever ends the process closes the writer, which writes what waits.
+    The caller closes the returned writer at exit to write the buffered lines.
     """
     writer = LogWriter(descriptor, render=render_json if as_json else None)
     logger.remove()
--- a/src/snipebend/telemetry/metrics.py
+++ b/src/snipebend/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry metrics, read by the scraping endpoint of each daemon."""
+"""OpenTelemetry metrics, exported by the scraping endpoint of a daemon."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def set_up_metrics(process_name: str) -> None:
-    """Connect all meters of this process to the scraping endpoint."""
+    """Export all meters of this process at the scraping endpoint."""
     resource = Resource.create({'service.name': process_name})
     reader = PrometheusMetricReader()
     metrics.set_meter_provider(
--- a/tests/kernel/test_process.py
+++ b/tests/kernel/test_process.py
@@ -1,4 +1,4 @@
-"""A process starts, drains and stops its services in order."""
+"""Life cycle of a process, task supervision and mailboxes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ProcessTest(unittest.IsolatedAsyncioTestCase):
-    """The order of a process's life."""
+    """Services start, drain and stop in the defined order."""
 
     async def test_drains_all_then_stops_in_reverse(self) -> None:
         events: list[str] = []
@@ -53,7 +53,7 @@
             ],
         )
 
-    async def test_a_name_is_taken_once_and_found_by_kind(self) -> None:
+    async def test_names_are_unique_and_lookup_checks_the_type(self) -> None:
         with self.assertRaises(InvalidInputError):
             Process('p', [Service('a'), Service('a')])
         registry = Process('p', [Service('a')]).registry
@@ -63,9 +63,9 @@
 
 
 class TasksTest(unittest.IsolatedAsyncioTestCase):
-    """Supervision and mailboxes."""
+    """Failed tasks restart; full mailboxes reject messages."""
 
-    async def test_a_failed_task_starts_again(self) -> None:
+    async def test_failed_task_is_restarted(self) -> None:
         supervisor = TaskSupervisor()
         runs: list[int] = []
         done = asyncio.Event()
@@ -81,7 +81,7 @@
         await supervisor.stop()
         self.assertEqual(len(runs), 2)
 
-    async def test_a_full_mailbox_refuses(self) -> None:
+    async def test_full_mailbox_rejects_messages(self) -> None:
         mailbox: Mailbox[int] = Mailbox(1)
         self.assertTrue(mailbox.post(1))
         self.assertFalse(mailbox.post(2))
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -1,4 +1,4 @@
-"""Settings files: all errors at once, each with file and key."""
+"""All problems of a settings file are reported, with file and key."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 _PATH = Path('entry.toml')
 
-_GOOD = """
+_VALID = """
 [process]
 name = "entry-1"
 data_center = "zrh-1"
@@ -20,7 +20,7 @@
 addresses = ["10.0.0.1:7001"]
 """
 
-_BAD = """
+_INVALID = """
 [process]
 name = 7
 [listen]
@@ -32,15 +32,15 @@
 
 
 class LoadingTest(unittest.TestCase):
-    """What is accepted and what is told of the rest."""
+    """Valid settings are loaded, invalid ones reported."""
 
-    def test_accepts_good_settings(self) -> None:
-        cfg = parse_settings(_GOOD, _PATH, EntrySettings).unwrap()
+    def test_accepts_valid_settings(self) -> None:
+        cfg = parse_settings(_VALID, _PATH, EntrySettings).unwrap()
         self.assertEqual(cfg.process.name, 'entry-1')
         self.assertEqual(cfg.listen.host, '127.0.0.1')
 
-    def test_tells_all_errors_with_their_keys(self) -> None:
-        exc = parse_settings(_BAD, _PATH, EntrySettings).unwrap_err()
+    def test_reports_all_problems_with_their_keys(self) -> None:
+        exc = parse_settings(_INVALID, _PATH, EntrySettings).unwrap_err()
         self.assertEqual(
             {problem.key for problem in exc.problems},
             {
@@ -52,17 +52,20 @@
             },
         )
         self.assertTrue(
-            all(str(one).startswith('entry.toml: ') for one in exc.problems),
+            all(
+                str(problem).startswith('entry.toml: ')
+                for problem in exc.problems
+            ),
         )
 
-    def test_tells_of_syntax_and_missing_files(self) -> None:
+    def test_reports_syntax_errors_and_missing_files(self) -> None:
         syntax = parse_settings('a = = 1', _PATH, AgentSettings)
         self.assertIn('line 1', syntax.unwrap_err().message)
         missing = load_settings(Path('/nonexistent/x.toml'), AgentSettings)
         self.assertIn('No such file', missing.unwrap_err().message)
 
-    def test_a_daemon_ends_with_code_2(self) -> None:
+    def test_daemon_exits_with_code_2(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'bad.toml'
-            path.write_text(_BAD, encoding='utf-8')
+            path.write_text(_INVALID, encoding='utf-8')
             self.assertEqual(main([str(path)]), 2)
--- a/tests/telemetry/test_log_writer.py
+++ b/tests/telemetry/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, never blocking, and read back."""
+"""Log lines: rate limits, non-blocking writes and parsing."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 
 from snipebend.telemetry.log_lines import explain, read_line, render_json
 from snipebend.telemetry.log_limits import LogLimits
-from snipebend.telemetry.log_writer import MAX_WAITING_BYTES, LogWriter
+from snipebend.telemetry.log_writer import MAX_BUFFERED_BYTES, LogWriter
 
 LINE = 'time=1 level=INFO event=tick {0}\n'.format('x' * 200)
 
 
 class TestLimits(unittest.TestCase):
-    """Lines of one event in one second."""
+    """Lines of one event are limited per second."""
 
-    def test_storms_are_cut_and_counted(self):
+    def test_excess_lines_are_suppressed_and_counted(self):
         limits = LogLimits(per_s=3)
-        limits.turn(10)
+        limits.start_second(10)
         allowed = [limits.allow('storm') for _ in range(8)]
         self.assertEqual(sum(allowed), 3)
         self.assertTrue(all(allowed[:3]))
         self.assertTrue(limits.allow('other'))
-        self.assertEqual(limits.turn(10.9), [])
-        self.assertEqual(limits.turn(11), [('storm', 5)])
+        self.assertEqual(limits.start_second(10.9), [])
+        self.assertEqual(limits.start_second(11), [('storm', 5)])
         self.assertTrue(limits.allow('storm'))
-        self.assertEqual(limits.turn(12), [])
+        self.assertEqual(limits.start_second(12), [])
 
 
 class TestLogWriter(unittest.TestCase):
-    """A pipe that is read, and one that isn't."""
+    """Writing to a pipe that is read, and to one that isn't."""
 
     def setUp(self):
         ends = os.pipe()
         self.reader = ends[0]
         self.descriptor = ends[1]
 
-    def test_lines_arrive_in_their_order(self):
+    def test_lines_keep_their_order(self):
         writer = LogWriter(self.descriptor)
         for number in range(50):
             writer(f'event=e number={number}\n')
@@ -46,9 +46,9 @@
         os.close(self.descriptor)
         with os.fdopen(self.reader) as stream:
             numbers = [line.split('=')[-1] for line in stream]
-        self.assertEqual([int(one) for one in numbers], list(range(50)))
+        self.assertEqual([int(text) for text in numbers], list(range(50)))
 
-    def test_lines_of_json_say_the_same(self):
+    def test_json_lines_have_the_same_pairs(self):
         writer = LogWriter(self.descriptor, render=render_json)
         line = 'time=1 level=INFO event=e reason="it is over" n=3\n'
         writer(line)
@@ -61,9 +61,9 @@
         self.assertEqual(json.loads(other), {'text': 'Traceback of nothing'})
         self.assertIsNone(read_line(event[:9]))
 
-    def test_nobody_reads(self):
+    def test_unread_pipe_does_not_block(self):
         writer = LogWriter(self.descriptor, LogLimits(per_s=10**9))
-        lines = 3 * MAX_WAITING_BYTES // len(LINE)
+        lines = 3 * MAX_BUFFERED_BYTES // len(LINE)
 
         def log_all():
             for _ in range(lines):
@@ -73,15 +73,15 @@
         logging.start()
         logging.join(20)
         self.assertFalse(logging.is_alive())
-        self.assertGreater(writer.dropped_in_all, lines // 3)
-        drained = threading.Thread(target=self._drain, daemon=True)
-        drained.start()
+        self.assertGreater(writer.dropped_total, lines // 3)
+        drain = threading.Thread(target=self._drain, daemon=True)
+        drain.start()
         writer.close()
         os.close(self.descriptor)
-        drained.join(20)
-        self.assertGreater(self.read, MAX_WAITING_BYTES // 2)
+        drain.join(20)
+        self.assertGreater(self.read, MAX_BUFFERED_BYTES // 2)
 
-    def test_drops_are_told(self):
+    def test_dropped_lines_are_reported(self):
         writer = LogWriter(self.descriptor)
         writer.dropped = 7
         writer('event=e\n')
@@ -114,17 +114,17 @@
 
 
 class TestExplain(unittest.TestCase):
-    """One request's lines, and what they rest on."""
+    """A request's lines, with the state that its decisions depend on."""
 
     def setUp(self):
         read = (read_line(text) for text in LOG.splitlines())
         self.lines = [line for line in read if line]
 
-    def test_the_life_of_a_request(self):
+    def test_history_of_a_request(self):
         found = explain('r1', self.lines)
-        told = [(line.time, line.pairs['event']) for line in found]
+        events = [(line.time, line.pairs['event']) for line in found]
         self.assertEqual(
-            told,
+            events,
             [
                 ('02', 'document_in_force'),
                 ('03', 'upstream_seen'),
@@ -136,5 +136,5 @@
         )
         self.assertEqual(found[4].pairs['reason'], 'a b')
 
-    def test_an_unknown_request(self):
+    def test_unknown_request(self):
         self.assertEqual(explain('r3', self.lines), [])
