--- a/src/snipebend/fleet/__init__.py
+++ b/src/snipebend/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The declarative fleet file: model, parsing, checks, differences."""
+"""The declarative fleet file: model, parsing, validation and differences."""
--- a/src/snipebend/fleet/checks.py
+++ b/src/snipebend/fleet/checks.py
@@ -1,10 +1,10 @@
-"""Checks across the entries of a fleet file: names, references, overlaps."""
+"""Checks across entries of a fleet file: names, references, overlaps."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from snipebend.fleet.draft import Fault, repeated
+from snipebend.fleet.draft import Fault, find_duplicates
 from snipebend.fleet.path_checks import check_calls, check_prefixes
 
 if TYPE_CHECKING:
@@ -21,8 +21,8 @@
 def check_references(draft: Draft) -> Iterator[Fault]:
     """Yield every fault that spans several entries.
 
-    A reference to an entry that has a fault of its own isn't reported, since
-    the reference itself is sound.
+    A reference to an invalid entry isn't reported, because the reference
+    itself is correct.
     """
     yield from _check_names(draft)
     yield from _check_groups(draft)
@@ -37,7 +37,7 @@
             for index, name in enumerate(names)
             if name is not None
         )
-        yield from repeated(keyed)
+        yield from find_duplicates(keyed)
 
 
 def _upstreams(draft: Draft) -> dict[str, UpstreamTable]:
@@ -45,18 +45,18 @@
 
 
 def _check_groups(draft: Draft) -> Iterator[Fault]:
-    known = _upstreams(draft)
+    upstreams = _upstreams(draft)
     members = []
     for index, group in draft.tables['groups'].items():
         for position, name in enumerate(group.upstreams):
             key = f'groups[{index}].upstreams[{position}]'
             members.append((key, name, f'upstream {name!r} is in use already'))
-            upstream = known.get(name)
+            upstream = upstreams.get(name)
             if upstream is not None:
                 yield from _check_member(key, group, upstream)
             elif name not in draft.names['upstreams']:
                 yield Fault(key, f'unknown upstream {name!r}')
-    yield from repeated(members)
+    yield from find_duplicates(members)
 
 
 def _check_member(
@@ -75,7 +75,7 @@
 def _check_workspaces(draft: Draft) -> Iterator[Fault]:
     workspaces = draft.tables['workspaces']
     models = {table.model for table in _upstreams(draft).values()}
-    has_broken_upstream = len(draft.tables['upstreams']) < len(
+    has_invalid_upstream = len(draft.tables['upstreams']) < len(
         draft.names['upstreams']
     )
     for index, workspace in workspaces.items():
@@ -84,13 +84,13 @@
                 f'workspaces[{index}].priority',
                 f'unknown priority {workspace.priority!r}',
             )
-        if not has_broken_upstream:
+        if not has_invalid_upstream:
             yield from _check_models(index, workspace, models)
         yield from _check_repeated_models(index, workspace)
-    # The message must not show the key itself, which is a secret.
-    yield from repeated(
-        (f'workspaces[{place}].api_key', holder.api_key, 'duplicate API key')
-        for place, holder in workspaces.items()
+    # The message must not contain the API key, which is a secret.
+    yield from find_duplicates(
+        (f'workspaces[{position}].api_key', table.api_key, 'duplicate API key')
+        for position, table in workspaces.items()
     )
 
 
@@ -106,7 +106,7 @@
 def _check_repeated_models(
     index: int, workspace: WorkspaceTable
 ) -> Iterator[Fault]:
-    return repeated(
+    return find_duplicates(
         (
             f'workspaces[{index}].models[{position}]',
             model,
@@ -118,10 +118,10 @@
 
 def _check_services(draft: Draft) -> Iterator[Fault]:
     services = draft.tables['services']
-    known = _upstreams(draft)
+    upstreams = _upstreams(draft)
     for index, service in services.items():
         key = f'services[{index}].upstream'
-        upstream = known.get(service.upstream)
+        upstream = upstreams.get(service.upstream)
         if upstream is None:
             if service.upstream not in draft.names['upstreams']:
                 yield Fault(key, f'unknown upstream {service.upstream!r}')
--- a/src/snipebend/fleet/delta.py
+++ b/src/snipebend/fleet/delta.py
@@ -1,4 +1,4 @@
-"""The difference of two fleets as a message, and its application."""
+"""The difference between two fleets as a message for distribution."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 
 
 class EntryKey(NamedTuple):
-    """The identity of one entry of a fleet."""
+    """Identifies an entry of a fleet."""
 
     section: str
     name: str
 
 
 class SectionOrder(NamedTuple):
-    """All names of a section, in the order of the file."""
+    """All names in a section, in file order."""
 
     section: str
     names: tuple[str, ...]
 
 
 class FleetDelta(msgspec.Struct, frozen=True, tag=True):
-    """What to put, to remove and to reorder.
+    """Entries to replace, add, remove and reorder.
 
-    A field of the head is ``None`` where it stays. A section's field holds
-    whole entries, each of which replaces the one of its name in place or goes
-    to the section's end. ``orders`` names a section only where that doesn't
-    yield the new order.
+    ``None`` leaves a field of the head unchanged. A section's field holds
+    complete entries: each replaces the entry of the same name in place or is
+    appended to the section. ``orders`` lists a section only if these steps
+    don't give the new order.
     """
 
     name: str | None = None
@@ -62,14 +62,15 @@
 def checksum(fleet: Fleet) -> int:
     """Return the 64-bit xxHash of the fleet's encoded records.
 
-    It detects a missed delta; it is no defence against forgery. The records
-    rather than the text, since each follower computes it at each change.
+    It detects a missed delta but doesn't protect against forgery. It covers
+    the records rather than the TOML text, because each follower computes it
+    at each change.
     """
     return xxh64_intdigest(msgspec.msgpack.encode(fleet))
 
 
 def delta_between(old: Fleet, new: Fleet) -> FleetDelta:
-    """Return the delta that leads from the old fleet to the new one."""
+    """Return the delta that turns the old fleet into the new one."""
     changes: dict[str, Any] = {
         field: getattr(new, field)
         for field in _HEAD_FIELDS
@@ -80,9 +81,9 @@
     for section in ENTRY_SECTIONS:
         before = _by_name(getattr(old, section))
         after = _by_name(getattr(new, section))
-        changes[section] = _replaced(before, after)
-        gone = [EntryKey(section, name) for name in before.keys() - after]
-        removed.extend(sorted(gone))
+        changes[section] = _changed_entries(before, after)
+        missing = [EntryKey(section, name) for name in before.keys() - after]
+        removed.extend(sorted(missing))
         if _merged_order(before, after) != list(after):
             orders.append(SectionOrder(section, tuple(after)))
     return FleetDelta(**changes, removed=tuple(removed), orders=tuple(orders))
@@ -91,8 +92,8 @@
 def apply_delta(fleet: Fleet, delta: FleetDelta) -> Fleet:
     """Return the fleet with a delta applied.
 
-    Against another fleet than the delta was made from, the outcome is some
-    fleet, which the checksum tells from the right one.
+    Applied to a fleet other than its base, a delta gives a wrong fleet, which
+    is detected by the checksum.
     """
     head: dict[str, Any] = {
         field: getattr(delta, field)
@@ -110,14 +111,16 @@
     return {entry.name: entry for entry in entries}
 
 
-def _replaced(before: dict[str, Any], after: dict[str, Any]) -> tuple[Any, ...]:
+def _changed_entries(
+    before: dict[str, Any], after: dict[str, Any]
+) -> tuple[Any, ...]:
     return tuple(
         entry for name, entry in after.items() if before.get(name) != entry
     )
 
 
 def _merged_order(before: dict[str, Any], after: dict[str, Any]) -> list[str]:
-    """Return the order that replacing in place and appending yields."""
+    """Return the order after replacing in place and appending."""
     kept = [name for name in before if name in after]
     return kept + [name for name in after if name not in before]
 
@@ -134,10 +137,10 @@
 
 
 def _ordered(section: str, names: list[str], delta: FleetDelta) -> list[str]:
-    ranks = {
-        name: rank
+    positions = {
+        name: position
         for order in delta.orders
         if order.section == section
-        for rank, name in enumerate(order.names)
+        for position, name in enumerate(order.names)
     }
-    return sorted(names, key=lambda name: ranks.get(name, len(ranks)))
+    return sorted(names, key=lambda name: positions.get(name, len(positions)))
--- a/src/snipebend/fleet/diff.py
+++ b/src/snipebend/fleet/diff.py
@@ -1,4 +1,4 @@
-"""What differs between two fleets, for people to read."""
+"""Human-readable differences between two fleets."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
     from snipebend.fleet.model import Fleet
 
-# Callers find both forms of a difference here: the one for people and the
-# one for distribution, which has its own module.
+# Also exports the deltas for distribution from their separate module, so that
+# callers import both forms of a difference from here.
 __all__ = (  # noqa: WPS410
     'Added',
     'Change',
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Added:
-    """An entry that only the new fleet has."""
+    """An entry that exists only in the new fleet."""
 
     section: str
     name: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Removed:
-    """An entry that only the old fleet has."""
+    """An entry that exists only in the old fleet."""
 
     section: str
     name: str
@@ -57,11 +57,11 @@
 
 @dataclass(frozen=True)
 class Changed:
-    """An entry with other values in ``fields``.
+    """An entry whose ``fields`` have changed.
 
-    The values aren't shown, since API keys are among them. ``name`` is empty
-    for a table without a name, and for a section whose entries stand in
-    another order (``fields`` is then ``('order',)``).
+    The values aren't included, because API keys are among them. ``name`` is
+    empty for a table without a name, and for a section whose entries were
+    reordered (``fields`` is then ``('order',)``).
     """
 
     section: str
@@ -73,7 +73,7 @@
 
 
 def diff_fleets(old: Fleet | None, new: Fleet) -> tuple[Change, ...]:
-    """Return the changes that lead from the old fleet to the new one."""
+    """Return the changes from the old fleet to the new one."""
     if old is None:
         return (Added(FLEET_SECTION, new.name), *_all_added(new))
     return (*_diff_head(old, new), *_diff_sections(old, new))
@@ -111,7 +111,7 @@
 def _diff_section(
     section: str, old: dict[str, Any], new: dict[str, Any]
 ) -> Iterator[Change]:
-    yield from (Removed(section, gone) for gone in old if gone not in new)
+    yield from (Removed(section, name) for name in old if name not in new)
     for name, entry in new.items():
         if name not in old:
             yield Added(section, name)
--- a/src/snipebend/fleet/draft.py
+++ b/src/snipebend/fleet/draft.py
@@ -1,4 +1,4 @@
-"""What could be read of a fleet file, and the faults found in it."""
+"""Intermediate results of fleet file validation: valid entries and faults."""
 
 from __future__ import annotations
 
@@ -9,29 +9,32 @@
 
 
 class Fault(NamedTuple):
-    """A problem whose file isn't named yet."""
+    """A problem in a fleet file, without the file's name."""
 
     key: str
     message: str
 
 
 class Draft(NamedTuple):
-    """What could be read of a file, by section.
+    """The decoded entries of a file, by section.
 
-    ``names`` holds the name of each entry in its position, with ``None`` where
-    there is none; ``tables`` only the entries without a fault of their own.
+    ``names`` holds the name of each entry by position, or ``None`` if it has
+    none. ``tables`` holds only the entries that are valid by themselves.
     """
 
     names: Mapping[str, tuple[str | None, ...]]
     tables: Mapping[str, Mapping[int, Any]]
 
 
-def repeated(
-    keyed: Iterable[tuple[str, Hashable, str]],
+def find_duplicates(
+    keyed_items: Iterable[tuple[str, Hashable, str]],
 ) -> Iterator[Fault]:
-    """Yield a fault for each ``(key, identity, message)`` seen before."""
+    """Yield a fault for each item whose identity occurred before.
+
+    An item is ``(key, identity, message)``.
+    """
     seen = set()
-    for key, identity, message in keyed:
+    for key, identity, message in keyed_items:
         if identity in seen:
             yield Fault(key, message)
         seen.add(identity)
--- a/src/snipebend/fleet/lease.py
+++ b/src/snipebend/fleet/lease.py
@@ -1,9 +1,10 @@
-"""How long the lease of a configuration must be, by how it is renewed (pure).
+"""Minimum lease of a configuration. Performs no I/O.
 
-A process stays with a control daemon while a message comes at least each
-``KEEPALIVE_S`` and none tells of a confirmation older than ``STALE_S``. Right
-before the next message its copy may thus be known to be good as of both spans
-ago; a shorter lease would lapse again and again in a sound system.
+A process follows a control daemon while it receives a message at least every
+``KEEPALIVE_S`` and the confirmation reported in it is at most
+``MAX_CONFIRMATION_AGE_S`` old. Right before the next message, the last known
+confirmation can therefore be as old as both together; a shorter lease would
+expire repeatedly without any fault.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 if TYPE_CHECKING:
     from snipebend.fleet.model import RoutingPolicy
 
-#: Seconds between two messages to a watcher for whom nothing is new.
+#: Seconds between messages to a watcher while the configuration is unchanged.
 KEEPALIVE_S = 1.0
-#: Seconds since a quorum confirmed a daemon after which another one is tried,
-#: well before the lease ends.
-STALE_S = 2.0
-#: The shortest lease that lasts from each message to the next.
-MIN_CONFIG_LEASE_S = KEEPALIVE_S + STALE_S
+#: Maximum seconds since a quorum confirmed a daemon's configuration; after that
+#: a process tries another daemon, well before the lease expires.
+MAX_CONFIRMATION_AGE_S = 2.0
+#: The shortest lease that always lasts until the next message.
+MIN_CONFIG_LEASE_S = KEEPALIVE_S + MAX_CONFIRMATION_AGE_S
 
 
 def check_lease(routing: RoutingPolicy) -> Fault | None:
-    """Return the fault of a lease that is too short.
+    """Return a fault if the lease is too short.
 
-    Not a part of parsing: the replicas parse when they decide on a change,
-    and have to decide alike while two versions run side by side.
+    This is not a part of parsing: the replicas parse the file to decide on a
+    change, and must decide the same while two releases run side by side.
     """
     if routing.config_lease_s >= MIN_CONFIG_LEASE_S:
         return None
@@ -36,5 +37,6 @@
         'routing.config_lease_s',
         f'{routing.config_lease_s:g} s is too short: it must be at least '
         + f'{MIN_CONFIG_LEASE_S:g} s, since it is renewed every '
-        + f'{KEEPALIVE_S:g} s by news that may be {STALE_S:g} s old',
+        + f'{KEEPALIVE_S:g} s by confirmations that may be '
+        + f'{MAX_CONFIRMATION_AGE_S:g} s old',
     )
--- a/src/snipebend/fleet/lookup.py
+++ b/src/snipebend/fleet/lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups that each request needs, over indexes built once per fleet."""
+"""Look-ups for each request, in indexes that are built once per fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         Workspace,
     )
 
-# Methods that RFC 9110, section 9.2.2, defines as idempotent.
+# Idempotent methods according to RFC 9110, section 9.2.2.
 IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'))
 
 
@@ -24,8 +24,8 @@
     pattern: tuple[str, ...]
     call: ServiceCall
 
-    def covers(self, segments: tuple[str, ...]) -> bool:
-        """Tell whether each segment is equal or stands for a parameter."""
+    def matches(self, segments: tuple[str, ...]) -> bool:
+        """Return whether each segment is equal or matches a parameter."""
         return len(self.pattern) == len(segments) and all(
             is_parameter(part) or part == segment
             for part, segment in zip(self.pattern, segments, strict=True)
@@ -33,7 +33,7 @@
 
 
 class FleetIndex:
-    """Answers questions about one fleet in time that ignores its size."""
+    """Indexes of one fleet; look-up times don't depend on the fleet's size."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Build the indexes."""
@@ -55,7 +55,7 @@
         self._engines = _engines_by_model(fleet)
 
     def workspace_for_key(self, api_key: str) -> Workspace | None:
-        """Return the workspace that an API key belongs to."""
+        """Return the workspace with an API key, if any."""
         return self._workspaces.get(api_key)
 
     def priority_of(self, workspace: Workspace) -> Priority:
@@ -63,11 +63,11 @@
         return self._priorities[workspace.priority]
 
     def upstreams_for_model(self, model: str) -> tuple[UpstreamPolicy, ...]:
-        """Return the engines' policies for a model, none when unknown."""
+        """Return the engines' policies for a model; empty if it is unknown."""
         return self._engines.get(model, ())
 
     def service_for_path(self, path: str) -> Service | None:
-        """Return the service whose prefix the path lies at or below."""
+        """Return the service whose prefix contains the path, if any."""
         segments = split_path(path)
         if segments is None:
             return None
@@ -78,24 +78,24 @@
         return None
 
     def is_repeatable(self, service: Service, method: str, path: str) -> bool:
-        """Tell whether a call may run more than once.
+        """Return whether a call may run more than once.
 
-        Of the listed calls that match, the one whose literal segments come
-        first decides. Calls not listed follow their method; a path whose
-        meaning is uncertain is never repeatable.
+        Among the matching rules, the one whose literal segments come first
+        applies. Calls without a rule are repeatable if their method is
+        idempotent; ambiguous paths are never repeatable.
         """
         segments = split_path(path)
         if segments is None:
             return False
-        verb = method.upper()
+        upper_method = method.upper()
         for rule in self._rules[service.name]:
-            if rule.call.method == verb and rule.covers(segments):
+            if rule.call.method == upper_method and rule.matches(segments):
                 return rule.call.repeatable
-        return verb in IDEMPOTENT_METHODS
+        return upper_method in IDEMPOTENT_METHODS
 
 
 def _rules(service: Service) -> tuple[_Rule, ...]:
-    """Order the rules so that the most specific comes first."""
+    """Return the rules, sorted from the most to the least specific."""
     rules = [
         _Rule(normalise_pattern(call.path), call) for call in service.calls
     ]
--- a/src/snipebend/fleet/model.py
+++ b/src/snipebend/fleet/model.py
@@ -1,4 +1,4 @@
-"""The records of a fleet file, immutable and compared by value."""
+"""The records of a fleet file: immutable and compared by value."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 UpstreamKind = Literal['engine', 'service']
 Fencing = Literal['checked', 'ignored']
 
-# The sections of named entries, in the order of the file.
+# The sections that contain named entries, in file order.
 ENTRY_SECTIONS = (
     'priorities',
     'upstreams',
@@ -19,20 +19,24 @@
 
 
 class Weights(NamedTuple):
-    """What rebalancing minimises: ``skew * step skew + cost * move cost``."""
+    """Weights of the sum that rebalancing minimises.
+
+    It is ``skew * step skew + cost * move cost``.
+    """
 
     skew: float
     cost: float
 
 
 class RoutingPolicy(NamedTuple):
-    """Limits of one request's way through the fleet.
+    """Limits for the handling of a request.
 
     ``retry_ratio`` is the share of retries among requests that the retry
-    budget allows; ``crash_limit`` counts the upstream crashes after which a
-    request is quarantined for ``quarantine_s`` seconds; ``answer_bytes``
-    bounds one stored answer; ``config_lease_s`` is how long a process trusts
-    its configuration without hearing that it is still in force.
+    budget allows. ``crash_limit`` is the number of upstream crashes after
+    which a request is quarantined for ``quarantine_s`` seconds.
+    ``answer_bytes`` limits the size of a stored response. ``config_lease_s``
+    is the time for which a process uses its configuration without a
+    confirmation that it is still active.
     """
 
     request_timeout_s: float = 120.0
@@ -46,7 +50,7 @@
 
 
 class Priority(NamedTuple):
-    """A class of work; its rank is its position, the first is the highest."""
+    """A priority class; classes are listed from highest to lowest."""
 
     name: str
     weight: int
@@ -54,10 +58,10 @@
 
 
 class UpstreamPolicy(NamedTuple):
-    """How to treat the upstreams that announce themselves under a name.
+    """Policy for the upstreams that announce themselves under a name.
 
-    ``model`` is empty for plain services. ``fencing`` says whether the
-    upstream itself refuses an order with an old fencing number.
+    ``model`` is empty for plain services. ``fencing`` states whether the
+    upstream itself rejects orders with an outdated fence.
     """
 
     name: str
@@ -71,12 +75,13 @@
 
 
 class Group(NamedTuple):
-    """A group of ranks that run in lock-step on one expert map.
+    """A group of ranks that run in lock-step with one expert map.
 
-    ``experts`` counts logical experts per layer, ``experts_per_rank`` the
-    slots that a rank's memory has per layer, ``expert_bytes`` the weights of
-    one expert in one layer, ``store_bytes_per_s`` the rate of the weight
-    store and ``hold_steps`` the least steps between two map changes.
+    ``experts`` is the number of logical experts per layer,
+    ``experts_per_rank`` the number of expert slots per layer in a rank's
+    memory, ``expert_bytes`` the weight size of one expert in one layer,
+    ``store_bytes_per_s`` the throughput of the weight store and
+    ``hold_steps`` the minimum number of steps between two map changes.
     """
 
     name: str
@@ -92,7 +97,7 @@
 
 
 class Workspace(NamedTuple):
-    """One workspace with its limits; empty ``models`` allows all models."""
+    """A workspace with its limits; empty ``models`` allows all models."""
 
     name: str
     api_key: str
@@ -105,10 +110,10 @@
 
 
 class ServiceCall(NamedTuple):
-    """Whether one call of a service may be repeated.
+    """States whether a call of a service may be repeated.
 
-    ``path`` is the whole request path, below the service's prefix; a segment
-    in braces (``/holds/{hold}/confirm``) matches any one segment.
+    ``path`` is the complete request path, including the service's prefix; a
+    segment in braces (``/holds/{hold}/confirm``) matches any single segment.
     """
 
     method: str
@@ -117,7 +122,7 @@
 
 
 class Service(NamedTuple):
-    """A plain service that is reached under its own path prefix."""
+    """A plain service that serves requests below a path prefix."""
 
     name: str
     path_prefix: str
@@ -126,10 +131,10 @@
 
 
 class Fleet(NamedTuple):
-    """Everything that one fleet file describes.
+    """The content of a fleet file.
 
-    ``stale_policy`` says what a process does with new work once its
-    configuration lease has lapsed.
+    ``stale_policy`` states whether a process accepts new work after its
+    configuration lease has expired.
     """
 
     name: str
--- a/src/snipebend/fleet/parsing.py
+++ b/src/snipebend/fleet/parsing.py
@@ -1,7 +1,7 @@
-"""Read a fleet file: TOML, then shape and types, then cross references.
+"""Parse a fleet file: TOML, then structure and types, then references.
 
-All problems are reported at once: an entry with a fault of its own doesn't
-hide the faults of the others.
+All problems are reported at once: an invalid entry doesn't hide the faults of
+the others.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 from snipebend.errors.hierarchy import InvalidInputError
 from snipebend.fleet.checks import check_references
-from snipebend.fleet.document import read_document
+from snipebend.fleet.document import decode_document
 from snipebend.fleet.draft import Fault
 from snipebend.fleet.model import Fleet
-from snipebend.fleet.tables import read_tables
+from snipebend.fleet.tables import validate_tables
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -29,7 +29,7 @@
 
 
 class Problem(NamedTuple):
-    """One fault of a file: where it was read, at which key, and why."""
+    """A fault of a file, with the file's name, the key and the reason."""
 
     source: str
     key: str
@@ -41,7 +41,7 @@
 
 
 class FleetFileError(InvalidInputError):
-    """A fleet file that can't be accepted, with every problem found."""
+    """A fleet file is invalid; holds all problems found."""
 
     def __init__(self, problems: tuple[Problem, ...]) -> None:
         """Store the problems; the message has one line for each."""
@@ -51,21 +51,21 @@
 
 
 def parse_fleet(text: str, source: str) -> Result[Fleet, FleetFileError]:
-    """Parse and check a fleet file; ``source`` names it in the problems.
+    """Parse and validate a fleet file; ``source`` names it in the problems.
 
-    A file over ``MAX_FILE_BYTES`` is refused before any of it is parsed.
+    A file larger than ``MAX_FILE_BYTES`` is rejected before parsing.
     """
     if _is_too_large(text):
         large = Fault('file', f'larger than {MAX_FILE_BYTES} bytes')
         return Err(_error(source, (large,)))
-    document = read_document(text)
+    document = decode_document(text)
     if isinstance(document, Fault):
         return Err(_error(source, (document,)))
-    head, draft, faults = read_tables(document)
+    head, draft, faults = validate_tables(document)
     faults += tuple(check_references(draft))
     if head is None or faults:
         return Err(_error(source, faults))
-    return Ok(_fleet(head, draft))
+    return Ok(_to_fleet(head, draft))
 
 
 def _is_too_large(text: str) -> bool:
@@ -74,7 +74,7 @@
     return len(text.encode('utf-8', 'surrogatepass')) > MAX_FILE_BYTES
 
 
-def _fleet(head: HeadTable, draft: Draft) -> Fleet:
+def _to_fleet(head: HeadTable, draft: Draft) -> Fleet:
     records: dict[str, Any] = {
         section: tuple(table.record() for table in entries.values())
         for section, entries in draft.tables.items()
--- a/src/snipebend/fleet/paths.py
+++ b/src/snipebend/fleet/paths.py
@@ -1,4 +1,4 @@
-"""Request paths as segments, read the same way by checks and look-ups."""
+"""Splitting of request paths, shared by validation and look-ups."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 def split_path(path: str) -> tuple[str, ...] | None:
     """Return the decoded segments of a request path, without its query.
 
-    Empty segments are dropped, so that a doubled or trailing slash can't
-    evade a rule. A path with dot segments has no certain meaning to the
-    upstream behind and gives ``None``.
+    Empty segments are dropped, so that a double or trailing slash can't
+    bypass a rule. The result is ``None`` for a path with dot segments, since
+    its meaning to the upstream is uncertain.
     """
     bare = path.partition('?')[0]
     segments = tuple(unquote(part) for part in bare.split('/') if part)
@@ -22,16 +22,16 @@
 
 
 def is_parameter(segment: str) -> bool:
-    """Tell whether a segment of a pattern stands for any one segment."""
+    """Return whether a segment of a pattern matches any segment."""
     return segment.startswith('{')
 
 
 def normalise_pattern(path: str) -> tuple[str, ...]:
-    """Return a pattern's segments with the parameters' names left out."""
+    """Return a pattern's segments, without the names of parameters."""
     segments = path.strip('/').split('/')
     return tuple('{}' if is_parameter(part) else part for part in segments)
 
 
 def starts_with(path: tuple[str, ...], prefix: tuple[str, ...]) -> bool:
-    """Tell whether a path lies at or below a prefix, by whole segments."""
+    """Return whether a path begins with all segments of a prefix."""
     return path[: len(prefix)] == prefix
--- a/src/snipebend/fleet/rendering.py
+++ b/src/snipebend/fleet/rendering.py
@@ -1,4 +1,4 @@
-"""Write a fleet as canonical TOML: equal fleets give equal text."""
+"""Render a fleet as canonical TOML: equal fleets give equal text."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def render_fleet(fleet: Fleet) -> str:
-    """Return TOML that parses back to an equal fleet.
+    """Return TOML that parses to an equal fleet.
 
-    Every key is written, defaults too, in the order of the records' fields;
-    the entries of a section keep their order.
+    All keys are written, including defaults, in the order of the records'
+    fields; the entries of a section keep their order.
     """
     lines = '\n'.join(_render_table('', fleet))
     return f'{lines}\n'
 
 
 def _render_table(path: str, record: NamedTuple) -> Iterator[str]:
-    """Yield the plain keys first: TOML gives later ones to the sub-table."""
+    """Yield plain keys before tables: TOML adds later keys to the sub-table."""
     fields = record._asdict()
     for key, field in fields.items():
         if not _is_nested(field):
@@ -53,10 +53,10 @@
 
 
 def _render_value(plain: Any) -> str:
-    """Render a string, number, truth value or array of strings.
+    """Render a string, number, boolean or array of strings.
 
-    The schema admits only printable ASCII strings, for which JSON's escapes
-    are TOML's; ``repr`` of a finite float is TOML and reads back exactly.
+    The schema allows only printable ASCII strings, for which JSON's escapes
+    are TOML's; ``repr`` of a finite float is TOML that parses to an equal one.
     """
     match plain:
         case bool():
@@ -66,7 +66,7 @@
         case tuple():
             return f'[{", ".join(map(_render_value, plain))}]'
         case float():
-            # -0.0 equals 0.0 and must not be told apart by the text.
+            # -0.0 equals 0.0, so both must give the same text.
             return repr(plain or float())
         case _:
             return str(plain)
--- a/src/snipebend/fleet/schema.py
+++ b/src/snipebend/fleet/schema.py
@@ -1,7 +1,7 @@
-"""The shape of a fleet file: keys, strict types and ranges of values.
+"""The schema of a fleet file: keys, strict types and ranges of values.
 
-Each class mirrors the record of the same name in ``snipebend.fleet.model``;
-what spans several entries is checked in ``snipebend.fleet.checks``.
+Each class corresponds to a record in ``snipebend.fleet.model``; rules that
+span several entries are checked in ``snipebend.fleet.checks``.
 """
 
 from __future__ import annotations
@@ -70,8 +70,8 @@
 Count = Annotated[int, Field(ge=1, le=MAX_COUNT)]
 CountOrZero = Annotated[int, Field(ge=0, le=MAX_COUNT)]
 Bytes = Annotated[int, Field(ge=1, le=MAX_BYTES)]
-Span = Annotated[float, Field(gt=0, le=MAX_SPAN_S)]
-SpanOrZero = Annotated[float, Field(ge=0, le=MAX_SPAN_S)]
+Seconds = Annotated[float, Field(gt=0, le=MAX_SPAN_S)]
+SecondsOrZero = Annotated[float, Field(ge=0, le=MAX_SPAN_S)]
 Rate = Annotated[float, Field(gt=0, le=MAX_RATE_PER_S)]
 WeightOrZero = Annotated[float, Field(ge=0, le=MAX_WEIGHT)]
 
@@ -79,7 +79,7 @@
 
 
 class _Table(BaseModel):
-    """A table that refuses unknown keys and converts no types."""
+    """A table that rejects unknown keys and values of other types."""
 
     model_config = ConfigDict(
         extra='forbid', strict=True, allow_inf_nan=False, frozen=True
@@ -93,8 +93,8 @@
     cost: WeightOrZero
 
     @model_validator(mode='after')
-    def check_any(self) -> WeightsTable:
-        """Refuse weights that express no preference at all."""
+    def check_not_both_zero(self) -> WeightsTable:
+        """Reject weights that are both 0, which express no preference."""
         if self.skew + self.cost == 0:
             raise ValueError('skew and cost must not both be 0')
         return self
@@ -105,26 +105,26 @@
 
 
 class RoutingTable(_Table):
-    """``[routing]``, every key optional."""
+    """``[routing]``; all keys are optional."""
 
-    request_timeout_s: Span = _ROUTING.request_timeout_s
-    attempt_timeout_s: Annotated[Span, Field(validate_default=True)] = (
+    request_timeout_s: Seconds = _ROUTING.request_timeout_s
+    attempt_timeout_s: Annotated[Seconds, Field(validate_default=True)] = (
         _ROUTING.attempt_timeout_s
     )
     retry_ratio: Annotated[float, Field(ge=0, le=1)] = _ROUTING.retry_ratio
     crash_limit: Count = _ROUTING.crash_limit
-    quarantine_s: Span = _ROUTING.quarantine_s
+    quarantine_s: Seconds = _ROUTING.quarantine_s
     max_body_bytes: Bytes = _ROUTING.max_body_bytes
     answer_bytes: Bytes = _ROUTING.answer_bytes
-    config_lease_s: Span = _ROUTING.config_lease_s
+    config_lease_s: Seconds = _ROUTING.config_lease_s
 
     @field_validator('attempt_timeout_s')
     @classmethod
-    def check_timeouts(cls, span: float, info: ValidationInfo) -> float:
-        """Refuse an attempt that may outlast its request."""
-        if span > info.data.get('request_timeout_s', span):
+    def check_timeouts(cls, timeout_s: float, info: ValidationInfo) -> float:
+        """Reject an attempt timeout longer than the request timeout."""
+        if timeout_s > info.data.get('request_timeout_s', timeout_s):
             raise ValueError('must not exceed request_timeout_s')
-        return span
+        return timeout_s
 
     def record(self) -> RoutingPolicy:
         """Return the immutable record."""
@@ -132,7 +132,7 @@
 
 
 class HeadTable(_Table):
-    """The keys of the file that are no array of tables."""
+    """The top-level keys of the file that are not arrays of tables."""
 
     name: Name
     stale_policy: StalePolicy = 'refuse'
@@ -158,17 +158,17 @@
     name: Name
     kind: UpstreamKind
     model: Annotated[OptionalModelName, Field(validate_default=True)] = ''
-    # The safe assumption: somebody else has to check.
+    # The safe default: assume that the upstream does not check fences.
     fencing: Fencing = 'ignored'
     max_concurrency: Count
-    slow_start_s: SpanOrZero
+    slow_start_s: SecondsOrZero
     ejection_failures: Count
-    ejection_s: Span
+    ejection_s: Seconds
 
     @field_validator('model')
     @classmethod
     def check_model(cls, model: str, info: ValidationInfo) -> str:
-        """Engines serve a model, plain services don't."""
+        """Require a model for engines, and none for plain services."""
         kind = info.data.get('kind')
         if kind == 'engine' and not model:
             raise ValueError('an engine needs a model')
@@ -198,7 +198,7 @@
     @field_validator('experts_per_rank')
     @classmethod
     def check_slots(cls, slots: int, info: ValidationInfo) -> int:
-        """Refuse a group whose memory can't hold each expert once."""
+        """Reject a group whose memory can't hold each expert once."""
         ranks = info.data.get('ranks', 0)
         experts = info.data.get('experts', 0)
         if ranks and slots * ranks < experts:
--- a/src/snipebend/fleet/tables.py
+++ b/src/snipebend/fleet/tables.py
@@ -1,4 +1,4 @@
-"""Check the shape and types of a fleet file, entry by entry."""
+"""Validate the tables of a fleet file against the schema, one by one."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
     from snipebend.fleet.schema import EntryTable
 
-_T = TypeVar('_T', bound=BaseModel)
+AnyTable = TypeVar('AnyTable', bound=BaseModel)
 
 _SECTIONS: Mapping[str, type[EntryTable]] = MappingProxyType(
     {
@@ -37,7 +37,7 @@
     }
 )
 _BARE_KEY = re.compile(r'^[A-Za-z0-9_-]+$')
-_PLAIN_WORDING = MappingProxyType(
+_PLAIN_MESSAGES = MappingProxyType(
     {
         'extra_forbidden': 'unknown key',
         'missing': 'required key is missing',
@@ -46,29 +46,29 @@
 )
 
 
-class Reading(NamedTuple):
-    """What one file holds; ``head`` is ``None`` where it has a fault."""
+class TablesResult(NamedTuple):
+    """The valid tables and the faults; an invalid ``head`` is ``None``."""
 
     head: HeadTable | None
     draft: Draft
     faults: tuple[Fault, ...]
 
 
-def read_tables(document: Mapping[str, Any]) -> Reading:
-    """Check each table by itself and collect the faults of all."""
+def validate_tables(document: Mapping[str, Any]) -> TablesResult:
+    """Validate each table and collect the faults of all."""
     faults: list[Fault] = []
-    rest = {
+    head_fields = {
         key: field for key, field in document.items() if key not in _SECTIONS
     }
-    head = _validate(HeadTable, rest, (), faults)
+    head = _validate(HeadTable, head_fields, (), faults)
     tables = {
         section: _read_section(section, document.get(section, []), faults)
         for section in _SECTIONS
     }
     names = {
-        section: _raw_names(document.get(section)) for section in _SECTIONS
+        section: _entry_names(document.get(section)) for section in _SECTIONS
     }
-    return Reading(head, Draft(names, tables), tuple(faults))
+    return TablesResult(head, Draft(names, tables), tuple(faults))
 
 
 def _read_section(
@@ -87,23 +87,23 @@
 
 
 def _validate(
-    table: type[_T],
+    table: type[AnyTable],
     raw: object,
-    where: tuple[str | int, ...],
+    path: tuple[str | int, ...],
     faults: list[Fault],
-) -> _T | None:
+) -> AnyTable | None:
     try:
         return table.model_validate(raw)
     except ValidationError as exc:
         details = exc.errors(include_url=False, include_input=False)
-    faults.extend(_schema_fault(where, detail) for detail in details)
+    faults.extend(_schema_fault(path, detail) for detail in details)
     return None
 
 
-def _schema_fault(where: tuple[str | int, ...], detail: ErrorDetails) -> Fault:
-    message = _PLAIN_WORDING.get(detail['type'], detail['msg'])
+def _schema_fault(path: tuple[str | int, ...], detail: ErrorDetails) -> Fault:
+    message = _PLAIN_MESSAGES.get(detail['type'], detail['msg'])
     return Fault(
-        _render_key((*where, *detail['loc'])) or 'file',
+        _render_key((*path, *detail['loc'])) or 'file',
         message.removeprefix('Value error, '),
     )
 
@@ -120,13 +120,13 @@
     return f'.{part}' if _BARE_KEY.match(part) else f'.{part!a}'
 
 
-def _raw_names(entries: object) -> tuple[str | None, ...]:
-    """Return the names of all entries, of those with faults too."""
+def _entry_names(entries: object) -> tuple[str | None, ...]:
+    """Return the names of all entries, including invalid ones."""
     if not isinstance(entries, list):
         return ()
-    return tuple(_raw_name(entry) for entry in entries)
+    return tuple(_entry_name(entry) for entry in entries)
 
 
-def _raw_name(entry: object) -> str | None:
+def _entry_name(entry: object) -> str | None:
     name = entry.get('name') if isinstance(entry, dict) else None
     return name if isinstance(name, str) else None
--- a/src/snipebend/transport/followers.py
+++ b/src/snipebend/transport/followers.py
@@ -10,7 +10,7 @@
 from loguru import logger
 
 from snipebend.errors.hierarchy import UnavailableError
-from snipebend.fleet.lease import STALE_S
+from snipebend.fleet.lease import MAX_CONFIRMATION_AGE_S
 from snipebend.fleet.lookup import FleetIndex
 from snipebend.kernel.service import Service
 from snipebend.state.followed_configuration import (
@@ -142,6 +142,6 @@
 
     def _is_stale(self, message: Configuration) -> bool:
         """Tell whether a daemon may be cut off from its group."""
-        unconfirmed = not 0 <= message.confirmed_ago_s <= STALE_S
+        unconfirmed = not 0 <= message.confirmed_ago_s <= MAX_CONFIRMATION_AGE_S
         lapsed = self.lapsed(self._clock.now())
         return unconfirmed or (lapsed and self.index is not None)
--- a/tests/fleet/strategies.py
+++ b/tests/fleet/strategies.py
@@ -1,4 +1,4 @@
-"""Hypothesis strategies for fleets that pass every check."""
+"""Hypothesis strategies for valid fleets."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     Workspace,
 )
 
-_SPANS = st.floats(min_value=1e-9, max_value=1e6)
-_WEIGHTS = st.floats(min_value=0, max_value=1e9)
+_POSITIVE_FLOATS = st.floats(min_value=1e-9, max_value=1e6)
+_NON_NEGATIVE_FLOATS = st.floats(min_value=0, max_value=1e9)
 _COUNTS = st.integers(min_value=1, max_value=2**31 - 1)
 _NAMES = st.sampled_from(('a', 'B.c', 'd_e', '0', 'f-g', 'true', '1.5'))
 _KEYS = st.text(st.characters(min_codepoint=0x21, max_codepoint=0x7E))
@@ -36,9 +36,11 @@
             model='org/model:1' if kind == 'engine' else '',
             fencing=draw(st.sampled_from(('checked', 'ignored'))),
             max_concurrency=draw(_COUNTS),
-            slow_start_s=draw(_WEIGHTS.map(lambda span: span / 1e3)),
+            slow_start_s=draw(
+                _NON_NEGATIVE_FLOATS.map(lambda number: number / 1e3)
+            ),
             ejection_failures=draw(_COUNTS),
-            ejection_s=draw(_SPANS),
+            ejection_s=draw(_POSITIVE_FLOATS),
         )
         for name in draw(_names())
         for kind in (draw(st.sampled_from(('engine', 'service'))),)
@@ -53,13 +55,13 @@
 def _workspaces(
     draw: st.DrawFn, priorities: tuple[Priority, ...], models: list[str]
 ) -> tuple[Workspace, ...]:
-    # No name is another's suffix, which keeps the keys distinct.
+    # No name is a suffix of another, so the API keys are distinct.
     return tuple(
         Workspace(
             name=name,
             api_key=f'{draw(_KEYS)}{name}',
             priority=draw(st.sampled_from(priorities)).name,
-            rate_per_s=draw(_SPANS),
+            rate_per_s=draw(_POSITIVE_FLOATS),
             burst=draw(_COUNTS),
             max_concurrency=draw(_COUNTS),
             weight=draw(_COUNTS),
@@ -72,7 +74,10 @@
 
 @st.composite
 def fleets(draw: st.DrawFn) -> Fleet:
-    """Draw a valid fleet; few distinct names make two of them overlap."""
+    """Generate a valid fleet.
+
+    There are few distinct names, so that two fleets have entries in common.
+    """
     upstreams = draw(_upstreams())
     engines = [entry for entry in upstreams if entry.kind == 'engine']
     plain = [entry for entry in upstreams if entry.kind == 'service']
@@ -83,10 +88,10 @@
     return Fleet(
         name=draw(_NAMES),
         stale_policy=draw(st.sampled_from(('refuse', 'serve'))),
-        weights=Weights(draw(_SPANS), draw(_WEIGHTS)),
+        weights=Weights(draw(_POSITIVE_FLOATS), draw(_NON_NEGATIVE_FLOATS)),
         routing=RoutingPolicy(
             request_timeout_s=2e6,
-            attempt_timeout_s=draw(_SPANS),
+            attempt_timeout_s=draw(_POSITIVE_FLOATS),
             retry_ratio=draw(st.floats(0, 1)),
             crash_limit=draw(_COUNTS),
         ),
--- a/tests/fleet/test_diff.py
+++ b/tests/fleet/test_diff.py
@@ -1,4 +1,4 @@
-"""Differences for people and deltas for distribution."""
+"""Human-readable differences, and deltas for distribution."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 
 class DeltaTest(unittest.TestCase):
-    """A delta carries one fleet to exactly the other."""
+    """A delta turns one fleet into exactly the other."""
 
     @settings(derandomize=True, deadline=None, max_examples=200)
     @given(fleets(), fleets())
     def test_applies_exactly(self, old: Fleet, new: Fleet) -> None:
-        """Also over the wire, in order, and empty between equal fleets."""
+        """After encoding too; equal fleets give an empty delta."""
         delta = delta_between(old, new)
         wire = msgspec.msgpack.encode(delta)
         received = msgspec.msgpack.decode(wire, type=FleetDelta)
@@ -57,7 +57,7 @@
         self.assertEqual(not diff_fleets(old, new), old == new)
 
     def test_small_change_is_a_small_delta(self) -> None:
-        """One changed entry travels alone, without any order."""
+        """One changed entry is sent alone, without the section's order."""
         old = _fleet(HIGH, LOW, IDLE)
         new = _fleet(HIGH, LOW._replace(weight=2), IDLE)
         self.assertEqual(
@@ -67,10 +67,10 @@
 
 
 class DiffTest(unittest.TestCase):
-    """Changes name what changed, never the values."""
+    """Changes contain names of fields, never values."""
 
-    def test_all_kinds(self) -> None:
-        """An addition, a removal, a change and another order."""
+    def test_all_kinds_of_changes(self) -> None:
+        """An addition, a removal, a change and a reordering."""
         old = _fleet(HIGH, IDLE)
         new = _fleet(LOW, HIGH._replace(weight=4))._replace(name='g')
         self.assertEqual(
--- a/tests/fleet/test_lookup.py
+++ b/tests/fleet/test_lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups over an example; doubtful calls are never repeatable."""
+"""Look-ups in an example fleet; ambiguous calls are never repeatable."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FleetIndexTest(unittest.TestCase):
-    """The index over Chanthavong's fleet."""
+    """The index of the example fleet ``chanthavong.toml``."""
 
     def setUp(self) -> None:
         """Read the example."""
@@ -20,7 +20,7 @@
         self.index = FleetIndex(self.fleet)
 
     def test_names(self) -> None:
-        """Keys, priorities and models lead to their entries."""
+        """Look-ups by API key, priority and model find their entries."""
         workspace = self.index.workspace_for_key('example-key-phone-line')
         self.assertEqual(workspace, self.fleet.workspaces[1])
         self.assertIsNone(self.index.workspace_for_key('phone-line'))
@@ -32,7 +32,7 @@
         self.assertEqual(self.index.upstreams_for_model(''), ())
 
     def test_paths(self) -> None:
-        """A prefix matches by whole segments of a path without dots."""
+        """A prefix matches complete segments; dot segments never match."""
         booking = self.fleet.services[0]
         for path, service in (
             ('/booking', booking),
@@ -47,7 +47,7 @@
                 self.assertEqual(self.index.service_for_path(path), service)
 
     def test_repeatable(self) -> None:
-        """Listed calls decide, then the method; spelling can't evade."""
+        """Rules apply before the method; other spellings don't bypass them."""
         booking = self.fleet.services[0]
         for method, path, repeatable in (
             ('GET', '/booking/holds/7', True),
@@ -67,8 +67,8 @@
                     repeatable,
                 )
 
-    def test_most_specific_call_decides(self) -> None:
-        """A literal segment goes before a parameter, whatever the order."""
+    def test_most_specific_rule_applies(self) -> None:
+        """A literal segment has precedence over a parameter in any order."""
         service = self.fleet.services[0]._replace(
             calls=(
                 ServiceCall('POST', '/booking/{any}', False),
--- a/tests/fleet/test_parsing.py
+++ b/tests/fleet/test_parsing.py
@@ -1,4 +1,4 @@
-"""Bad fleet files: each problem is named by its key, and all at once."""
+"""Invalid fleet files: all problems are reported at once, with their keys."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from snipebend.fleet.parsing import MAX_FILE_BYTES, parse_fleet
 from tests.fleet.test_rendering import EXAMPLES
 
-GOOD = (EXAMPLES / 'chanthavong.toml').read_text()
+VALID = (EXAMPLES / 'chanthavong.toml').read_text()
 RANKS = 'ranks = 16\n'
-RANKS_LINE = GOOD[: GOOD.index(RANKS)].count('\n') + 1
-LIMITS = 'request_timeout_s = 90.0\nattempt_timeout_s = 45.0\n'
-SHORT_LIMIT = 'request_timeout_s = 5.0\n'
+RANKS_LINE = VALID[: VALID.index(RANKS)].count('\n') + 1
+TIMEOUTS = 'request_timeout_s = 90.0\nattempt_timeout_s = 45.0\n'
+SHORT_TIMEOUT = 'request_timeout_s = 5.0\n'
 SERVICE = '[[services]]\n'
-OTHER = 'upstream = "booking"\nname = "other"\npath_prefix = '
-INSIDE = f'{SERVICE}{OTHER}"/booking/x"\n{SERVICE}'
-RESERVED = f'{SERVICE}{OTHER}"/v1/x"\n{SERVICE}'
+OTHER_SERVICE = 'upstream = "booking"\nname = "other"\npath_prefix = '
+INSIDE_PREFIX = f'{SERVICE}{OTHER_SERVICE}"/booking/x"\n{SERVICE}'
+RESERVED_PREFIX = f'{SERVICE}{OTHER_SERVICE}"/v1/x"\n{SERVICE}'
 
-# Each case: the text to replace, its replacement, the key of the one problem
+# Each case: the text to replace, its replacement, the key of the only problem
 # and a part of its message.
 CASES = (
     ('name', 'colour = 1\nname', 'colour', 'unknown key'),
@@ -39,7 +39,7 @@
     ('"chanthavong"', '"a b"', 'name', 'characters or form'),
     ('"refuse"', '"go"', 'stale_policy', "'refuse' or 'serve'"),
     ('s = 45.0', 's = 91.0', 'routing.attempt_timeout_s', 'not exceed'),
-    (LIMITS, SHORT_LIMIT, 'routing.attempt_timeout_s', 'not exceed'),
+    (TIMEOUTS, SHORT_TIMEOUT, 'routing.attempt_timeout_s', 'not exceed'),
     ('"ignored"', '"maybe"', 'upstreams[0].fencing', "'checked' or"),
     ('model = "fare-notes"\n', '', 'upstreams[0].model', 'needs a model'),
     ('k"]', 'k", "x"]', 'groups[0].upstreams[1]', "unknown upstream 'x'"),
@@ -53,16 +53,16 @@
     ('m = "booking"', 'm = "x"', 'services[0].upstream', "upstream 'x'"),
     ('m = "booking"', 'm = "ticket-desk"', 'services[0].upstream', 'service'),
     ('"/booking/holds"', '"/holds"', 'services[0].calls[0].path', 'below'),
-    (SERVICE, INSIDE, 'services[1].path_prefix', "with '/booking/x'"),
-    (SERVICE, RESERVED, 'services[0].path_prefix', "with '/v1'"),
+    (SERVICE, INSIDE_PREFIX, 'services[1].path_prefix', "with '/booking/x'"),
+    (SERVICE, RESERVED_PREFIX, 'services[0].path_prefix', "with '/v1'"),
 )
 
 
 class ParseFleetTest(TestCase):
-    """Every bad input is refused with its keys."""
+    """Invalid input is rejected with the keys of its problems."""
 
     def problems(self, text: str) -> list[tuple[str, str]]:
-        """Return the keys and messages of a file that must be refused."""
+        """Return the keys and messages of a file that must be rejected."""
         error = parse_fleet(text, 'f.toml').unwrap_err()
         self.assertIsInstance(error, InvalidInputError)
         self.assertNotIn('example-key', str(error))
@@ -73,27 +73,27 @@
         return [(entry.key, entry.message) for entry in error.problems]
 
     def test_defaults(self) -> None:
-        """A name and weights are enough; integers serve as floats."""
-        least = 'name = "f"\nweights = { skew = 1, cost = 0 }'
-        fleet = parse_fleet(least, 'f.toml').unwrap()
+        """A name and weights are sufficient; integers are valid as floats."""
+        minimal = 'name = "f"\nweights = { skew = 1, cost = 0 }'
+        fleet = parse_fleet(minimal, 'f.toml').unwrap()
         self.assertEqual(fleet.routing, RoutingPolicy())
         self.assertEqual(fleet.stale_policy, 'refuse')
         self.assertIsInstance(fleet.weights.skew, float)
 
-    def test_one_fault_each(self) -> None:
-        """One fault gives exactly one problem, under its key."""
+    def test_single_faults(self) -> None:
+        """One fault gives exactly one problem, with its key."""
         for old, new, key, part in CASES:
             with self.subTest(old=old, new=new):
-                self.assertIn(old, GOOD)
+                self.assertIn(old, VALID)
                 (found, message), *others = self.problems(
-                    GOOD.replace(old, new, 1)
+                    VALID.replace(old, new, 1)
                 )
                 self.assertEqual((found, others), (key, []))
                 self.assertIn(part, message)
 
-    def test_all_at_once(self) -> None:
-        """Faults of shape don't hide those of references."""
-        text = GOOD.replace(RANKS, 'ranks = "2"\n')
+    def test_all_problems_at_once(self) -> None:
+        """Faults of the schema don't hide those of references."""
+        text = VALID.replace(RANKS, 'ranks = "2"\n')
         text = text.replace('y = "enquiry"', 'y = "x"')
         text = text.replace('m = "booking"', 'm = "none"')
         found = [key for key, _ in self.problems(f'colour = 1\n{text}')]
@@ -108,18 +108,18 @@
         )
 
     def test_no_tables(self) -> None:
-        """Empty files and sections of another type are named as such."""
+        """Empty files and sections of another type are reported."""
         for text in ('', '\n# nothing\n'):
             self.assertEqual(
                 self.problems(text), [('file', 'the file is empty')]
             )
-        head = f'services = 1\n{GOOD[: GOOD.index(SERVICE)]}'
+        head = f'services = 1\n{VALID[: VALID.index(SERVICE)]}'
         self.assertEqual(
             self.problems(head), [('services', 'must be an array of tables')]
         )
 
     def test_too_large_is_not_parsed(self) -> None:
-        """Ten megabytes never reach the TOML parser, nor a byte too many."""
+        """Files of ten megabytes, or one byte too long, aren't parsed."""
         with mock.patch.object(document.tomllib, 'loads') as loads:
             for text in (
                 '#' * 10_000_000,
@@ -130,11 +130,11 @@
                 self.assertEqual((key, others), ('file', []))
                 self.assertIn(f'{MAX_FILE_BYTES} bytes', message)
             loads.assert_not_called()
-        fits = GOOD.ljust(MAX_FILE_BYTES, '#')
+        fits = VALID.ljust(MAX_FILE_BYTES, '#')
         self.assertTrue(parse_fleet(fits, 'f.toml').is_ok())
 
-    def test_hostile_text(self) -> None:
-        """What would exhaust the parser is refused like any other fault."""
+    def test_text_that_exhausts_the_parser(self) -> None:
+        """Text that would exhaust the parser is rejected like other faults."""
         for text in (
             f'a = {"[":[<100000}',
             f'a = {"9":9<5000}',
--- a/tests/fleet/test_rendering.py
+++ b/tests/fleet/test_rendering.py
@@ -1,4 +1,4 @@
-"""Rendering reads back as the same fleet, for any fleet and the examples."""
+"""Rendered text parses to the same fleet, for any fleet and the examples."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 
 class RoundTripTest(unittest.TestCase):
-    """What is shown can be applied again unchanged."""
+    """Rendered text can be applied again without a change."""
 
     @settings(derandomize=True, deadline=None)
     @given(fleets())
     def test_any_fleet(self, fleet: Fleet) -> None:
-        """Parsing a rendering gives an equal fleet and checksum."""
-        again = parse_fleet(render_fleet(fleet), 'f.toml').unwrap()
-        self.assertEqual(again, fleet)
-        self.assertEqual(checksum(again), checksum(fleet))
+        """Parsing rendered text gives an equal fleet and checksum."""
+        parsed = parse_fleet(render_fleet(fleet), 'f.toml').unwrap()
+        self.assertEqual(parsed, fleet)
+        self.assertEqual(checksum(parsed), checksum(fleet))
 
     def test_examples(self) -> None:
-        """Both examples have the sizes of today and the weights asked for."""
-        leans = {}
+        """Both examples have ten workspaces, 16 ranks and opposite weights."""
+        weight_differences = {}
         for path in sorted(EXAMPLES.glob('*.toml')):
             fleet = parse_fleet(path.read_text(), path.name).unwrap()
             self.assertEqual(
@@ -37,7 +37,11 @@
             )
             self.assertEqual(len(fleet.workspaces), 10)
             self.assertEqual(sum(group.ranks for group in fleet.groups), 16)
-            leans[fleet.name] = fleet.weights.skew - fleet.weights.cost
-        self.assertEqual(set(leans), {'maengelwerk', 'chanthavong'})
-        self.assertGreater(leans['maengelwerk'], 0)
-        self.assertLess(leans['chanthavong'], 0)
+            weight_differences[fleet.name] = (
+                fleet.weights.skew - fleet.weights.cost
+            )
+        self.assertEqual(
+            set(weight_differences), {'maengelwerk', 'chanthavong'}
+        )
+        self.assertGreater(weight_differences['maengelwerk'], 0)
+        self.assertLess(weight_differences['chanthavong'], 0)
--- a/tests/state/test_followed_configuration.py
+++ b/tests/state/test_followed_configuration.py
@@ -12,7 +12,7 @@
 from snipebend.fleet.lease import (
     KEEPALIVE_S,
     MIN_CONFIG_LEASE_S,
-    STALE_S,
+    MAX_CONFIRMATION_AGE_S,
 )
 from snipebend.fleet.rendering import render_fleet
 from snipebend.membership.confirmations import Confirmations
@@ -127,7 +127,7 @@
             state.apply(ApplyRequest('c', 0, text))
             message = self.feed.next_after(state, None)
             oldest = structs.replace(
-                message, elapsed_s=0, confirmed_ago_s=STALE_S
+                message, elapsed_s=0, confirmed_ago_s=MAX_CONFIRMATION_AGE_S
             )
             copy = FollowedConfiguration()
             copy.apply(oldest, opened_at=100)
