--- a/bench/control_idle.py
+++ b/bench/control_idle.py
@@ -57,7 +57,7 @@
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         group = await stack.enter_async_context(
-            control_group(folder, wired=False, snapshot_every=1000),
+            control_group(folder, proxied=False, snapshot_every=1000),
         )
         watched = await _start_all(stack, group, folder)
         await group.apply(NAMES[0], 0, fleet_text(0))
--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -46,7 +46,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         async with control_group(
-            folder, wired=False, snapshot_every=1000
+            folder, proxied=False, snapshot_every=1000
         ) as group:
             leader = await group.leader()
             follower = next(one for one in NAMES if one != leader)
@@ -162,7 +162,7 @@
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         async with control_group(
-            folder, wired=False, snapshot_every=snapshot_every
+            folder, proxied=False, snapshot_every=snapshot_every
         ) as group:
             leader = await group.leader()
             for number in range(changes):
--- a/src/snipebend/daemons/__init__.py
+++ b/src/snipebend/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin mains of the long-running processes."""
+"""Entry points of the daemons: each builds its process from settings."""
--- a/src/snipebend/daemons/agent.py
+++ b/src/snipebend/daemons/agent.py
@@ -1,4 +1,4 @@
-"""The agent: stands beside one upstream, announces and guards it."""
+"""The agent daemon: announces one upstream and controls access to it."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
     """Run ``snipebend-agent``."""
     return run_daemon(
         'snipebend-agent',
-        'Stands beside one upstream, announces and guards it.',
+        'Announces one upstream and controls access to it.',
         AgentSettings,
         build_agent,
         arguments,
--- a/src/snipebend/daemons/control.py
+++ b/src/snipebend/daemons/control.py
@@ -1,4 +1,4 @@
-"""The control daemon: the replicated state and the directory."""
+"""The control daemon: serves the replicated state and the directory."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     """Run ``snipebend-control``."""
     return run_daemon(
         'snipebend-control',
-        'Holds the replicated state of the fleet.',
+        'Stores the replicated state of the fleet.',
         ControlSettings,
         build_control,
         arguments,
--- a/src/snipebend/daemons/entry.py
+++ b/src/snipebend/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry: takes callers' requests and routes them to upstreams."""
+"""The entry daemon: accepts callers' requests and routes them to upstreams."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     """Run ``snipebend-entry``."""
     return run_daemon(
         'snipebend-entry',
-        "Takes callers' requests and routes them to upstreams.",
+        "Accepts callers' requests and routes them to upstreams.",
         EntrySettings,
         build_entry,
         arguments,
--- a/src/snipebend/daemons/host_control.py
+++ b/src/snipebend/daemons/host_control.py
@@ -1,4 +1,4 @@
-"""The control daemon of entries that route by host and path."""
+"""The control daemon for entries that route by host and path."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 def build_host_control(
     cfg: ControlSettings, link: EngineLink, read_table: ReadTable
 ) -> tuple[Process, HostKeeper, HttpServer]:
-    """Build the process, its keeper and the server of its outer calls."""
+    """Build the process; return it, its host keeper and its outer HTTP server.
+
+    The outer server gets its routes from the caller.
+    """
     admin = build_admin(cfg.listen)
     grpc = RpcServer('grpc', cfg.listen.host, cfg.listen.grpc_port)
     outer = HttpServer('outer', *split_address(cfg.outer))
@@ -48,7 +51,7 @@
 
 
 class TableReader:
-    """Reads the document in force once for each number."""
+    """Decodes the active document once for each document number."""
 
     def __init__(self, keeper: HostKeeper, read_table: ReadTable) -> None:
         """Start without a document."""
@@ -58,7 +61,7 @@
         self._table: HostTable | None = None
 
     def read(self) -> HostTable | None:
-        """Return the table of the document in force; none: none came yet."""
+        """Return the active document's table; ``None`` before the first."""
         book = self._keeper.book
         if book.number > self._number:
             self._number = book.number
--- a/src/snipebend/daemons/relay_entry.py
+++ b/src/snipebend/daemons/relay_entry.py
@@ -1,4 +1,4 @@
-"""The entry that calls upstreams directly, without an agent beside them."""
+"""The entry that calls upstreams directly instead of through agents."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from snipebend.relay.facts import Dialect
     from snipebend.settings.relay import RelaySettings
 
-#: Seconds between pings to control daemons, and for their answers.
+#: Interval of pings to control daemons and timeout for the responses.
 PING_S = 0.5
 
 
@@ -31,9 +31,9 @@
     read_table: ReadTable,
     listener: socket.socket | None = None,
 ) -> tuple[Process, HttpServer]:
-    """Build the process, and the server that tells whether it is ready.
+    """Build the process and the server for its readiness check.
 
-    ``listener`` is open for callers already.
+    ``listener`` is an already open socket for callers.
     """
     admin = build_admin(cfg.listen)
     ready = HttpServer('readiness', *split_address(cfg.readiness))
@@ -46,9 +46,10 @@
         desk,
     )
     services = [
-        # First: a watch that the follower opens tells control where the others
-        # reach this entry. Without that, they know neither it nor its calls,
-        # and each saves retries as if it were alone.
+        # Starts first: the watch that the follower opens sends this entry's
+        # gossip address to control. Without it, the other entries know
+        # neither this entry nor its calls, and each one budgets retries as
+        # if it were the only entry.
         gossip,
         HostFollower('hosts', cfg, clients, read_table),
         desk,
--- a/src/snipebend/daemons/running.py
+++ b/src/snipebend/daemons/running.py
@@ -1,4 +1,4 @@
-"""What the mains of all daemons share: arguments, settings, logs, the loop."""
+"""Start-up shared by all daemons: arguments, settings, logs, event loop."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
     + '1 when it cannot go on, 2 when the settings are wrong'
 )
 
-#: Exit code of a daemon that can't start or go on, for a damaged file say.
+#: Exit code of a daemon that can't start or continue, e.g. a damaged file.
 EXIT_FAILED = 1
 
 
 class HasAddress(Protocol):
-    """A server that knows where it listens."""
+    """A server with a known listen address."""
 
     @property
     def address(self) -> str:
@@ -44,16 +44,19 @@
 
 
 class PortsFile(Service):
-    """Writes the chosen addresses for scripts, once all servers listen."""
+    """Writes the listen addresses to a file once all servers listen.
+
+    Scripts read them when the system has chosen the ports.
+    """
 
     def __init__(self, path: str, servers: Mapping[str, HasAddress]) -> None:
-        """Keep the path; an empty one writes nothing."""
+        """Write to ``path`` on start; an empty path disables the file."""
         super().__init__('ports-file')
         self._path = path
         self._servers = servers
 
     async def start(self, registry: Registry) -> None:
-        """Write the file in one rename, so that a reader sees all or none."""
+        """Write the file atomically, so that readers never see a part of it."""
         if not self._path:
             return
         addresses = {
@@ -74,7 +77,7 @@
 ) -> int:
     """Load the settings, build the process and run it until a signal.
 
-    ``began_at`` is when this process began; none: now.
+    ``began_at`` is the start time of this process; ``None`` means now.
     """
     clock = SystemClock(began_at)
     parser = ArgumentParser(program, description=description, epilog=_EPILOG)
@@ -108,6 +111,6 @@
 
 
 def connect_admin(process: Process, admin: HttpServer) -> Process:
-    """Let the administrative interface show the process."""
+    """Serve the process's state on its administrative interface."""
     admin.serve(build_admin_app(process))
     return process
--- a/src/snipebend/daemons/settings_watch.py
+++ b/src/snipebend/daemons/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices changed settings: by SIGHUP, and by a look at the file."""
+"""Reloads settings on SIGHUP and when the settings file changes."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 AnySettings = TypeVar('AnySettings', bound=DaemonSettings)
 
-#: Seconds between two looks at the file, for changes that nobody signals.
-LOOK_EVERY_S = 1.0
+#: Seconds between checks of the file, for changes without a SIGHUP.
+POLL_INTERVAL_S = 1.0
 
 
 class SettingsWatch(Service, Generic[AnySettings]):
-    """Hands changed settings to the process; a faulty file changes nothing."""
+    """Reloads the process with changed settings; ignores an invalid file."""
 
     def __init__(
         self, path: Path, model: type[AnySettings], process: Process
     ) -> None:
-        """Keep the file as it was loaded."""
+        """Watch the file at ``path`` for changes."""
         super().__init__('settings-watch')
         self._path = path
         self._model = model
@@ -39,7 +39,7 @@
         self._signalled = asyncio.Event()
 
     async def start(self, registry: Registry) -> None:
-        """Listen to SIGHUP and watch the file."""
+        """Handle SIGHUP and start watching the file."""
         self._text = self._read()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._signalled.set)
@@ -48,16 +48,16 @@
     async def _watch(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(LOOK_EVERY_S):
+                async with asyncio.timeout(POLL_INTERVAL_S):
                     await self._signalled.wait()
             except TimeoutError:
-                await self._look()
+                await self._reload_if_changed()
                 continue
             self._signalled.clear()
             logger.info('event=reload_asked path={}', self._path)
-            await self._look()
+            await self._reload_if_changed()
 
-    async def _look(self) -> None:
+    async def _reload_if_changed(self) -> None:
         text = self._read()
         if text == self._text:
             return
--- a/tests/daemons/control_group.py
+++ b/tests/daemons/control_group.py
@@ -1,4 +1,4 @@
-"""Three control daemons as processes, for tests and benches."""
+"""A group of three control daemon processes, for tests and benches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from snipebend.transport.group_messages import GroupQuery, GroupReply
 from snipebend.transport.methods import APPLY, GROUP, SHOW
 from snipebend.transport.rpc_clients import RpcClients
-from tests.daemons.wires import Wires, free_port, owns_port
+from tests.daemons.fault_proxies import FaultProxies, free_port, owns_port
 from tests.programs import PATIENCE_S, Program, head, start_daemon
 
 if TYPE_CHECKING:
@@ -34,71 +34,71 @@
 
 
 def fleet_text(number: int) -> str:
-    """Return a fleet file that differs from those of other numbers."""
+    """Return a fleet file that is different for each number."""
     limit = f'queue_limit = {number + 1}'
     return FLEET.replace('queue_limit = 100', limit)
 
 
 class ControlGroup:
-    """Starts, kills, wipes and asks the three daemons by name."""
+    """Starts, kills, wipes and queries the three daemons by name."""
 
     def __init__(
         self,
         folder: Path,
         *,
-        wired: bool = True,
+        proxied: bool = True,
         snapshot_every: int = 40,
     ) -> None:
-        """Choose ports; ``wired`` lists those of the wires as members'."""
+        """Choose ports; if ``proxied``, members connect through the proxies."""
         self.folder = folder
         self.programs: dict[str, Program] = {}
         self.clients = RpcClients()
-        self.wires = Wires(self._owner)
+        self.proxies = FaultProxies(self._owner)
         self._snapshot_every = snapshot_every
         self._ports = {name: free_port() for name in NAMES}
         self._listed = self._ports
-        if wired:
+        if proxied:
             self._listed = {name: free_port() for name in NAMES}
 
     def address(self, name: str) -> str:
-        """Return the daemon's own address, past the wires."""
+        """Return the daemon's direct address, without the proxy."""
         return f'127.0.0.1:{self._ports[name]}'
 
     def addresses(self) -> list[str]:
-        """Return all daemons' own addresses."""
+        """Return the direct addresses of all daemons."""
         return [self.address(name) for name in NAMES]
 
     def name_at(self, address: str) -> str:
-        """Return the daemon with that own address."""
+        """Return the name of the daemon with a direct address."""
         return next(name for name in NAMES if self.address(name) == address)
 
-    async def open_wires(self) -> None:
-        """Put the wires between the daemons."""
+    async def open_proxies(self) -> None:
+        """Open the proxies between the daemons."""
         for name in NAMES:
-            await self.wires.lead_to(
+            await self.proxies.forward_to(
                 name, self._listed[name], self._ports[name]
             )
 
     async def start(self, *names: str) -> None:
-        """Start daemons and wait for their log line."""
+        """Start daemons and wait until their logs report the start."""
         started = await asyncio.gather(*(self._start(name) for name in names))
         self.programs.update(zip(names, started, strict=True))
 
     async def kill(self, *names: str) -> None:
-        """Kill daemons without a chance to say goodbye."""
+        """Kill daemons without a graceful stop."""
         for name in names:
             await self.programs.pop(name).kill()
             self.clients.retire(self.address(name))
 
     async def wipe(self, name: str) -> None:
-        """Kill a daemon and take away its disk."""
+        """Kill a daemon and delete its data folder."""
         await self.kill(name)
         shutil.rmtree(self.folder / name)
 
     async def apply(
         self, name: str, expected: int, text: str, change: str = ''
     ) -> ApplyReply | None:
-        """Apply through one daemon; nothing when it gave no answer."""
+        """Apply a fleet file through one daemon; ``None`` without a reply."""
         req = ApplyRequest(change or uuid4().hex, expected, text)
         answer = await self.clients.call(
             self.address(name), APPLY, req, timeout=_CALL_S
@@ -106,31 +106,31 @@
         return answer.unwrap() if answer.is_ok() else None
 
     async def show(self, name: str) -> ShowReply:
-        """Return what one daemon says is in force; it must answer."""
+        """Return the active configuration of a daemon; it must respond."""
         answer = await self.clients.call(
             self.address(name), SHOW, ShowRequest(), timeout=_CALL_S
         )
         return answer.unwrap()
 
     async def revision(self, name: str) -> int | None:
-        """Return the revision that one daemon says is in force, if any."""
+        """Return the active revision of a daemon; ``None`` without a reply."""
         answer = await self.clients.call(
             self.address(name), SHOW, ShowRequest(), timeout=_CALL_S
         )
         return answer.unwrap().revision if answer.is_ok() else None
 
     async def describe(self, name: str) -> GroupReply | None:
-        """Return one daemon's view of the group."""
+        """Return one daemon's view of the group; ``None`` without a reply."""
         answer = await self.clients.call(
             self.address(name), GROUP, GroupQuery(), timeout=_CALL_S
         )
         return answer.unwrap() if answer.is_ok() else None
 
     async def leader(self, *among: str) -> str:
-        """Wait until one of the running daemons leads; return its name."""
+        """Wait until one of the running daemons is leader; return its name."""
         found: list[str] = []
 
-        async def look() -> bool:
+        async def is_met() -> bool:
             for name in among or tuple(self.programs):
                 view = await self.describe(name)
                 if view is not None and view.role == 'leader':
@@ -138,35 +138,35 @@
                     return True
             return False
 
-        await until(look)
+        await until(is_met)
         return found[-1]
 
     async def wait_voters(
         self, *names: str, without: Iterable[str] = ()
     ) -> tuple[Member, ...]:
-        """Wait until the leader counts exactly these voters, no learners.
+        """Wait until the leader reports exactly these voters and no learners.
 
-        None of them may have an identity that is in ``without``.
+        None of their member ids may be in ``without``.
         """
         voters: list[tuple[Member, ...]] = []
 
-        async def look() -> bool:
+        async def is_met() -> bool:
             view = await self.describe(await self.leader())
             if view is None or view.members.learners:
                 return False
             voters.append(view.members.voters)
-            if set(without) & {one.member_id for one in voters[-1]}:
+            if set(without) & {voter.member_id for voter in voters[-1]}:
                 return False
-            return {one.name for one in voters[-1]} == set(names)
+            return {voter.name for voter in voters[-1]} == set(names)
 
-        await until(look)
+        await until(is_met)
         return voters[-1]
 
     async def close(self) -> None:
-        """End all daemons and connections."""
+        """Kill all daemons and close all connections."""
         await self.kill(*tuple(self.programs))
         self.clients.close()
-        self.wires.close()
+        self.proxies.close()
 
     def _owner(self, port: int) -> str:
         for name, program in self.programs.items():
@@ -176,9 +176,9 @@
 
     async def _start(self, name: str) -> Program:
         members = ''.join(
-            f'[[members]]\nname = {json.dumps(one)}\n'
+            f'[[members]]\nname = {json.dumps(member)}\n'
             f'address = "127.0.0.1:{port}"\n'
-            for one, port in self._listed.items()
+            for member, port in self._listed.items()
         )
         toml = (
             f'{head(name)}grpc_port = {self._ports[name]}\n'
@@ -188,10 +188,10 @@
         return await start_daemon('control', self.folder, name, toml)
 
 
-async def until(look: Callable[[], Awaitable[Any]]) -> None:
-    """Ask again and again until the answer is true."""
+async def until(condition: Callable[[], Awaitable[Any]]) -> None:
+    """Poll a condition until it is true."""
     deadline = time.monotonic() + PATIENCE_S
-    while not await look():
+    while not await condition():
         if time.monotonic() > deadline:
             raise TimeoutError
         await asyncio.sleep(0.05)
@@ -199,13 +199,13 @@
 
 @asynccontextmanager
 async def control_group(
-    folder: Path, *, wired: bool = True, snapshot_every: int = 40
+    folder: Path, *, proxied: bool = True, snapshot_every: int = 40
 ) -> AsyncIterator[ControlGroup]:
-    """Run a founded group of three and end what still runs of it."""
-    group = ControlGroup(folder, wired=wired, snapshot_every=snapshot_every)
+    """Run a group of three with all voters, and kill it afterwards."""
+    group = ControlGroup(folder, proxied=proxied, snapshot_every=snapshot_every)
     try:
-        if wired:
-            await group.open_wires()
+        if proxied:
+            await group.open_proxies()
         await group.start(*NAMES)
         await group.wait_voters(*NAMES)
         yield group
--- a/tests/daemons/wires.py
+++ b/tests/daemons/fault_proxies.py
@@ -1,4 +1,4 @@
-"""TCP wires between processes that a test can cut, silence and mend."""
+"""TCP proxies between processes, with network faults that a test controls."""
 
 from __future__ import annotations
 
@@ -17,15 +17,19 @@
 
 
 def free_port() -> int:
-    """Return a port that was free a moment ago."""
+    """Return a port that is currently free."""
     with socket.socket() as probe:
         probe.bind((_HOST, 0))
         port: int = probe.getsockname()[1]
         return port
 
 
-class Wire:
-    """One connection: once silent it swallows whatever comes, its end too."""
+class ProxiedConnection:
+    """One proxied connection.
+
+    Once silent, it discards all bytes and does not forward the closing of an
+    end either.
+    """
 
     def __init__(self, ends: frozenset[str]) -> None:
         self.ends = ends
@@ -51,18 +55,21 @@
             target.close()
 
 
-class Wires:
-    """All connections to a set of named processes, told apart by both ends."""
+class FaultProxies:
+    """Proxies for the connections between named processes.
+
+    Each connection is identified by the processes at its two ends.
+    """
 
     def __init__(self, owner: Callable[[int], str]) -> None:
-        """Take a function that names the process behind a local port."""
+        """``owner`` returns the name of the process that uses a local port."""
         self._owner = owner
-        self._wires: set[Wire] = set()
+        self._connections: set[ProxiedConnection] = set()
         self._cut: set[frozenset[str]] = set()
         self._servers: list[asyncio.Server] = []
 
-    async def lead_to(self, name: str, port: int, target: int) -> None:
-        """Forward connections from a port to a process's own port."""
+    async def forward_to(self, name: str, port: int, target: int) -> None:
+        """Forward connections from ``port`` to the port of a process."""
 
         async def accept(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -73,26 +80,28 @@
         self._servers.append(server)
 
     def cut(self, *pairs: tuple[str, str]) -> None:
-        """Drop whatever passes between these, on old and new connections."""
+        """Discard all bytes between these pairs, on old and new connections."""
         self._cut |= {frozenset(pair) for pair in pairs}
-        for wire in self._wires:
-            wire.silent = wire.silent or wire.ends in self._cut
+        for connection in self._connections:
+            connection.silent = (
+                connection.silent or connection.ends in self._cut
+            )
 
     def silence(self, name: str) -> None:
-        """Let a process's open connections go silent; new ones work."""
-        for wire in self._wires:
-            wire.silent = wire.silent or name in wire.ends
+        """Discard all bytes on a process's open connections; new ones work."""
+        for connection in self._connections:
+            connection.silent = connection.silent or name in connection.ends
 
-    def mend(self) -> None:
-        """Let everything pass again; silent connections stay lost."""
+    def heal(self) -> None:
+        """Forward new connections again; silent connections stay silent."""
         self._cut.clear()
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections and listeners."""
         for server in self._servers:
             server.close()
-        for wire in self._wires:
-            wire.close()
+        for connection in self._connections:
+            connection.close()
 
     async def _accept(
         self,
@@ -102,23 +111,23 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         source = self._owner(writer.get_extra_info('peername')[1])
-        wire = Wire(frozenset((source, name)))
-        wire.silent = wire.ends in self._cut
+        connection = ProxiedConnection(frozenset((source, name)))
+        connection.silent = connection.ends in self._cut
         try:
             far = await asyncio.open_connection(_HOST, target)
         except OSError:
             writer.close()
             return
-        self._wires.add(wire)
-        wire.writers += [writer, far[1]]
+        self._connections.add(connection)
+        connection.writers += [writer, far[1]]
         for ends in ((reader, far[1]), (far[0], writer)):
-            wire.tasks.append(asyncio.create_task(wire.pump(*ends)))
-        await asyncio.gather(*wire.tasks, return_exceptions=True)
-        self._wires.discard(wire)
+            connection.tasks.append(asyncio.create_task(connection.pump(*ends)))
+        await asyncio.gather(*connection.tasks, return_exceptions=True)
+        self._connections.discard(connection)
 
 
 def owns_port(pid: int, port: int) -> bool:
-    """Tell whether a process has a socket with that local port."""
+    """Return whether a process has a socket with a local port."""
     try:
         conns = psutil.Process(pid).net_connections('tcp')
     except psutil.Error:
--- a/tests/daemons/test_expert_maps.py
+++ b/tests/daemons/test_expert_maps.py
@@ -1,4 +1,4 @@
-"""Expert maps by real processes: the leader is killed in mid-switch."""
+"""Expert map switches of real processes while the leader is killed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class ExpertMapsTest(unittest.IsolatedAsyncioTestCase):
-    """All ranks end on one map, and each version has one content."""
+    """All ranks activate the same map; each version has a single content.
+
+    This also holds if a rank is lost and the leader is killed in a switch.
+    """
 
     async def asyncSetUp(self) -> None:
         name = tempfile.TemporaryDirectory()
@@ -41,23 +44,23 @@
         self.session = await self.stack.enter_async_context(ClientSession())
         self.engines: list[str] = []
 
-    async def test_kill_of_the_leader_in_a_switch(self) -> None:
+    async def test_leader_killed_during_a_switch(self) -> None:
         group = await self.stack.enter_async_context(control_group(self.folder))
         agents = []
         for number in range(RANKS):
             await self.start_engine(number)
             agents.append(await self.start_agent(group, number))
         await group.apply('c-1', 0, _FLEET)
-        await until(lambda: self.agree(3, 1))
-        # A rank is lost: the others begin a new incarnation without it.
+        await until(lambda: self.have_one_map(3, 1))
+        # A rank is lost: the others form a new incarnation without it.
         await agents[-1].kill()
         leader = await group.leader()
         await until(lambda: self.is_switching(group, leader))
         await group.kill(leader)
-        await until(lambda: self.agree(2, 2))
-        # It comes back and rejoins under a newer incarnation.
+        await until(lambda: self.have_one_map(2, 2))
+        # It restarts and rejoins in a newer incarnation.
         await self.start_agent(group, RANKS - 1)
-        await until(lambda: self.agree(3, 3))
+        await until(lambda: self.have_one_map(3, 3))
         await self.check_activations()
         await self.check_status(group)
 
@@ -74,8 +77,11 @@
         self.stack.push_async_callback(agent.kill)
         return agent
 
-    async def agree(self, ranks: int, incarnation: int) -> bool:
-        """Tell whether the first engines run one map that is new enough."""
+    async def have_one_map(self, ranks: int, incarnation: int) -> bool:
+        """Return whether the first engines have the same map.
+
+        Its incarnation must be at least ``incarnation``.
+        """
         states = await asyncio.gather(
             *(self.read(address, 'ranks') for address in self.engines[:ranks]),
         )
@@ -102,18 +108,18 @@
         return groups[0] if groups else None
 
     async def check_activations(self) -> None:
-        seen: dict[int, tuple[str, int]] = {}
+        activations: dict[int, tuple[str, int]] = {}
         for address in self.engines:
             for order in await self.read(address, 'orders'):
                 if order['action'] != 'activate':
                     continue
                 content = (order['target'], order['at_step'])
-                known = seen.setdefault(order['map_version'], content)
+                known = activations.setdefault(order['map_version'], content)
                 self.assertEqual(known, content)
-        self.assertGreaterEqual(len(seen), 3)
+        self.assertGreaterEqual(len(activations), 3)
 
     async def check_status(self, group: ControlGroup) -> None:
-        """The command line shows what the leader drives."""
+        """The ``status`` command shows the group that the leader manages."""
         printed = StringIO()
         control = ','.join(group.addresses())
         with redirect_stdout(printed):
--- a/tests/daemons/test_in_force.py
+++ b/tests/daemons/test_in_force.py
@@ -1,4 +1,4 @@
-"""``apply --wait`` and ``status`` against processes under faults."""
+"""``apply --wait`` and ``status`` with faulty processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 async def console(*arguments: str) -> tuple[int, str]:
-    """Run a command in a thread; return its code and what it printed."""
+    """Run a command in a thread; return its exit code and its output."""
     out = io.StringIO()
 
     def run() -> int:
@@ -36,7 +36,10 @@
 
 
 class InForceTest(unittest.IsolatedAsyncioTestCase):
-    """Entries confirm; one that is stopped is named, until its lease ends."""
+    """Entries confirm a revision; ``apply`` names those that have not.
+
+    An entry that is stopped is waited for until its lease expires.
+    """
 
     async def asyncSetUp(self) -> None:
         stack = AsyncExitStack()
@@ -62,7 +65,7 @@
         options = ('--control', self.control, '--wait', wait_s)
         return await console('apply', str(path), *options)
 
-    async def test_wait_names_who_has_not_confirmed(self) -> None:
+    async def test_wait_names_unconfirmed_entries(self) -> None:
         code, printed = await self.apply(0, '15')
         self.assertEqual(code, 0, printed)
         self.assertIn('in force everywhere: 2 processes', printed)
@@ -83,7 +86,7 @@
         self.assertEqual(printed.count('caught_up=yes'), len(NAMES))
         self.assertEqual(printed.count('role=leader'), 1)
 
-    async def test_no_quorum_ends_the_lease_and_readiness(self) -> None:
+    async def test_lease_and_readiness_end_without_a_quorum(self) -> None:
         code, printed = await self.apply(0, '15')
         self.assertEqual(code, 0, printed)
         await until(lambda: self.is_ready(expected=True))
@@ -94,14 +97,16 @@
         await self.group.start(others[0])
         await until(lambda: self.is_ready(expected=True))
 
-    async def test_watchers_leave_an_isolated_daemon_in_time(self) -> None:
+    async def test_watchers_leave_an_isolated_daemon_before_their_lease_expires(
+        self,
+    ) -> None:
         code, printed = await self.apply(0, '15', lease_s=8)
         self.assertEqual(code, 0, printed)
         await until(lambda: self.is_ready(expected=True))
         dump = await self.dump()
         followed = self.group.name_at(dump['configuration']['control'])
         others = [name for name in NAMES if name != followed]
-        self.group.wires.cut(*((followed, name) for name in others))
+        self.group.proxies.cut(*((followed, name) for name in others))
         reply = None
         while reply is None:
             text = fleet_text(7)
@@ -116,8 +121,8 @@
 
     async def is_ready(self, *, expected: bool) -> bool:
         dump = await self.dump()
-        lapsed = dump['configuration']['lease_left_s'] <= 0
-        self.assertFalse(lapsed and dump['ready'])
+        expired = dump['configuration']['lease_left_s'] <= 0
+        self.assertFalse(expired and dump['ready'])
         return bool(dump['ready'] is expected)
 
     async def dump(self) -> Any:
--- a/tests/daemons/test_relay_entry.py
+++ b/tests/daemons/test_relay_entry.py
@@ -1,4 +1,4 @@
-"""The order in which an entry's services start."""
+"""Start order of an entry's services."""
 
 from __future__ import annotations
 
@@ -14,18 +14,22 @@
 
 
 class TestStart(unittest.IsolatedAsyncioTestCase):
-    """Control learns with the first watch where to reach this entry."""
+    """The first watch sends the entry's gossip address to control.
 
-    async def test_the_first_watch_tells_the_gossip_address(self):
+    If the watch starts before the gossip service, the other entries don't
+    learn this entry's address and budget retries as if they were alone.
+    """
+
+    async def test_first_watch_sends_the_gossip_address(self):
         cfg = RelaySettings(
             process=ProcessSection(name='e', data_center='dc'),
             control=SeedsSection(addresses=['127.0.0.1:1'], grpc_port=1),
         )
         process, _ = build_relay_entry(cfg, Dialect(), read_table=None)
-        told = []
+        addresses = []
 
         async def start(follower, registry):
-            told.append(follower.gossip_address)
+            addresses.append(follower.gossip_address)
             raise InterruptedError
 
         with mock.patch.object(HostFollower, 'start', start):
@@ -33,5 +37,5 @@
                 for service in process.registry:
                     await service.start(process.registry)
         self.addAsyncCleanup(process.registry.tasks.stop)
-        self.assertRegex(told[0], r'^127\.0\.0\.1:[1-9]')
+        self.assertRegex(addresses[0], r'^127\.0\.0\.1:[1-9]')
         await process.registry.find('gossip', object).stop()
--- a/tests/daemons/test_replicated_control.py
+++ b/tests/daemons/test_replicated_control.py
@@ -1,4 +1,4 @@
-"""Three control daemons with real files and sockets, under faults."""
+"""Three control daemons with real files and sockets, and with faults."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 )
 from tests.programs import control_toml, start_daemon
 
-#: Applies while the leader is killed; more by hand, fewer in CI.
+#: Number of applies while leaders are killed; few in CI, more by hand.
 APPLIES = int(os.environ.get('SNIPEBEND_APPLIES', '60'))
 
 
 class ReplicatedControlTest(unittest.IsolatedAsyncioTestCase):
-    """Accepted is a promise, whatever happens to one of three."""
+    """An accepted change survives the loss of one of three daemons."""
 
     def setUp(self) -> None:
         name = tempfile.TemporaryDirectory()
         self.addCleanup(name.cleanup)
         self.folder = Path(name.name)
 
-    async def test_kill_of_the_leader_amid_applies(self) -> None:
+    async def test_leader_killed_during_applies(self) -> None:
         async with control_group(self.folder) as group:
-            await self.apply_amid_kills(group)
+            await self.apply_while_killing_leaders(group)
             await group.kill(*NAMES)
             await group.start(*NAMES)
             for name in NAMES:
@@ -47,7 +47,7 @@
                 await self.race(group, expected)
 
     async def race(self, group: ControlGroup, expected: int) -> None:
-        """Six operators apply at once; one wins, the others see its file."""
+        """Six operators apply at once; one wins, the others get its file."""
         replies = await asyncio.gather(
             *(
                 group.apply(name, expected, fleet_text(number))
@@ -58,15 +58,19 @@
         self.assertEqual(len(answered), 6)
         winner = await group.show(NAMES[expected])
         self.assertEqual(winner.revision, expected + 1)
-        lost = [one for one in answered if one.text == winner.text]
-        self.assertEqual({one.outcome for one in lost}, {ApplyOutcome.CONFLICT})
+        lost = [reply for reply in answered if reply.text == winner.text]
+        self.assertEqual(
+            {reply.outcome for reply in lost}, {ApplyOutcome.CONFLICT}
+        )
         self.assertEqual(len(lost), 5)
-        self.assertIn(ApplyOutcome.ACCEPTED, {one.outcome for one in answered})
+        self.assertIn(
+            ApplyOutcome.ACCEPTED, {reply.outcome for reply in answered}
+        )
 
     async def test_restart_of_all_after_hundreds_of_changes(self) -> None:
         async with control_group(self.folder) as group:
             for number in range(200):
-                await self.insist(group, number)
+                await self.apply_until_accepted(group, number)
             self.assertTrue(list((self.folder / 'c-1').glob('snapshot-*')))
             await group.kill(*NAMES)
             await group.start(*NAMES)
@@ -79,7 +83,7 @@
 
     async def test_stopped_leader_serves_no_stale_read(self) -> None:
         async with control_group(self.folder) as group:
-            await self.insist(group, 0)
+            await self.apply_until_accepted(group, 0)
             old = await group.leader()
             others = [name for name in NAMES if name != old]
             group.programs[old].send(signal.SIGSTOP)
@@ -96,10 +100,10 @@
 
     async def test_isolated_leader_with_clients_on_it(self) -> None:
         async with control_group(self.folder) as group:
-            await self.insist(group, 0)
+            await self.apply_until_accepted(group, 0)
             old = await group.leader()
             others = [name for name in NAMES if name != old]
-            group.wires.cut(*((old, name) for name in others))
+            group.proxies.cut(*((old, name) for name in others))
             stuck = asyncio.create_task(
                 group.apply(old, 1, fleet_text(9), 'stuck'),
             )
@@ -108,7 +112,7 @@
             self.assertEqual(reply.revision if reply else 0, 2)
             self.assertIsNone(await group.revision(old))
             self.assertIsNone(await stuck)
-            group.wires.mend()
+            group.proxies.heal()
             await until(lambda: self.is_at(group, old, 2))
             lost = await group.apply(old, 1, fleet_text(9), 'stuck')
             outcome = lost.outcome if lost else None
@@ -117,83 +121,87 @@
     async def test_silent_connections_are_replaced(self) -> None:
         async with control_group(self.folder) as group:
             for number, name in enumerate(NAMES):
-                group.wires.silence(name)
-                await self.insist(group, number)
+                group.proxies.silence(name)
+                await self.apply_until_accepted(group, number)
             await group.wait_voters(*NAMES)
             await until(lambda: self.all_are_at(group, 3))
 
     async def test_wiped_disk_then_a_second_member_lost(self) -> None:
         async with control_group(self.folder) as group:
             for number in range(60):
-                await self.insist(group, number)
+                await self.apply_until_accepted(group, number)
             before = await group.wait_voters(*NAMES)
             wiped = await group.leader()
             await group.wipe(wiped)
             await group.start(wiped)
-            gone = {one.member_id for one in before if one.name == wiped}
-            after = await group.wait_voters(*NAMES, without=gone)
+            replaced = {
+                voter.member_id for voter in before if voter.name == wiped
+            }
+            after = await group.wait_voters(*NAMES, without=replaced)
             self.assertEqual(len(after), 3)
             second = [name for name in NAMES if name != wiped][0]
             await group.kill(second)
-            await self.insist(group, 60)
+            await self.apply_until_accepted(group, 60)
             self.assertEqual(await group.revision(wiped), 61)
 
     async def test_full_disk_refuses_and_recovers(self) -> None:
         async with control_group(self.folder) as group:
-            await self.insist(group, 0)
+            await self.apply_until_accepted(group, 0)
             full = await group.leader()
             process = psutil.Process(group.programs[full].process.pid)
             process.rlimit(psutil.RLIMIT_FSIZE, (10, -1))
-            await self.insist(group, 1)
+            await self.apply_until_accepted(group, 1)
             others = [name for name in NAMES if name != full]
-            # The change is accepted by the others' disks, perhaps before the
-            # lead has moved to one of them.
+            # The change is stored on the others' disks, possibly before one of
+            # them has become leader.
             await group.leader(*others)
             view = await group.describe(full)
             self.assertNotEqual(view.role, 'leader')
             process.rlimit(psutil.RLIMIT_FSIZE, (-1, -1))
             await group.kill(others[0])
-            await self.insist(group, 2)
+            await self.apply_until_accepted(group, 2)
             self.assertEqual(await group.revision(full), 3)
 
     async def test_leader_hands_over_on_sigterm(self) -> None:
         async with control_group(self.folder) as group:
-            await self.insist(group, 0)
+            await self.apply_until_accepted(group, 0)
             old = await group.leader()
             leaving = group.programs.pop(old)
             leaving.send(signal.SIGTERM)
-            await self.insist(group, 1)
+            await self.apply_until_accepted(group, 1)
             self.assertEqual(await leaving.wait(), 0)
             log = '\n'.join(leaving.log)
             self.assertIn('role=follower', log.rpartition('event=draining')[2])
 
     async def all_are_at(self, group: ControlGroup, revision: int) -> bool:
-        seen = [await group.revision(name) for name in NAMES]
-        return set(seen) == {revision}
+        revisions = [await group.revision(name) for name in NAMES]
+        return set(revisions) == {revision}
 
     async def is_at(
         self, group: ControlGroup, name: str, revision: int
     ) -> bool:
         return await group.revision(name) == revision
 
-    async def apply_amid_kills(self, group: ControlGroup) -> None:
+    async def apply_while_killing_leaders(self, group: ControlGroup) -> None:
         highest = dict.fromkeys(NAMES, 0)
         for number in range(APPLIES):
             if number % 20 == 10:
                 leader = await group.leader()
                 await group.kill(leader)
                 await group.start(leader)
-            reply = await self.insist(group, number)
+            reply = await self.apply_until_accepted(group, number)
             self.assertEqual(reply, number + 1)
-            again = await self.insist(group, number)
+            again = await self.apply_until_accepted(group, number)
             self.assertEqual(again, reply)
             name = NAMES[number % 3]
-            seen = await group.revision(name) or highest[name]
-            self.assertGreaterEqual(seen, highest[name])
-            highest[name] = seen
-
-    async def insist(self, group: ControlGroup, number: int) -> int:
-        """Resend one change through all daemons until it is answered."""
+            revision = await group.revision(name) or highest[name]
+            self.assertGreaterEqual(revision, highest[name])
+            highest[name] = revision
+
+    async def apply_until_accepted(
+        self, group: ControlGroup, number: int
+    ) -> int:
+        """Resend one change through the daemons in turn until one replies."""
         for attempt in range(30):
             reply = await group.apply(
                 NAMES[(number + attempt) % 3],
@@ -209,7 +217,7 @@
 
 
 class DamagedFolderTest(unittest.IsolatedAsyncioTestCase):
-    """A daemon refuses a folder that it can't trust, and says why."""
+    """A daemon rejects a damaged or locked folder, with the reason."""
 
     async def test_damage_and_a_second_process_are_refused(self) -> None:
         with tempfile.TemporaryDirectory() as name:
--- a/tests/daemons/test_requests_under_faults.py
+++ b/tests/daemons/test_requests_under_faults.py
@@ -1,4 +1,7 @@
-"""Requests through real processes while engines, agents and links fail."""
+"""Requests through real processes while engines, agents and links fail.
+
+Streams are resumed on another upstream; other requests run at most once.
+"""
 
 from __future__ import annotations
 
@@ -22,17 +25,17 @@
 _TOKENS = 60
 _STEP = ('--step-ms', '10')
 _DELAY_MS = 800
-#: Every request ends well within this time, whatever fails.
-_PATIENCE_S = 8.0
-_TEXT = '/v1/completions'
+#: Every request finishes well within this time, whatever fails.
+_TIMEOUT_S = 8.0
+_COMPLETIONS_PATH = '/v1/completions'
 _KEY = MappingProxyType({'idempotency-key': 'ticket-1'})
 
 
-class Told(NamedTuple):
-    """What a caller got.
+class Response(NamedTuple):
+    """The response that a caller received.
 
-    ``complete`` means that the stream's own end was there, ``clean`` that the
-    HTTP body ended as it should.
+    ``complete`` means that the stream's end marker was received, ``clean``
+    that the HTTP body ended without an error.
     """
 
     status: int
@@ -43,7 +46,7 @@
 
 
 def expected(prompt: str, tokens: int = _TOKENS) -> tuple[str, ...]:
-    """Return the texts of the whole answer."""
+    """Return the texts of the complete response."""
     return tuple(token_text(prompt, seq) for seq in range(tokens))
 
 
@@ -52,16 +55,16 @@
     entry: Program,
     prompt: str,
     begun: asyncio.Event | None = None,
-) -> Told:
-    """Stream an answer; set ``begun`` at its fifth token."""
-    url = f'http://{entry.addresses["http"]}{_TEXT}'
+) -> Response:
+    """Stream a response; set ``begun`` at the fifth token."""
+    url = f'http://{entry.addresses["http"]}{_COMPLETIONS_PATH}'
     texts: list[str] = []
     problem: dict = {}
     done = False
     clean = True
     body = completion(prompt, _TOKENS)
     async with (
-        asyncio.timeout(_PATIENCE_S),
+        asyncio.timeout(_TIMEOUT_S),
         path.session.post(url, data=body) as resp,
     ):
         try:
@@ -76,14 +79,14 @@
                     begun.set()
         except ClientError:
             clean = False
-        return Told(resp.status, tuple(texts), problem, done, clean)
+        return Response(resp.status, tuple(texts), problem, done, clean)
 
 
-async def book(path: Loopback, entry: Program) -> dict:
-    """Confirm a ticket; return the answer, with status and outcome."""
+async def confirm_ticket(path: Loopback, entry: Program) -> dict:
+    """Confirm a ticket; return the response body with the status code."""
     url = f'http://{entry.addresses["http"]}/confirmations'
     async with (
-        asyncio.timeout(_PATIENCE_S),
+        asyncio.timeout(_TIMEOUT_S),
         path.session.post(url, data=b'{"t":1}', headers=_KEY) as resp,
     ):
         answer = json.loads(await resp.read())
@@ -91,25 +94,27 @@
 
 
 class EngineFaultsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_killed_engine_in_mid_stream_is_resumed_elsewhere(
+    async def test_stream_of_a_killed_engine_resumes_on_another(
         self,
     ) -> None:
         async with Loopback() as path:
             engines, _, (entry,) = await _serving(path, _engine, 1)
             begun = asyncio.Event()
-            telling = asyncio.create_task(stream(path, entry, 'a', begun))
+            streaming = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
             running = [
-                one
-                for one in engines
-                if (await path.executions(one))['running']
+                engine
+                for engine in engines
+                if (await path.executions(engine))['running']
             ]
             await running[0].kill()
-            told = await telling
-            self.assertEqual(told.texts, expected('a'))
-            self.assertTrue(told.complete)
+            response = await streaming
+            self.assertEqual(response.texts, expected('a'))
+            self.assertTrue(response.complete)
 
-    async def test_killed_only_engine_breaks_the_answer_visibly(self) -> None:
+    async def test_killed_only_engine_fails_the_response_with_an_error(
+        self,
+    ) -> None:
         async with Loopback() as path:
             engine = await path.engine('engine', *_STEP)
             entry, _ = await asyncio.gather(
@@ -118,25 +123,25 @@
             )
             await path.serve(entry)
             begun = asyncio.Event()
-            telling = asyncio.create_task(stream(path, entry, 'a', begun))
+            streaming = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
             await engine.kill()
-            told = await telling
-            self.assertFalse(told.complete or told.clean)
-            self.assertEqual(told.problem['outcome'], 'unknown')
-            size = len(told.texts)
-            self.assertEqual(told.texts, expected('a')[:size])
+            response = await streaming
+            self.assertFalse(response.complete or response.clean)
+            self.assertEqual(response.problem['outcome'], 'unknown')
+            size = len(response.texts)
+            self.assertEqual(response.texts, expected('a')[:size])
 
-    async def test_interleaved_callers_get_their_own_answers(self) -> None:
+    async def test_concurrent_callers_receive_their_own_responses(self) -> None:
         async with Loopback() as path:
             entry = (await _serving(path, _engine, 1))[2][0]
             prompts = [f'prompt {number}' for number in range(12)]
-            told = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(stream(path, entry, prompt) for prompt in prompts),
             )
-            for prompt, one in zip(prompts, told, strict=True):
-                self.assertEqual(one.texts, expected(prompt))
-                self.assertTrue(one.complete)
+            for prompt, response in zip(prompts, responses, strict=True):
+                self.assertEqual(response.texts, expected(prompt))
+                self.assertTrue(response.complete)
 
 
 class SilenceTest(unittest.IsolatedAsyncioTestCase):
@@ -150,42 +155,42 @@
             )
             await path.serve(entry)
             begun = asyncio.Event()
-            telling = asyncio.create_task(stream(path, entry, 'a', begun))
+            streaming = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
             proxy.silence()
-            told = await telling
-            self.assertEqual(told.texts, expected('a'))
-            self.assertTrue(told.complete)
+            response = await streaming
+            self.assertEqual(response.texts, expected('a'))
+            self.assertTrue(response.complete)
             later = await stream(path, entry, 'b')
             self.assertEqual(later.texts, expected('b'))
 
-    async def test_frozen_agent_is_left_for_another(self) -> None:
+    async def test_stream_moves_from_a_stopped_agent(self) -> None:
         async with Loopback() as path:
             engines, agents, entries = await _serving(path, _engine, 1)
             entry = entries[0]
             begun = asyncio.Event()
-            telling = asyncio.create_task(stream(path, entry, 'a', begun))
+            streaming = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
             for engine, agent in zip(engines, agents, strict=True):
                 if (await path.executions(engine))['running']:
                     agent.send(signal.SIGSTOP)
-            told = await telling
-            self.assertEqual(told.texts, expected('a'))
-            self.assertTrue(told.complete)
+            response = await streaming
+            self.assertEqual(response.texts, expected('a'))
+            self.assertTrue(response.complete)
 
-    async def test_frozen_engine_is_left_for_another(self) -> None:
+    async def test_stream_moves_from_a_stopped_engine(self) -> None:
         async with Loopback() as path:
             engines, _, entries = await _serving(path, _engine, 1)
             entry = entries[0]
             begun = asyncio.Event()
-            telling = asyncio.create_task(stream(path, entry, 'a', begun))
+            streaming = asyncio.create_task(stream(path, entry, 'a', begun))
             await begun.wait()
             for engine in engines:
                 if (await path.executions(engine))['running']:
                     engine.send(signal.SIGSTOP)
-            told = await telling
-            self.assertEqual(told.texts, expected('a'))
-            self.assertTrue(told.complete)
+            response = await streaming
+            self.assertEqual(response.texts, expected('a'))
+            self.assertTrue(response.complete)
             later = await stream(path, entry, 'b')
             self.assertEqual(later.texts, expected('b'))
 
@@ -194,21 +199,21 @@
     async def test_agent_killed_during_the_call(self) -> None:
         async with Loopback() as path:
             services, agents, entries = await _serving(path, _service, 2)
-            first = asyncio.create_task(book(path, entries[0]))
+            first = asyncio.create_task(confirm_ticket(path, entries[0]))
             await until(lambda: path.count('started', *services))
             for service, agent in zip(services, agents, strict=True):
                 if await path.count('started', service):
                     await agent.kill()
-            told = await first
-            self.assertEqual(told['outcome'], 'unknown')
-            again = await book(path, entries[1])
+            response = await first
+            self.assertEqual(response['outcome'], 'unknown')
+            again = await confirm_ticket(path, entries[1])
             self.assertEqual(again['outcome'], 'unknown')
             self.assertEqual(await path.count('started', *services), 1)
 
     async def test_entry_killed_after_dispatch(self) -> None:
         async with Loopback() as path:
             services, _, entries = await _serving(path, _service, 2)
-            first = asyncio.create_task(book(path, entries[0]))
+            first = asyncio.create_task(confirm_ticket(path, entries[0]))
             await until(lambda: path.count('started', *services))
             await entries[0].kill()
             with self.assertRaises(ClientError):
@@ -216,7 +221,7 @@
             answers: list[dict] = []
 
             async def answered() -> bool:
-                answers.append(await book(path, entries[1]))
+                answers.append(await confirm_ticket(path, entries[1]))
                 return answers[-1]['code'] == 200
 
             await until(answered)
@@ -233,8 +238,8 @@
             )
             await path.serve(entry)
             proxy.hold_next()
-            told = await book(path, entry)
-            self.assertEqual((told['code'], told['number']), (200, 1))
+            response = await confirm_ticket(path, entry)
+            self.assertEqual((response['code'], response['number']), (200, 1))
             self.assertTrue(proxy.held.is_set())
             proxy.release()
 
@@ -249,7 +254,7 @@
     async def test_request_that_kills_engines_is_quarantined(self) -> None:
         async with Loopback() as path:
             upstreams = await asyncio.gather(
-                *(_mortal_engine(path, number) for number in range(5)),
+                *(_engine_that_crashes(path, number) for number in range(5)),
             )
             entry, other = await asyncio.gather(
                 path.entry('entry'),
@@ -257,15 +262,17 @@
             )
             await path.serve(entry, other)
             begun = [asyncio.Event() for _ in range(3)]
-            innocent = [
-                asyncio.create_task(stream(path, entry, f'good {number}', one))
-                for number, one in enumerate(begun)
+            harmless = [
+                asyncio.create_task(
+                    stream(path, entry, f'good {number}', event)
+                )
+                for number, event in enumerate(begun)
             ]
             await asyncio.gather(*(event.wait() for event in begun))
 
             async def quarantined() -> bool:
-                told = await stream(path, entry, 'goes BOOM')
-                return told.status == 422
+                response = await stream(path, entry, 'goes BOOM')
+                return response.status == 422
 
             async def shared() -> bool:
                 suspects = (await path.dump(other))['routing']['suspects']
@@ -273,30 +280,32 @@
 
             await until(quarantined)
             await until(shared)
-            told = await stream(path, other, 'goes BOOM')
-            self.assertEqual(told.status, 422)
-            for number, told in enumerate(await asyncio.gather(*innocent)):
+            response = await stream(path, other, 'goes BOOM')
+            self.assertEqual(response.status, 422)
+            for number, response in enumerate(await asyncio.gather(*harmless)):
                 self.assertEqual(
-                    told.texts, expected(f'good {number}'), told.problem
+                    response.texts, expected(f'good {number}'), response.problem
                 )
                 again = await stream(path, entry, f'good {number}')
                 self.assertEqual(again.texts, expected(f'good {number}'))
             dead = [
-                one
-                for one, _ in upstreams
-                if one.process.returncode is not None
+                engine
+                for engine, _ in upstreams
+                if engine.process.returncode is not None
             ]
             self.assertLessEqual(len(dead), 3)
 
 
 class DrainTest(unittest.IsolatedAsyncioTestCase):
-    async def test_sigterm_to_entry_and_agent_cuts_nothing(self) -> None:
+    async def test_sigterm_to_entry_and_agent_interrupts_no_stream(
+        self,
+    ) -> None:
         async with Loopback() as path:
             path.grace_s = 0.4
             _, agents, entries = await _serving(path, _engine, 2)
             leaving, staying = entries
             begun = [asyncio.Event() for _ in range(6)]
-            telling = [
+            streaming = [
                 asyncio.create_task(
                     stream(path, (leaving, staying)[number % 2], 'x', event),
                 )
@@ -307,10 +316,10 @@
             agents[0].send(signal.SIGTERM)
             early = await stream(path, leaving, 'y')
             during = [await stream(path, staying, 'y') for _ in range(3)]
-            for told in (*await asyncio.gather(*telling), early, *during):
-                self.assertEqual(told.status, 200)
-                self.assertTrue(told.complete)
-                self.assertEqual(len(told.texts), _TOKENS)
+            for response in (*await asyncio.gather(*streaming), early, *during):
+                self.assertEqual(response.status, 200)
+                self.assertTrue(response.complete)
+                self.assertEqual(len(response.texts), _TOKENS)
             codes = await asyncio.gather(leaving.wait(), agents[0].wait())
             self.assertEqual(codes, [0, 0])
 
@@ -320,7 +329,7 @@
     return engine, await path.agent(f'agent-{number}', engine)
 
 
-async def _mortal_engine(
+async def _engine_that_crashes(
     path: Loopback, number: int
 ) -> tuple[Program, Program]:
     flags = ('--crash-marker', 'BOOM', *_STEP)
@@ -338,16 +347,16 @@
     start: Callable[[Loopback, int], Awaitable[tuple[Program, Program]]],
     entries: int,
 ) -> tuple[list[Program], list[Program], list[Program]]:
-    """Start two upstreams with their agents, and entries, all at once."""
-    pairs, fronts = await asyncio.gather(
+    """Start two upstreams with their agents, and entries, concurrently."""
+    pairs, started_entries = await asyncio.gather(
         asyncio.gather(*(start(path, number) for number in range(2))),
         asyncio.gather(
             *(path.entry(f'entry-{number}') for number in range(entries)),
         ),
     )
-    await path.serve(*fronts)
+    await path.serve(*started_entries)
     upstreams, agents = zip(*pairs, strict=True)
-    return list(upstreams), list(agents), list(fronts)
+    return list(upstreams), list(agents), list(started_entries)
 
 
 if __name__ == '__main__':
--- a/tests/daemons/test_settings_watch.py
+++ b/tests/daemons/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change while a process runs."""
+"""Settings changes while a process runs."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class Listener(Service):
-    """Keeps the settings that it is told of."""
+    """Records the process names of reloaded settings."""
 
     def __init__(self) -> None:
         super().__init__('listener')
-        self.told = asyncio.Queue()
+        self.names = asyncio.Queue()
 
     async def reload(self, cfg):
-        self.told.put_nowait(cfg.process.name)
+        self.names.put_nowait(cfg.process.name)
 
 
 class TestSettingsWatch(unittest.IsolatedAsyncioTestCase):
-    """By signal, by itself, and not at all."""
+    """Settings reload on SIGHUP or a changed file, unless it is invalid."""
 
     async def asyncSetUp(self):
         folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -42,22 +42,22 @@
         await self.process.start()
         self.addAsyncCleanup(self.process.stop)
 
-    async def told(self):
-        return await asyncio.wait_for(self.listener.told.get(), 10)
+    async def next_name(self):
+        return await asyncio.wait_for(self.listener.names.get(), 10)
 
     async def test_by_signal(self):
         self.path.write_text(FILE.format('second'))
         os.kill(os.getpid(), signal.SIGHUP)
-        self.assertEqual(await self.told(), 'second')
+        self.assertEqual(await self.next_name(), 'second')
 
     async def test_without_a_signal(self):
         self.path.write_text(FILE.format('second'))
-        self.assertEqual(await self.told(), 'second')
+        self.assertEqual(await self.next_name(), 'second')
 
-    async def test_a_faulty_file_changes_nothing(self):
+    async def test_invalid_file_changes_nothing(self):
         self.path.write_text('[process]\nname = 1\n')
         os.kill(os.getpid(), signal.SIGHUP)
         self.path.write_text(FILE.format('third'))
         os.kill(os.getpid(), signal.SIGHUP)
-        self.assertEqual(await self.told(), 'third')
-        self.assertTrue(self.listener.told.empty())
+        self.assertEqual(await self.next_name(), 'third')
+        self.assertTrue(self.listener.names.empty())
--- a/tests/daemons/test_slow_and_gone_callers.py
+++ b/tests/daemons/test_slow_and_gone_callers.py
@@ -1,4 +1,4 @@
-"""Callers that hang up, and callers that read slowly or not at all."""
+"""Callers that disconnect, and callers that read slowly or not at all."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 _EMPTY = b'HTTP/1.1 204 No Content\r\nconnection: close\r\n\r\n'
 
 
-class _Firehose:
+class _UnthrottledEngine:
     """An engine that streams 100 MiB as fast as it is read."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
     ) -> None:
         head = await reader.readuntil(b'\r\n\r\n')
         if not head.startswith(b'POST '):
-            # The agent's own questions aren't part of the caller's answer.
+            # Requests of the agent itself aren't part of the caller's response.
             writer.write(_EMPTY)
             writer.close()
             return
@@ -66,8 +66,8 @@
         writer.close()
 
 
-class GoneCallerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_disconnect_cancels_the_engines_work(self) -> None:
+class DisconnectedCallerTest(unittest.IsolatedAsyncioTestCase):
+    async def test_disconnect_cancels_the_request_in_the_engine(self) -> None:
         async with Loopback() as path:
             engine = await path.engine('engine')
             entry, _ = await asyncio.gather(
@@ -76,11 +76,11 @@
             )
             await path.serve(entry)
             for number, streaming in enumerate((True, False), 1):
-                await self._leave(path, entry, engine, streaming=streaming)
+                await self._disconnect(path, entry, engine, streaming=streaming)
                 self.assertEqual(await path.count('cancelled', engine), number)
             self.assertEqual(await path.count('finished', engine), 0)
 
-    async def _leave(
+    async def _disconnect(
         self,
         path: Loopback,
         entry: Program,
@@ -90,11 +90,11 @@
     ) -> None:
         url = f'http://{entry.addresses["http"]}/v1/completions'
         body = completion('x', 100_000, stream=streaming)
-        asking = asyncio.create_task(path.session.post(url, data=body))
+        request = asyncio.create_task(path.session.post(url, data=body))
         await until(lambda: path.count('running', engine))
         if streaming:
-            (await asking).close()
-        asking.cancel()
+            (await request).close()
+        request.cancel()
 
         async def stopped() -> bool:
             return not await path.count('running', engine)
@@ -103,34 +103,34 @@
 
 
 class SlowCallerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_answer_waits_for_its_reader(self) -> None:
-        async with Loopback() as path, _Firehose() as firehose:
+    async def test_response_waits_for_a_slow_reader(self) -> None:
+        async with Loopback() as path, _UnthrottledEngine() as engine:
             entry, agent = await asyncio.gather(
                 path.entry('entry'),
-                path.agent('agent', firehose),
+                path.agent('agent', engine),
             )
             await path.serve(entry)
-            before = [_resident(one) for one in (entry, agent)]
-            reader, writer = await _ask(entry)
-            taken = await _settled(firehose)
-            after = [_resident(one) for one in (entry, agent)]
-            # What fits into six socket buffers of the system, and ours.
-            self.assertLess(taken, _ANSWER_BYTES / 2)
-            for one, other in zip(before, after, strict=True):
-                self.assertLess(other - one, 16 * _MIB)
+            before = [_resident_bytes(daemon) for daemon in (entry, agent)]
+            reader, writer = await _send_request(entry)
+            written = await _final_bytes_written(engine)
+            after = [_resident_bytes(daemon) for daemon in (entry, agent)]
+            # Only the content of six socket buffers and our own buffers.
+            self.assertLess(written, _ANSWER_BYTES / 2)
+            for old_bytes, new_bytes in zip(before, after, strict=True):
+                self.assertLess(new_bytes - old_bytes, 16 * _MIB)
             size = 0
             while received := await reader.read(_MIB):
                 size += len(received)
             self.assertGreater(size, _ANSWER_BYTES)
             writer.close()
-            head = firehose.head.lower()
+            head = engine.head.lower()
             self.assertIn(f'traceparent: {_TRACE}'.encode(), head)
             self.assertIn(b'x-request-id: mine', head)
             self.assertNotIn(b'x-snipebend', head)
             self.assertIn('outcome="ran"', await _metrics(path, entry))
 
 
-async def _ask(
+async def _send_request(
     entry: Program,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     sock = socket.socket()
@@ -158,19 +158,19 @@
         text = await resp.text()
     assert 'snipebend_first_chunk_seconds_bucket' in text, text
     lines = text.splitlines()
-    return '\n'.join(one for one in lines if 'snipebend_requests_' in one)
+    return '\n'.join(line for line in lines if 'snipebend_requests_' in line)
 
 
-async def _settled(firehose: _Firehose) -> int:
-    """Return the bytes written once they grow no more."""
-    seen = -1
-    while seen != firehose.written or not seen:
-        seen = firehose.written
+async def _final_bytes_written(engine: _UnthrottledEngine) -> int:
+    """Wait until no more bytes are written; return their number."""
+    last = -1
+    while last != engine.written or not last:
+        last = engine.written
         await asyncio.sleep(0.4)
-    return seen
+    return last
 
 
-def _resident(program: Program) -> int:
+def _resident_bytes(program: Program) -> int:
     return psutil.Process(program.process.pid).memory_info().rss
 
 
--- a/tests/daemons/test_suspects_alone.py
+++ b/tests/daemons/test_suspects_alone.py
@@ -1,4 +1,4 @@
-"""A request that kills engines, sent through two entries at the same time."""
+"""A request that crashes engines, sent through two entries concurrently."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     from tests.programs import Program
 
 _ENGINES = 3
-#: The fleet file's default.
+#: The default in the fleet file.
 _CRASH_LIMIT = 2
 _TOKENS = 10
-_PATIENCE_S = 12.0
+_TIMEOUT_S = 12.0
 _PATH = '/v1/completions'
 _POISON = 'goes BOOM'
-_INNOCENT = tuple(f'good {number}' for number in range(6))
+_HARMLESS = tuple(f'good {number}' for number in range(6))
 
 
-class _Told(NamedTuple):
+class _Response(NamedTuple):
     status: int
     outcome: str
     retry_after: str = '0'
@@ -37,33 +37,39 @@
 
 
 class SuspectsAloneTest(unittest.IsolatedAsyncioTestCase):
-    """One upstream has died before with the poison and innocents on it."""
+    """An upstream crashed while running the poison request and others.
 
-    async def test_entries_together_spend_one_upstream_at_a_time(self) -> None:
+    All of them are suspects then. The entries together run one suspect at a
+    time, so that the poison request crashes only one more upstream.
+    """
+
+    async def test_entries_together_risk_one_upstream_at_a_time(self) -> None:
         async with Loopback() as path:
             engines, entries = await _start(path)
             await _report_first_death(path, entries)
-            good = [
+            harmless = [
                 asyncio.create_task(
                     _until_served(path, entries[number % 2], prompt)
                 )
-                for number, prompt in enumerate(_INNOCENT)
+                for number, prompt in enumerate(_HARMLESS)
             ]
             poisoned = await asyncio.gather(
                 *(_until_quarantined(path, entry) for entry in entries),
             )
-            self.assertEqual(await asyncio.gather(*good), _answers())
+            self.assertEqual(await asyncio.gather(*harmless), _expected_texts())
             dead = sum(
                 engine.process.returncode is not None for engine in engines
             )
             self.assertLessEqual(1 + dead, _CRASH_LIMIT)
-            self._check_refusals([told for all in poisoned for told in all])
+            self._check_refusals(
+                [response for entry in poisoned for response in entry]
+            )
             await until(lambda: _only_poison_is_suspect(path, entries))
 
-    def _check_refusals(self, poisoned: list[_Told]) -> None:
-        for told in poisoned:
-            if told.outcome == 'not-run' and told.status == 503:
-                self.assertGreater(int(told.retry_after), 0)
+    def _check_refusals(self, poisoned: list[_Response]) -> None:
+        for response in poisoned:
+            if response.outcome == 'not-run' and response.status == 503:
+                self.assertGreater(int(response.retry_after), 0)
 
 
 async def _start(
@@ -71,7 +77,10 @@
 ) -> tuple[list[Program], list[Program]]:
     flags = ('--crash-marker', 'BOOM', '--step-ms', '10')
     engines = await asyncio.gather(
-        *(path.engine(f'engine-{one}', *flags) for one in range(_ENGINES)),
+        *(
+            path.engine(f'engine-{number}', *flags)
+            for number in range(_ENGINES)
+        ),
     )
     started = await asyncio.gather(
         path.entry('entry'),
@@ -87,69 +96,69 @@
 
 
 async def _report_first_death(path: Loopback, entries: list[Program]) -> None:
-    prints = tuple(map(_fingerprint, (_POISON, *_INNOCENT)))
-    report = CrashReport('agent-gone', 1, prints)
+    fingerprints = tuple(map(_fingerprint, (_POISON, *_HARMLESS)))
+    report = CrashReport('agent-gone', 1, fingerprints)
     peers = [path.control.addresses['grpc']]
     assert (await call_any(peers, REPORT_CRASH, report)).is_ok()
 
     async def known() -> bool:
         found = [await _suspects(path, entry) for entry in entries]
-        return all(set(one) == set(prints) for one in found)
+        return all(set(suspects) == set(fingerprints) for suspects in found)
 
     await until(known)
 
 
-async def _until_quarantined(path: Loopback, entry: Program) -> list[_Told]:
-    """Send the poison again and again; return all that was told."""
-    told: list[_Told] = []
-    async with asyncio.timeout(_PATIENCE_S):
-        while not told or told[-1].status != 422:
-            told.append(await _send(path, entry, _POISON))
+async def _until_quarantined(path: Loopback, entry: Program) -> list[_Response]:
+    """Send the poison request until it is quarantined; return all responses."""
+    responses: list[_Response] = []
+    async with asyncio.timeout(_TIMEOUT_S):
+        while not responses or responses[-1].status != 422:
+            responses.append(await _send(path, entry, _POISON))
             await asyncio.sleep(POLL_S)
-    return told
+    return responses
 
 
 async def _until_served(path: Loopback, entry: Program, prompt: str) -> str:
-    """Send an innocent request until it is served; return its text."""
-    told = await _send(path, entry, prompt)
-    async with asyncio.timeout(_PATIENCE_S):
-        while told.status != 200:
+    """Send a harmless request until it is served; return its text."""
+    response = await _send(path, entry, prompt)
+    async with asyncio.timeout(_TIMEOUT_S):
+        while response.status != 200:
             await asyncio.sleep(POLL_S)
-            told = await _send(path, entry, prompt)
-    return told.text
+            response = await _send(path, entry, prompt)
+    return response.text
 
 
-async def _send(path: Loopback, entry: Program, prompt: str) -> _Told:
+async def _send(path: Loopback, entry: Program, prompt: str) -> _Response:
     url = f'http://{entry.addresses["http"]}{_PATH}'
     try:
         async with path.session.post(url, data=_body(prompt)) as resp:
             answer = json.loads(await resp.read())
-            texts = [one['text'] for one in answer.get('choices', ())]
-            return _Told(
+            texts = [choice['text'] for choice in answer.get('choices', ())]
+            return _Response(
                 resp.status,
                 answer.get('outcome', ''),
                 resp.headers.get('retry-after', '0'),
                 ''.join(texts),
             )
     except ClientError:
-        return _Told(0, 'unknown')
+        return _Response(0, 'unknown')
 
 
 async def _only_poison_is_suspect(
     path: Loopback, entries: list[Program]
 ) -> bool:
     found = [await _suspects(path, entry) for entry in entries]
-    return all(set(one) == {_fingerprint(_POISON)} for one in found)
+    return all(set(suspects) == {_fingerprint(_POISON)} for suspects in found)
 
 
 async def _suspects(path: Loopback, entry: Program) -> dict[str, float]:
     return (await path.dump(entry))['routing']['suspects']
 
 
-def _answers() -> list[str]:
+def _expected_texts() -> list[str]:
     return [
         ''.join(token_text(prompt, seq) for seq in range(_TOKENS))
-        for prompt in _INNOCENT
+        for prompt in _HARMLESS
     ]
 
 
--- a/tests/daemons/test_whole_path.py
+++ b/tests/daemons/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes."""
+"""A request through all daemons as separate processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WholePathTest(unittest.IsolatedAsyncioTestCase):
-    """An operator writes a file, a caller is served, all stop gracefully."""
+    """A fleet is applied, a caller is served, and all stop gracefully."""
 
     async def test_apply_stream_and_stop(self) -> None:
         with tempfile.TemporaryDirectory() as name:
@@ -51,7 +51,7 @@
 
 
 async def _until_ready(entry: dict[str, str]) -> None:
-    """Ask until the entry has its configuration and its upstreams."""
+    """Wait until the entry has its configuration and both upstreams."""
     async with ClientSession() as session:
         while True:
             async with session.get(f'http://{entry["admin"]}/dump') as resp:
