--- a/src/snipebend/balancing/group_balancer.py
+++ b/src/snipebend/balancing/group_balancer.py
@@ -13,7 +13,7 @@
 from snipebend.balancing.meters import BalancerMeters
 from snipebend.balancing.engine_sizes import expert_services
 from snipebend.balancing.group_observer import GroupObserver, GroupKey
-from snipebend.transport.host_keeper import HostKeeper
+from snipebend.transport.host_service import HostService
 from snipebend.balancing.leadership import Leadership
 from snipebend.transport.replicated_state import ReplicatedState
 
@@ -65,7 +65,7 @@
         """Start loading dependencies and the balancing task."""
         self._tasks = registry.tasks
         self._store = registry.find('state', ReplicatedState)
-        self._keeper = registry.find('hosts', HostKeeper)
+        self._host_service = registry.find('hosts', HostService)
         self._leadership = Leadership(self._store, registry.clock)
         self._clock = registry.clock
         # Any daemon can become leader while groups are on hold or have
@@ -105,7 +105,7 @@
         """Survey groups if this daemon leads; return new controllers."""
         self._leadership.update_term()
         if not self._leadership.can_order:
-            self._keeper.forget_groups()
+            self._host_service.remove_groups()
             return []
         return await self._survey(await self._load_context())
 
@@ -151,7 +151,7 @@
             CountReader(self._link, self._clock),
             self._pass_times,
             self._store,
-            self._keeper,
+            self._host_service,
             BalancerMeters(),
             self._leadership,
             self._members,
--- a/src/snipebend/balancing/group_controller.py
+++ b/src/snipebend/balancing/group_controller.py
@@ -33,7 +33,7 @@
         GroupObserver,
         GroupSnapshot,
     )
-    from snipebend.transport.host_keeper import HostKeeper
+    from snipebend.transport.host_service import HostService
     from snipebend.balancing.leadership import Leadership
     from snipebend.transport.replicated_state import ReplicatedState
 
@@ -63,7 +63,7 @@
     counts: CountReader
     pass_times: GroupPassTimes
     store: ReplicatedState
-    keeper: HostKeeper
+    host_service: HostService
     meters: BalancerMeters
     leadership: Leadership
     #: The live upstreams of a service, by identity.
@@ -110,7 +110,7 @@
         members = context.members(self.key.service)
         identities = self._observer.members(self.key)
         if not context.leadership.can_order or sizes is None or not identities:
-            context.keeper.forget_group(self.key.group)
+            context.host_service.remove_group(self.key.group)
             return None
         context.leadership.update_term()
         if self._clock.now() < self._last_switch.visible_at:
@@ -310,7 +310,7 @@
             members = tuple(sorted(self._observer.members(self.key)))
         else:
             members = snapshot.identities
-        self._context.keeper.tell_group(
+        self._context.host_service.report_group(
             UpstreamGroupStatus(
                 self.key.group,
                 self.key.service,
--- a/src/snipebend/daemons/agent.py
+++ b/src/snipebend/daemons/agent.py
@@ -16,7 +16,7 @@
 from snipebend.transport.control_calls import ControlCalls
 from snipebend.transport.crash_witness import CrashWitness
 from snipebend.transport.fence_reader import FenceReader
-from snipebend.transport.followers import ConfigurationFollower
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.http_server import HttpServer
 from snipebend.transport.load_reader import LoadReader
--- a/src/snipebend/daemons/control.py
+++ b/src/snipebend/daemons/control.py
@@ -12,8 +12,8 @@
 )
 from snipebend.kernel.process import Process
 from snipebend.settings.model import ControlSettings
-from snipebend.transport.control_api import ConfigurationKeeper
-from snipebend.transport.directory_api import DirectoryKeeper
+from snipebend.transport.control_api import ConfigurationApi
+from snipebend.transport.directory_api import DirectoryApi
 from snipebend.transport.expert_service import ExpertService
 from snipebend.transport.group_api import GroupApi
 from snipebend.transport.policy_planner import plan_by_policy
@@ -29,11 +29,11 @@
     grpc = RpcServer('grpc', cfg.listen.host, cfg.listen.grpc_port)
     state = ReplicatedState('state', cfg)
     state_api = StateApi('state-api', grpc)
-    directory = DirectoryKeeper('directory', grpc)
+    directory = DirectoryApi('directory', grpc)
     view = ReplicaView(state, directory)
     services = [
         state,
-        ConfigurationKeeper('configuration', grpc),
+        ConfigurationApi('configuration', grpc),
         directory,
         state_api,
         GroupApi('group-api', grpc),
--- a/src/snipebend/daemons/entry.py
+++ b/src/snipebend/daemons/entry.py
@@ -16,7 +16,7 @@
 from snipebend.transport.control_calls import ControlCalls
 from snipebend.transport.dispatch import Dispatcher
 from snipebend.transport.directory_follower import DirectoryFollower
-from snipebend.transport.followers import ConfigurationFollower
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.http_server import HttpServer
 from snipebend.transport.routing_desk import RoutingDesk
--- a/src/snipebend/daemons/host_control.py
+++ b/src/snipebend/daemons/host_control.py
@@ -10,7 +10,7 @@
 from snipebend.settings.seeds import split_address
 from snipebend.transport.group_api import GroupApi
 from snipebend.balancing.group_balancer import GroupBalancer
-from snipebend.transport.host_keeper import HostKeeper
+from snipebend.transport.host_service import HostService
 from snipebend.transport.http_server import HttpServer
 from snipebend.balancing.pass_time_listener import PassTimeListener
 from snipebend.transport.replicated_state import ReplicatedState
@@ -25,17 +25,17 @@
 
 def build_host_control(
     cfg: ControlSettings, link: EngineLink, read_table: TableParser
-) -> tuple[Process, HostKeeper, HttpServer]:
-    """Build the process, its keeper and the server of its outer calls."""
+) -> tuple[Process, HostService, HttpServer]:
+    """Build the process, its host service and the server of its outer calls."""
     admin = build_admin(cfg.listen)
     grpc = RpcServer('grpc', cfg.listen.host, cfg.listen.grpc_port)
     outer = HttpServer('outer', *split_address(cfg.outer))
-    keeper = HostKeeper('hosts', grpc)
+    host_service = HostService('hosts', grpc)
     paces = GroupPassTimes()
-    table = TableReader(keeper, read_table).read
+    table = TableReader(host_service, read_table).read
     services = [
         ReplicatedState('state', cfg),
-        keeper,
+        host_service,
         GroupApi('group-api', grpc),
         GroupBalancer('balancer', link, table, paces),
         grpc,
@@ -44,22 +44,24 @@
         admin,
     ]
     process = connect_admin(Process(cfg.process.name, services), admin)
-    return process, keeper, outer
+    return process, host_service, outer
 
 
 class TableReader:
     """Reads the document in force once for each number."""
 
-    def __init__(self, keeper: HostKeeper, read_table: TableParser) -> None:
+    def __init__(
+        self, host_service: HostService, read_table: TableParser
+    ) -> None:
         """Start without a document."""
-        self._keeper = keeper
+        self._host_service = host_service
         self._read_table = read_table
         self._number = 0
         self._table: HostTable | None = None
 
     def read(self) -> HostTable | None:
         """Return the table of the document in force; none: none came yet."""
-        book = self._keeper.book
+        book = self._host_service.documents
         if book.number > self._number:
             self._number = book.number
             self._table = self._read_table(book.body).unwrap_or(self._table)
--- a/src/snipebend/transport/__init__.py
+++ b/src/snipebend/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Shells around sockets: gRPC, HTTP server and client."""
+"""Network services and clients of the daemons, over gRPC and HTTP."""
--- a/src/snipebend/transport/effects.py
+++ b/src/snipebend/transport/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out what the core asks for."""
+"""Executes the actions that the Raft core returns."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     from snipebend.transport.applier import Applier
     from snipebend.transport.control_meters import ReplicaMeters
     from snipebend.transport.peer_links import PeerLinks
-    from snipebend.transport.questions import Questions
+    from snipebend.transport.pending_requests import PendingRequests
 
 
-class Effects:
-    """Sends, writes, executes and answers, in the order of the actions."""
+class ActionExecutor:
+    """Executes actions in order on the network, disk and state machine."""
 
     def __init__(
         self,
@@ -49,33 +49,35 @@
         links: PeerLinks,
         writer: StorageWriter,
         applier: Applier,
-        questions: Questions,
+        pending: PendingRequests,
         meters: ReplicaMeters,
     ) -> None:
-        """Keep what the actions work on."""
+        """Store the components that the actions use."""
         self._core = core
         self._links = links
         self._writer = writer
         self._applier = applier
-        self._questions = questions
+        self._pending = pending
         self._replies: dict[int, Reply | None] = {}
         self._meters = meters
-        self._learn_members()
+        self._update_members()
 
-    def carry_out(self, actions: Iterable[Action]) -> None:
-        """Do the actions of one step; then answer reads and take a snapshot.
+    def execute(self, actions: Iterable[Action]) -> None:
+        """Execute the actions of one step of the core.
+
+        Then complete the pending reads and save a snapshot if one is due.
 
         Raises:
-            CorruptionError: when a committed entry can't be executed.
+            CorruptionError: when a committed entry can't be applied.
         """
         for action in actions:
-            self._do_one(action)
+            self._execute_one(action)
         self._replies.clear()
-        self._questions.executed(self._applier.index)
-        if self._applier.snapshot_due():
+        self._pending.complete_reads(self._applier.index)
+        if self._applier.check_snapshot_due():
             self._save_snapshot()
 
-    def _do_one(self, action: Action) -> None:
+    def _execute_one(self, action: Action) -> None:
         match action:
             case Send(envelope):
                 self._send(envelope)
@@ -86,15 +88,15 @@
                     self._replies[entry.index] = self._applier.apply(entry)
             case ProposalCommitted(proposal_id, index):
                 reply = self._replies.get(index)
-                self._questions.answer(proposal_id, reply)
+                self._pending.complete(proposal_id, reply)
             case ProposalRejected() | ReadRejected():
-                self._questions.reject(action)
+                self._pending.reject(action)
             case ReadReady(read_id, index):
-                self._questions.read_ready(read_id, index)
+                self._pending.wait_for_index(read_id, index)
             case InstallSnapshot() | NeedSnapshot() | RoleChanged():
-                self._do_rare(action)
+                self._execute_rare(action)
 
-    def _do_rare(
+    def _execute_rare(
         self, action: InstallSnapshot | NeedSnapshot | RoleChanged
     ) -> None:
         match action:
@@ -104,8 +106,8 @@
             case NeedSnapshot(target):
                 self._writer.put(LoadSnapshot(target))
             case RoleChanged(role, term, leader):
-                self._learn_members()
-                self._meters.role_taken(role.value)
+                self._update_members()
+                self._meters.count_role_change(role.value)
                 logger.info(
                     'event=role role={} term={} leader={}',
                     role.value,
@@ -115,8 +117,8 @@
 
     def _send(self, envelope: Envelope) -> None:
         if not self._links.send(envelope):
-            # A member that was added since the last look.
-            self._learn_members()
+            # The target may have been added since the last update.
+            self._update_members()
             self._links.send(envelope)
 
     def _save_snapshot(self) -> None:
@@ -130,6 +132,6 @@
         self._writer.put(SaveSnapshot(snapshot, self._applier.keep_index()))
         logger.info('event=snapshot index={}', index)
 
-    def _learn_members(self) -> None:
+    def _update_members(self) -> None:
         members = self._core.status().members
-        self._links.learn(members.voters + members.learners)
+        self._links.update_members(members.voters + members.learners)
--- a/src/snipebend/transport/agent_methods.py
+++ b/src/snipebend/transport/agent_methods.py
@@ -1,4 +1,4 @@
-"""The methods that entries call on agents."""
+"""The gRPC methods that entries call on agents."""
 
 from __future__ import annotations
 
--- a/src/snipebend/transport/announcer.py
+++ b/src/snipebend/transport/announcer.py
@@ -12,7 +12,7 @@
 from snipebend.errors.hierarchy import UnavailableError
 from snipebend.kernel.service import Service
 from snipebend.membership.messages import Announcement, Phase
-from snipebend.transport.followers import (
+from snipebend.transport.configuration_follower import (
     RETRY_DELAY_S,
     ConfigurationFollower,
 )
--- a/src/snipebend/transport/applier.py
+++ b/src/snipebend/transport/applier.py
@@ -1,4 +1,4 @@
-"""Executes committed entries and says when to take a snapshot."""
+"""Applies committed log entries to the state machine of a replica."""
 
 from __future__ import annotations
 
@@ -17,36 +17,41 @@
     from snipebend.consensus.snapshot_file import Snapshot
     from snipebend.state.commands import Reply
 
-#: Entries, and their bytes, that stay in the log behind a snapshot.
+#: Upper bounds on the entries before a snapshot that stay in the log, by
+#: number and by total size in bytes.
 KEEP_ENTRIES = 256
 KEEP_BYTES = 8_388_608
 
-#: Bytes of entries after which a snapshot is taken, whatever their number.
+#: Size in bytes of the entries since the last snapshot that makes the next one
+#: due, regardless of their number.
 SNAPSHOT_BYTES = 33_554_432
 
 
 class Applier:
-    """The state machine and how far in the log it is."""
+    """The state machine, and the index of the last entry applied to it."""
 
     def __init__(
         self, payload: bytes | None, index: int, snapshot_every: int
     ) -> None:
-        """Restore the machine from a snapshot at ``index``, or begin empty."""
+        """Restore the machine from a snapshot at ``index``, or start empty.
+
+        ``snapshot_every`` is the number of entries between two snapshots.
+        """
         self.machine = Machine.decode(payload) if payload else Machine()
         self.index = index
         self._snapshot_every = snapshot_every
         self._snapshot_index = index
-        self._bytes_since = 0
+        self._bytes_since_snapshot = 0
         self._sizes: deque[int] = deque(maxlen=KEEP_ENTRIES)
 
     @property
     def revision(self) -> int:
-        """Return the configuration's revision."""
+        """Return the revision of the configuration."""
         return self.machine.state.configuration.revision
 
     @property
-    def news(self) -> tuple[int, int, int]:
-        """Return the revisions of all that watchers are told of."""
+    def watched_revisions(self) -> tuple[int, int, int]:
+        """Return the revisions of all parts of the state that have watchers."""
         state = self.machine.state
         return (
             state.configuration.revision,
@@ -55,14 +60,15 @@
         )
 
     def apply(self, entry: LogEntry) -> Reply | None:
-        """Execute an entry; only commands have replies.
+        """Apply an entry; return the reply if it is a command.
 
         Raises:
-            CorruptionError: when the entry can't be read, by a newer version's
-                command for instance: going on would let the members differ.
+            CorruptionError: when the entry can't be decoded, for instance
+                because it holds a command of a newer version. Skipping it would
+                make the members' states diverge.
         """
         self.index = entry.index
-        self._bytes_since += len(entry.payload)
+        self._bytes_since_snapshot += len(entry.payload)
         self._sizes.append(len(entry.payload))
         if entry.kind is not EntryKind.COMMAND:
             return None
@@ -70,25 +76,28 @@
             command = decode_command(entry.payload)
         except msgspec.DecodeError as exc:
             raise CorruptionError(
-                f'entry {entry.index} holds no known command',
+                f'log entry {entry.index} holds no known command',
                 step='apply',
             ) from exc
         return self.machine.execute(command)
 
-    def snapshot_due(self) -> bool:
-        """Tell whether the log has grown enough; then count anew."""
+    def check_snapshot_due(self) -> bool:
+        """Return whether a snapshot is due; if so, restart the counts."""
         grown = self.index - self._snapshot_index
-        if grown < self._snapshot_every and self._bytes_since < SNAPSHOT_BYTES:
+        if (
+            grown < self._snapshot_every
+            and self._bytes_since_snapshot < SNAPSHOT_BYTES
+        ):
             return False
         self._snapshot_index = self.index
-        self._bytes_since = 0
+        self._bytes_since_snapshot = 0
         return True
 
     def keep_index(self) -> int:
-        """Return up to where the log may go once a snapshot is synced.
+        """Return the last index to drop from the log after a snapshot.
 
-        Some entries stay, so that a follower that lags a little needs no
-        snapshot.
+        Some entries before the snapshot stay in the log, so that a follower
+        that lags a little doesn't need the snapshot.
         """
         kept = 0
         size = 0
@@ -100,9 +109,9 @@
         return self.index - kept
 
     def replace(self, snapshot: Snapshot) -> None:
-        """Go on from a leader's snapshot."""
+        """Replace the state by a snapshot from the leader."""
         self.machine = Machine.decode(snapshot.payload)
         self.index = snapshot.meta.index
         self._snapshot_index = self.index
-        self._bytes_since = 0
+        self._bytes_since_snapshot = 0
         self._sizes.clear()
--- a/src/snipebend/transport/caller_api.py
+++ b/src/snipebend/transport/caller_api.py
@@ -32,7 +32,7 @@
 )
 from snipebend.transport.dispatch import Dispatcher
 from snipebend.transport.events import MEDIA_EVENTS
-from snipebend.transport.followers import ConfigurationFollower
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.forward import end_to_end
 from snipebend.transport.problems import (
     OUTCOME_HEADER,
@@ -153,7 +153,7 @@
         """Tell whether new work is refused for an outdated configuration."""
         if index.fleet.stale_policy == 'serve':
             return False
-        return self._configuration.lapsed(self._clock.now())
+        return self._configuration.is_expired(self._clock.now())
 
     async def _deliver(
         self,
--- a/src/snipebend/transport/codec.py
+++ b/src/snipebend/transport/codec.py
@@ -1,8 +1,8 @@
-"""The codec of all messages between our own processes.
+"""The codec of all gRPC messages between the daemons.
 
-Messages are frozen ``msgspec`` records, encoded as MessagePack with the fields
-by name: a newer process may add fields with defaults, and an older one skips
-what it doesn't know, which rolling upgrades need.
+Messages are frozen ``msgspec`` records, encoded as MessagePack with fields by
+name. Rolling upgrades depend on this: a newer process may add fields with
+defaults, and an older one skips the fields that it doesn't know.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class MessageCodec(CodecBase):
-    """Lets ``grpclib`` carry our records without generated code."""
+    """Encodes ``msgspec`` records for ``grpclib``, without generated code."""
 
     __content_subtype__ = 'msgpack'
 
     def __init__(self) -> None:
-        """Keep one encoder and one decoder a type."""
+        """Create the encoder; decoders are created per type on first use."""
         self._encoder = msgpack.Encoder()
         self._decoders: dict[Any, msgpack.Decoder[Any]] = {}
 
@@ -30,7 +30,7 @@
         return self._encoder.encode(message)
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Decode a record of exactly that type, checked field by field."""
+        """Decode a record of the given type and validate its fields."""
         decoder = self._decoders.get(message_type)
         if decoder is None:
             decoder = msgpack.Decoder(message_type)
@@ -39,10 +39,10 @@
 
 
 def encode(message: object) -> bytes:
-    """Encode one record for the log or the wire."""
+    """Encode a record for the log or the network."""
     return msgpack.encode(message)
 
 
 def decode(data: bytes, kind: type[AnyMessage]) -> AnyMessage:
-    """Decode one record; raises ``msgspec.DecodeError`` on damage."""
+    """Decode a record; raises ``msgspec.DecodeError`` on invalid data."""
     return msgpack.decode(data, type=kind)
--- a/src/snipebend/transport/followers.py
+++ b/src/snipebend/transport/configuration_follower.py
@@ -1,4 +1,4 @@
-"""The configuration as entries and agents follow it from control."""
+"""Follows the configuration from the control daemons."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 if TYPE_CHECKING:
     from snipebend.kernel.registry import Registry
 
-#: Seconds before the next control daemon is tried.
+#: Seconds before the watch is opened at the next control daemon.
 RETRY_DELAY_S = 0.2
 
-#: Seconds without a message after which a daemon is given up; it sends one a
-#: second.
-SILENCE_S = 2.5
+#: Seconds without a message after which the next control daemon is tried. A
+#: daemon sends a message every second.
+MESSAGE_TIMEOUT_S = 2.5
 
 
 class ConfigurationFollower(Service):
-    """Keeps the newest configuration; its revision only grows."""
+    """Keeps the newest configuration; its revision never decreases."""
 
     def __init__(
         self,
@@ -53,29 +53,30 @@
         self._clients = clients
 
     async def start(self, registry: Registry) -> None:
-        """Start to follow."""
+        """Start following."""
         self._clock = registry.clock
-        registry.tasks.start('follow-configuration', self._follow)
+        registry.tasks.start('follow-configuration', self._run_follower)
 
     @property
     def revision(self) -> int:
-        """Return the revision in force here."""
+        """Return the revision in force in this process."""
         return self._copy.revision
 
     @property
     def index(self) -> FleetIndex | None:
-        """Return the fleet in force here, if any."""
+        """Return the fleet in force in this process, or None."""
         return self._copy.index
 
-    def lapsed(self, now: float) -> bool:
-        """Tell whether the lease ended: what is in force may be outdated.
+    def is_expired(self, now: float) -> bool:
+        """Return whether the lease has expired.
 
-        The fleet's ``stale_policy`` says what becomes of new work then.
+        The configuration may then be outdated; the fleet's ``stale_policy``
+        decides what happens to new requests.
         """
         return self._copy.is_expired(now)
 
     async def wait_newer(self, revision: int, span_s: float) -> None:
-        """Wait until a newer revision is in force here, or for the span."""
+        """Wait for a newer revision, for at most ``span_s`` seconds."""
         changed = self._changed
         if self.revision > revision:
             return
@@ -86,11 +87,11 @@
             return
 
     def ready(self) -> bool:
-        """Tell whether a configuration is in force here under a lease."""
-        return not self.lapsed(self._clock.now())
+        """Return whether this process has a valid configuration lease."""
+        return not self.is_expired(self._clock.now())
 
     def dump(self) -> Mapping[str, object]:
-        """Return the revision, its source and how long the lease runs."""
+        """Return the revision, its source and the remaining lease time."""
         left_s = self._copy.lease_until - self._clock.now()
         return {
             'revision': self.revision,
@@ -98,7 +99,7 @@
             'control': self._peer,
         }
 
-    async def _follow(self) -> None:
+    async def _run_follower(self) -> None:
         while True:
             for peer in self._control:
                 await self._follow_one(peer)
@@ -111,24 +112,24 @@
         messages = self._clients.stream(peer, WATCH, req)
         try:
             async with aclosing(messages):
-                await self._take_all(messages, opened_at)
+                await self._apply_messages(messages, opened_at)
         except TimeoutError:
             logger.warning('event=control_silent peer={}', peer)
             self._clients.retire(peer)
         except UnavailableError as exc:
             logger.warning('event=control_lost peer={} reason={!r}', peer, exc)
 
-    async def _take_all(
+    async def _apply_messages(
         self, messages: AsyncIterator[Configuration], opened_at: float
     ) -> None:
-        going_on = True
-        while going_on:
-            async with asyncio.timeout(SILENCE_S):
+        is_usable = True
+        while is_usable:
+            async with asyncio.timeout(MESSAGE_TIMEOUT_S):
                 message = await anext(messages, None)
-            going_on = message is not None and self._take(message, opened_at)
+            is_usable = message is not None and self._apply(message, opened_at)
 
-    def _take(self, message: Configuration, opened_at: float) -> bool:
-        """Take in a message; return whether to go on with this daemon."""
+    def _apply(self, message: Configuration, opened_at: float) -> bool:
+        """Apply a message; return whether to keep following this daemon."""
         taken = self._copy.apply(message, opened_at)
         self._needs_full = taken is UpdateResult.MISSED
         if taken is UpdateResult.NEWER:
@@ -141,7 +142,7 @@
         return not self._is_stale(message)
 
     def _is_stale(self, message: Configuration) -> bool:
-        """Tell whether a daemon may be cut off from its group."""
+        """Return whether the daemon may be partitioned from its group."""
         unconfirmed = not 0 <= message.confirmed_ago_s <= STALE_S
-        lapsed = self.lapsed(self._clock.now())
+        lapsed = self.is_expired(self._clock.now())
         return unconfirmed or (lapsed and self.index is not None)
--- a/src/snipebend/transport/control_api.py
+++ b/src/snipebend/transport/control_api.py
@@ -1,4 +1,7 @@
-"""The control daemon's gRPC interface for operators, entries and agents."""
+"""The control daemon's gRPC service for the configuration.
+
+Operators apply and show the configuration; entries and agents watch it.
+"""
 
 from __future__ import annotations
 
@@ -27,13 +30,14 @@
 from snipebend.transport.replicated_state import ReplicatedState
 from snipebend.transport.rpc_server import Endpoint, RpcServer
 
-#: Seconds after which a watch ends, so that the times in it stay exact and
-#: the watchers spread over the daemons again.
-WATCH_LIFE_S = 60.0
+#: Seconds after which the daemon ends a watch. The watcher then reconnects, so
+#: that clock drift in the elapsed times stays small and the watchers spread
+#: over the daemons again.
+WATCH_DURATION_S = 60.0
 
 
-class ConfigurationKeeper(Service):
-    """Tells watchers of each new configuration, and who has it in force."""
+class ConfigurationApi(Service):
+    """Sends configurations to watchers and tracks which processes use them."""
 
     def __init__(self, name: str, server: RpcServer) -> None:
         """Add the endpoints to the server."""
@@ -48,19 +52,21 @@
         )
 
     async def start(self, registry: Registry) -> None:
-        """Find the state."""
+        """Look up the replicated state."""
         self._clock = registry.clock
         self._store = registry.find('state', ReplicatedState)
-        self._confirmations = Confirmations(self._clock.now(), self._lease_s)
+        self._confirmations = Confirmations(
+            self._clock.now(), self._lease_duration_s
+        )
         self._started = True
 
     @property
     def revision(self) -> int:
-        """Return the revision in force, as this daemon has it."""
+        """Return the revision in force on this daemon."""
         return self._state.revision
 
     async def apply(self, req: ApplyRequest) -> ApplyReply:
-        """Decide on a change."""
+        """Commit or reject a change of the configuration."""
         reply: ApplyReply = await self._store.execute(
             ApplyFleet(req, self._store.wall()),
         )
@@ -73,7 +79,7 @@
         return reply
 
     async def show(self, req: ShowRequest) -> ShowReply:
-        """Return what is in force."""
+        """Return the configuration in force and who has confirmed it."""
         machine = await self._store.read()
         configuration = machine.state.configuration
         now = self._clock.now()
@@ -86,26 +92,28 @@
         )
 
     async def watch(self, req: WatchRequest) -> AsyncIterator[Configuration]:
-        """Yield what is newer than the watcher's, and that nothing is."""
+        """Yield newer configurations, or a keep-alive if there is none."""
         opened_at = self._clock.now()
         known = None if req.full else req.revision
         while not self._stopping:
             message = self._feed.next_after(self._state, known)
             now = self._clock.now()
-            yield self._date(message, now - opened_at)
+            yield self._add_ages(message, now - opened_at)
             known = max(message.revision, known or 0)
-            if now > opened_at + WATCH_LIFE_S:
+            if now > opened_at + WATCH_DURATION_S:
                 return
             await self._wait_for_newer(known)
 
     def confirm(self, process: str, revision: int) -> None:
-        """Note the revision that a process has in force."""
+        """Record the revision that a process has in force."""
         if process:
             now = self._clock.now()
-            self._confirmations.record(process, revision, now, self._lease_s)
+            self._confirmations.record(
+                process, revision, now, self._lease_duration_s
+            )
 
     async def stop(self) -> None:
-        """End the watchers' streams."""
+        """End all watches."""
         self._stopping = True
         if not self._started:
             return
@@ -113,7 +121,7 @@
             self._store.changed.notify_all()
 
     def dump(self) -> Mapping[str, object]:
-        """Return the revision and who has confirmed which."""
+        """Return the revision in force and the processes' confirmations."""
         now = self._clock.now()
         return {
             'revision': self._state.revision,
@@ -126,10 +134,12 @@
         return self._store.machine.state.configuration
 
     @property
-    def _lease_s(self) -> float:
+    def _lease_duration_s(self) -> float:
         return self._state.routing.config_lease_s
 
-    def _date(self, message: Configuration, elapsed_s: float) -> Configuration:
+    def _add_ages(
+        self, message: Configuration, elapsed_s: float
+    ) -> Configuration:
         group = self._store.group
         ago = group.confirmed_ago if group else None
         return structs.replace(
--- a/src/snipebend/transport/control_calls.py
+++ b/src/snipebend/transport/control_calls.py
@@ -1,4 +1,4 @@
-"""An entry's questions to control daemons and to agents."""
+"""Calls of entries and agents to control daemons, and of entries to agents."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
 Request = TypeVar('Request')
 Reply = TypeVar('Reply')
 
-#: Seconds for one control daemon to answer a claim or a settlement.
+#: Timeout in seconds of a call to one control daemon.
 CONTROL_TIMEOUT_S = 2.0
 
-#: Seconds for an agent to answer a seal, with the new connection's set-up.
+#: Timeout in seconds of a seal at an agent, including a new connection.
 SEAL_TIMEOUT_S = 1.5
 
 
 class ControlCalls(Service):
-    """Claims and settles through any control daemon, seals at agents.
+    """Calls any available control daemon, and seals attempts at agents.
 
-    A claim and a settlement name their attempt, so that asking a second
-    daemon after a lost answer of the first changes nothing.
+    Claims and settlements identify their attempt, which makes them idempotent:
+    if the reply of one daemon is lost, they are sent to the next.
     """
 
     def __init__(
@@ -71,61 +71,66 @@
         req: ClaimRequest,
     ) -> Result[ClaimReply, UnavailableError]:
         """Claim a key for one attempt."""
-        return await self._ask_any(CLAIM, req)
+        return await self._call_any(CLAIM, req)
 
     async def settle(
         self,
         req: SettleRequest,
     ) -> Result[SettleReply, UnavailableError]:
-        """Tell how an attempt ended."""
-        return await self._ask_any(SETTLE, req)
+        """Report the outcome of an attempt."""
+        return await self._call_any(SETTLE, req)
 
     async def report_crash(
         self,
         req: CrashReport,
     ) -> Result[SuspectList, UnavailableError]:
-        """Tell of an upstream's death and of what ran there."""
-        return await self._ask_any(REPORT_CRASH, req)
+        """Report the crash of an upstream and the requests that ran there."""
+        return await self._call_any(REPORT_CRASH, req)
 
     async def suspects(
         self,
         req: SuspectQuery,
     ) -> Result[SuspectList, UnavailableError]:
-        """Ask for the requests that are suspected of killing upstreams."""
-        return await self._ask_any(SUSPECTS, req)
+        """Return the requests that are suspected of crashing upstreams."""
+        return await self._call_any(SUSPECTS, req)
 
     async def clear_suspect(
         self,
         req: SuspectCleared,
     ) -> Result[SuspectList, UnavailableError]:
-        """Tell that a suspect was served."""
-        return await self._ask_any(CLEAR_SUSPECT, req)
+        """Report that a suspected request was served without a crash."""
+        return await self._call_any(CLEAR_SUSPECT, req)
 
     async def take_fence(
         self,
         req: FenceRequest,
     ) -> Result[FenceReply, UnavailableError]:
-        """Take or release a lease; asking twice is the same holder's."""
-        return await self._ask_any(TAKE_FENCE, req)
+        """Take or release a lease; safe to retry for the same holder."""
+        return await self._call_any(TAKE_FENCE, req)
 
     async def seal(
         self,
         peer: str,
         req: SealRequest,
     ) -> Result[SealReply, UnavailableError]:
-        """Ask an agent over a new connection what became of an attempt."""
+        """Seal an attempt at an agent and return its state.
+
+        The call uses a new connection.
+        """
         clients = RpcClients()
         try:
             return await clients.call(peer, SEAL, req, timeout=SEAL_TIMEOUT_S)
         finally:
             clients.close()
 
-    async def _ask_any(
+    async def _call_any(
         self,
         method: Method[Request, Reply],
         req: Request,
     ) -> Result[Reply, UnavailableError]:
-        failure = UnavailableError('no control daemon', step=method.path)
+        failure = UnavailableError(
+            'no control daemon is configured', step=method.path
+        )
         for peer in tuple(self._control):
             answer = await self._clients.call(
                 peer,
@@ -141,7 +146,7 @@
         return Err(failure)
 
     def _prefer(self, peer: str) -> None:
-        """Ask the one first that answered last."""
+        """Call this daemon first from now on, since it has replied."""
         if self._control[0] != peer:
             self._control.remove(peer)
             self._control.insert(0, peer)
--- a/src/snipebend/transport/control_meters.py
+++ b/src/snipebend/transport/control_meters.py
@@ -1,4 +1,4 @@
-"""What a control daemon counts and times of its log."""
+"""Metrics of a control daemon's replica: roles and disk latency."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class ReplicaMeters:
-    """The roles of one member, and how long its disk takes."""
+    """Counts the role changes of one member and times its log writes."""
 
     def __init__(self) -> None:
-        """Make the instruments."""
+        """Create the instruments."""
         meter = get_meter()
         self._roles = meter.create_counter(
             'snipebend_role_changes',
@@ -23,10 +23,10 @@
             explicit_bucket_boundaries_advisory=LATENCY_BUCKETS_S,
         )
 
-    def role_taken(self, role: str) -> None:
-        """Count a change of role."""
+    def count_role_change(self, role: str) -> None:
+        """Count a change to the given role."""
         self._roles.add(1, {'role': role})
 
-    def synced(self, seconds: float) -> None:
-        """Note how long a write took."""
+    def record_sync(self, seconds: float) -> None:
+        """Record the duration of one write and sync."""
         self._syncs.record(seconds)
--- a/src/snipebend/transport/directory_api.py
+++ b/src/snipebend/transport/directory_api.py
@@ -1,4 +1,7 @@
-"""The control daemon's directory: announcements in, differences out."""
+"""The control daemon's directory service of upstreams.
+
+Agents announce their upstreams; entries watch the directory as differences.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
     WatcherSubset,
     group_pools,
 )
-from snipebend.transport.control_api import ConfigurationKeeper
+from snipebend.transport.control_api import ConfigurationApi
 from snipebend.transport.methods import (
     ANNOUNCE,
     CONFIRM,
@@ -35,21 +38,26 @@
 if TYPE_CHECKING:
     from snipebend.kernel.registry import Registry
 
-#: Seconds between two differences that only tell of loads, or of no change.
-LOADS_EVERY_S = 1.0
+#: Seconds between two differences that hold loads only, or no change at all.
+LOAD_INTERVAL_S = 1.0
+
 
+class DirectoryApi(Service):
+    """Keeps announced upstreams and sends differences to watchers.
 
-class DirectoryKeeper(Service):
-    """Soft state only: a restart fills it again within one announcement."""
+    The directory is soft state: after a restart the next announcement of each
+    agent restores it.
+    """
 
     def __init__(self, name: str, server: RpcServer) -> None:
         """Add the endpoints to the server."""
         super().__init__(name)
         self._directory = UpstreamDirectory()
         self._pools: Pools = {}
-        self._grouped_version = 0
-        #: Open feeds by entry: an entry holds one to each control daemon.
-        self._entries: Counter[str] = Counter()
+        self._pools_version = 0
+        #: Number of open ``confirm`` calls by entry; an entry keeps one open to
+        #: each control daemon.
+        self._feeds_by_entry: Counter[str] = Counter()
         self._changed = asyncio.Event()
         self._stopping = False
         server.add(
@@ -60,12 +68,12 @@
         )
 
     async def start(self, registry: Registry) -> None:
-        """Find the configuration keeper."""
+        """Look up the configuration service."""
         self._clock = registry.clock
-        self._keeper = registry.find('configuration', ConfigurationKeeper)
+        self._configuration = registry.find('configuration', ConfigurationApi)
 
     async def stop(self) -> None:
-        """End the watches."""
+        """End all watches."""
         self._stopping = True
         self._wake_watchers()
 
@@ -76,14 +84,16 @@
         """Record an agent's announcements until it ends the call."""
         async for announcement in announcements:
             self.record(announcement)
-        return AnnounceReply(self._keeper.revision)
+        return AnnounceReply(self._configuration.revision)
 
     def record(self, announcement: Announcement) -> None:
-        """Record one announcement; wake the watchers if more than load."""
+        """Record an announcement; wake watchers unless only loads changed."""
         version = self._directory.version
         if not self._directory.record(announcement, self._clock.now()):
             return
-        self._keeper.confirm(announcement.upstream, announcement.revision)
+        self._configuration.confirm(
+            announcement.upstream, announcement.revision
+        )
         if self._directory.version != version:
             self._wake_watchers()
 
@@ -91,74 +101,80 @@
         self,
         confirmations: AsyncIterator[DirectoryRequest],
     ) -> AnnounceReply:
-        """Note the revisions that an entry has in force, as they come."""
+        """Record the revisions that an entry reports to have in force."""
         entry = ''
         try:
             async for confirmation in confirmations:
-                self._keeper.confirm(
+                self._configuration.confirm(
                     confirmation.process, confirmation.revision
                 )
                 if confirmation.process and not entry:
                     entry = confirmation.process
-                    self._entries[entry] += 1
+                    self._feeds_by_entry[entry] += 1
         finally:
-            self._forget_feed(entry)
-        return AnnounceReply(self._keeper.revision)
+            self._remove_feed(entry)
+        return AnnounceReply(self._configuration.revision)
 
     async def list_upstreams(self, req: DirectoryRequest) -> Directory:
-        """Return the upstreams known right now, for an operator."""
-        return Directory(self.fresh(), self._keeper.revision)
+        """Return all upstreams with an unexpired lease, for operators."""
+        return Directory(self.fresh(), self._configuration.revision)
 
     async def watch(
         self,
         req: DirectoryRequest,
     ) -> AsyncIterator[DirectoryDelta]:
-        """Yield the watcher's part once, then each difference.
+        """Yield the watcher's subset once, then each difference to it.
 
-        An empty one after a quiet span tells that all loads still hold.
+        After ``LOAD_INTERVAL_S`` without a change it yields the latest loads;
+        an empty difference means that they are unchanged.
         """
         view = WatcherView()
         subset = WatcherSubset(req)
         is_due = True
         while not self._stopping:
-            delta = view.advance(self._shown(subset), self._keeper.revision)
+            delta = view.advance(
+                self._visible_upstreams(subset), self._configuration.revision
+            )
             if is_due or not delta.is_empty():
-                yield replace(delta, entries=len(self._entries))
+                yield replace(delta, entries=len(self._feeds_by_entry))
             is_due = not await self._wait_for_change()
 
     def dump(self) -> Mapping[str, object]:
-        """Return the upstreams and their phases."""
+        """Return the phase of each upstream."""
         return {entry.upstream: entry.phase.value for entry in self.fresh()}
 
     def fresh(self) -> tuple[Announcement, ...]:
-        """Return the announcements whose leases hold."""
+        """Return the announcements whose leases have not expired."""
         return self._directory.fresh(self._clock.now())
 
-    def _shown(self, subset: WatcherSubset) -> tuple[Announcement, ...]:
-        """Return what one watcher is shown.
+    def _visible_upstreams(
+        self, subset: WatcherSubset
+    ) -> tuple[Announcement, ...]:
+        """Return the announcements in one watcher's subset.
 
-        The cost grows with its subset; with the pools only when they changed.
+        The cost is proportional to the subset; to the size of all pools only
+        if they have changed.
         """
         now = self._clock.now()
-        # What ended is dropped first, since that is a change, too.
+        # Expired entries go first, since removing them changes the version.
         self._directory.expire(now)
-        if self._directory.version != self._grouped_version:
+        if self._directory.version != self._pools_version:
             members = self._directory.fresh(now)
             self._pools = group_pools(members, self._pools)
-            self._grouped_version = self._directory.version
-        names = subset.select(self._pools, len(self._entries))
+            self._pools_version = self._directory.version
+        names = subset.select(self._pools, len(self._feeds_by_entry))
         return self._directory.select(names, now)
 
-    def _forget_feed(self, entry: str) -> None:
-        self._entries[entry] -= 1
-        if self._entries[entry] <= 0:
-            self._entries.pop(entry)
+    def _remove_feed(self, entry: str) -> None:
+        self._feeds_by_entry[entry] -= 1
+        if self._feeds_by_entry[entry] <= 0:
+            self._feeds_by_entry.pop(entry)
 
     async def _wait_for_change(self) -> bool:
-        """Return whether there was one within the span."""
+        """Return whether the directory changed within ``LOAD_INTERVAL_S``."""
         changed = self._changed
         try:
-            async with asyncio.timeout(LOADS_EVERY_S):
+            async with asyncio.timeout(LOAD_INTERVAL_S):
                 return await changed.wait()
         except TimeoutError:
             return False
--- a/src/snipebend/transport/directory_follower.py
+++ b/src/snipebend/transport/directory_follower.py
@@ -13,7 +13,7 @@
 from snipebend.kernel.service import Service
 from snipebend.membership.directory_delta import DirectoryCopy
 from snipebend.membership.messages import Announcement, DirectoryRequest
-from snipebend.transport.followers import (
+from snipebend.transport.configuration_follower import (
     RETRY_DELAY_S,
     ConfigurationFollower,
 )
--- a/src/snipebend/transport/expert_service.py
+++ b/src/snipebend/transport/expert_service.py
@@ -1,4 +1,7 @@
-"""The control leader's service for expert maps: one coordinator a group."""
+"""The control leader's service for expert maps.
+
+It runs one switch coordinator for each group of ranks.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from snipebend.orders.expert_load import GroupStatusQuery, GroupStatusReply
 from snipebend.orders.issuer import IssuerConfig
 from snipebend.transport.group_switch import GroupSwitch
-from snipebend.transport.map_planning import EvenPlanner, MapPlanner
+from snipebend.transport.map_planning import RoundRobinPlanner, MapPlanner
 from snipebend.transport.rank_methods import GROUP_STATUS
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import Endpoint, RpcServer
@@ -27,19 +30,20 @@
     from snipebend.membership.messages import Announcement
     from snipebend.transport.switch_links import DecisionStore, Leadership
 
-#: Seconds between two looks at leadership, fleet and directory.
-LOOK_EVERY_S = 0.2
+#: Seconds between two checks of leadership, fleet and directory.
+CHECK_INTERVAL_S = 0.2
 
 
 _DEFAULT_LEASE = IssuerConfig()
 
 
 class ExpertConfig(NamedTuple):
-    """Spans in seconds.
+    """Durations in seconds.
 
-    A new leader trusts the directory ``settle_s`` after it was elected.
-    Rebalancing is considered every ``rebalance_s``. The weight store's
-    schedule reaches at least ``horizon_s`` ahead, which a new leader waits out.
+    A new leader uses the directory only ``settle_s`` after its election.
+    Rebalancing is considered every ``rebalance_s``. The weight store's schedule
+    reaches at least ``horizon_s`` ahead; a new leader waits that long, as it
+    doesn't know the reservations of its predecessor.
     """
 
     settle_s: float = 5.0
@@ -49,25 +53,25 @@
 
 
 class FleetView(Protocol):
-    """What the service looks at in its process."""
+    """The fleet and the upstreams as this process knows them."""
 
     def fleet(self) -> Fleet | None:
         """Return the fleet in force."""
 
     def upstreams(self) -> Iterable[Announcement]:
-        """Return the upstreams whose announcements are fresh."""
+        """Return the upstreams whose announcements have not expired."""
 
 
 PlannerFactory = Callable[['Group', 'Fleet'], MapPlanner]
 
 
-class _Driven(NamedTuple):
+class _RunningGroup(NamedTuple):
     switch: GroupSwitch
     tasks: tuple[Task[None], ...]
 
 
 class ExpertService(Service):
-    """Drives all groups' switches while this daemon leads."""
+    """Runs the map switches of all groups while this daemon is the leader."""
 
     def __init__(
         self,
@@ -84,22 +88,22 @@
         self._store = store
         self._leadership = leadership
         self._view = view
-        self._planner = planner or _plan_evenly
+        self._planner = planner or _build_round_robin_planner
         self._cfg = cfg or ExpertConfig()
         self._clients = RpcClients()
-        self._driven: dict[str, _Driven] = {}
-        self._led_since: float | None = None
+        self._running_groups: dict[str, _RunningGroup] = {}
+        self._leading_since: float | None = None
         server.add(Endpoint(GROUP_STATUS, self.group_status))
 
     async def start(self, registry: Registry) -> None:
-        """Start to look for leadership and groups."""
+        """Start checking for leadership and groups."""
         self._clock = registry.clock
         self._tasks = registry.tasks
-        self._tasks.start('expert-maps', self._look_for_ever)
+        self._tasks.start('expert-maps', self._run_checks)
 
     async def stop(self) -> None:
-        """Stop all coordinators; the next leader takes over."""
-        self._stop_groups(tuple(self._driven))
+        """Stop all coordinators; the next leader resumes their switches."""
+        self._stop_groups(tuple(self._running_groups))
         self._clients.close()
 
     def dump(self) -> Mapping[str, object]:
@@ -112,50 +116,50 @@
                 'last_decision': status.last_decision,
                 'reason': status.reason,
             }
-            for name, driven in self._driven.items()
+            for name, driven in self._running_groups.items()
             for status in (driven.switch.status(),)
         }
 
     async def group_status(self, req: GroupStatusQuery) -> GroupStatusReply:
-        """Return the status of all groups, if this daemon leads."""
+        """Return the status of all groups if this daemon is the leader."""
         groups = tuple(
-            driven.switch.status() for driven in self._driven.values()
+            driven.switch.status() for driven in self._running_groups.values()
         )
         return GroupStatusReply(self._leadership.leads, groups)
 
-    async def _look_for_ever(self) -> None:
+    async def _run_checks(self) -> None:
         while True:
-            self._look()
-            await asyncio.sleep(LOOK_EVERY_S)
+            self._check()
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         fleet = self._view.fleet()
         if not self._leadership.leads or fleet is None:
-            self._led_since = None
-            self._stop_groups(tuple(self._driven))
+            self._leading_since = None
+            self._stop_groups(tuple(self._running_groups))
             return
-        if self._led_since is None:
-            self._led_since = self._clock.now()
+        if self._leading_since is None:
+            self._leading_since = self._clock.now()
             self._schedule = self._plan_store(fleet)
-        self._follow_fleet(fleet)
-        if self._clock.now() >= self._led_since + self._cfg.settle_s:
-            self._announce_ranks()
+        self._sync_groups(fleet)
+        if self._clock.now() >= self._leading_since + self._cfg.settle_s:
+            self._update_ranks()
 
-    def _follow_fleet(self, fleet: Fleet) -> None:
-        """Start what is new, restart what has changed, stop what is gone."""
-        wanted = {group.name: group for group in fleet.groups}
+    def _sync_groups(self, fleet: Fleet) -> None:
+        """Start new groups, restart changed ones and stop removed ones."""
+        configured = {group.name: group for group in fleet.groups}
         self._stop_groups(
             [
                 name
-                for name, driven in self._driven.items()
-                if wanted.get(name) != driven.switch.group
+                for name, driven in self._running_groups.items()
+                if configured.get(name) != driven.switch.group
             ],
         )
-        for name, group in wanted.items():
-            if name not in self._driven:
-                self._driven[name] = self._start_group(group, fleet)
+        for name, group in configured.items():
+            if name not in self._running_groups:
+                self._running_groups[name] = self._start_group(group, fleet)
 
-    def _start_group(self, group: Group, fleet: Fleet) -> _Driven:
+    def _start_group(self, group: Group, fleet: Fleet) -> _RunningGroup:
         links = SwitchLinks(
             self._store,
             self._clients,
@@ -166,7 +170,7 @@
         )
         switch = GroupSwitch(
             group,
-            _fencing_of(group, fleet),
+            _group_fencing(group, fleet),
             links,
             self._planner(group, fleet),
             self._cfg.lease,
@@ -175,33 +179,33 @@
             self._tasks.start(f'switch-{group.name}', switch.run),
             self._tasks.start(
                 f'rebalance-{group.name}',
-                lambda: self._rebalance_for_ever(switch),
+                lambda: self._run_rebalancing(switch),
             ),
         )
-        return _Driven(switch, tasks)
+        return _RunningGroup(switch, tasks)
 
-    async def _rebalance_for_ever(self, switch: GroupSwitch) -> None:
+    async def _run_rebalancing(self, switch: GroupSwitch) -> None:
         while True:
             await asyncio.sleep(self._cfg.rebalance_s)
             await switch.rebalance()
 
     def _stop_groups(self, names: Iterable[str]) -> None:
         for name in names:
-            for task in self._driven.pop(name).tasks:
+            for task in self._running_groups.pop(name).tasks:
                 task.cancel()
 
-    def _announce_ranks(self) -> None:
+    def _update_ranks(self) -> None:
         upstreams = tuple(self._view.upstreams())
-        for driven in self._driven.values():
+        for driven in self._running_groups.values():
             policies = driven.switch.group.upstreams
             ranks = [one for one in upstreams if one.policy in policies]
-            driven.switch.announce(
+            driven.switch.update_ranks(
                 {one.upstream: one.grpc_address for one in ranks},
                 self._utilisation(ranks),
             )
 
     def _utilisation(self, ranks: list[Announcement]) -> float:
-        """Return the requests running as a share of what may run."""
+        """Return the running requests as a share of the ranks' capacity."""
         fleet = self._view.fleet()
         policies = fleet.upstreams if fleet else ()
         limits = {policy.name: policy.max_concurrency for policy in policies}
@@ -210,13 +214,16 @@
         return running / capacity if capacity else 0
 
     def _plan_store(self, fleet: Fleet) -> StoreSchedule:
-        """Plan for the slowest store that a group names, shared by all.
+        """Create the schedule of the weight store, which all groups share.
 
-        The schedule reaches far enough for the weights of any whole group.
+        Its rate is the lowest that any group configures. Its horizon covers the
+        time to load all weights of any group twice.
         """
         rates = [group.store_bytes_per_s for group in fleet.groups]
         rate = min(rates, default=1)
-        longest_s = max(map(_weight_bytes, fleet.groups), default=0) / rate
+        longest_s = (
+            max(map(_group_weight_bytes, fleet.groups), default=0) / rate
+        )
         return StoreSchedule(
             rate,
             horizon_s=max(self._cfg.horizon_s, 2 * longest_s),
@@ -224,17 +231,17 @@
         )
 
 
-def _weight_bytes(group: Group) -> int:
+def _group_weight_bytes(group: Group) -> int:
     slots = group.ranks * group.layers * group.experts_per_rank
     return slots * group.expert_bytes
 
 
-def _plan_evenly(group: Group, fleet: Fleet) -> MapPlanner:
-    return EvenPlanner(group)
+def _build_round_robin_planner(group: Group, fleet: Fleet) -> MapPlanner:
+    return RoundRobinPlanner(group)
 
 
-def _fencing_of(group: Group, fleet: Fleet) -> Fencing:
-    """Return 'ignored' if any engine of the group ignores fences."""
+def _group_fencing(group: Group, fleet: Fleet) -> Fencing:
+    """Return 'ignored' if any engine in the group ignores fences."""
     policies = {policy.name: policy for policy in fleet.upstreams}
     kinds = {policies[name].fencing for name in group.upstreams}
     return 'ignored' if 'ignored' in kinds else 'checked'
--- a/src/snipebend/transport/fence_reader.py
+++ b/src/snipebend/transport/fence_reader.py
@@ -1,4 +1,4 @@
-"""Reads of the committed state that agents need, from any control daemon."""
+"""Reads fences and expert map records from any control daemon."""
 
 from __future__ import annotations
 
@@ -20,14 +20,17 @@
 Query = TypeVar('Query')
 Answer = TypeVar('Answer')
 
-#: Seconds for one question to one control daemon.
-ASK_TIMEOUT_S = 2.0
+#: Timeout in seconds of a query to one control daemon.
+QUERY_TIMEOUT_S = 2.0
 
-_NOBODY = 'no control daemon reaches a quorum'
+_NO_QUORUM = 'no control daemon replied with a quorum'
 
 
 class FenceReader:
-    """Asks the control daemons in turn; each answers for a quorum."""
+    """Queries the control daemons in turn.
+
+    Each reply is linearizable: the daemon confirms it with a quorum.
+    """
 
     def __init__(self, control: Sequence[str], clients: RpcClients) -> None:
         """Keep the control daemons' addresses."""
@@ -35,8 +38,8 @@
         self._clients = clients
 
     async def fence(self, group: str) -> Result[int, UnavailableError]:
-        """Return the fence in force of a group."""
-        answer = await self._ask(READ_FENCE, FenceQuery(group))
+        """Return the current fence of a group."""
+        answer = await self._query(READ_FENCE, FenceQuery(group))
         return answer.map(lambda reply: reply.fence)
 
     async def record(
@@ -44,10 +47,10 @@
         group: str,
     ) -> Result[GroupRecord, UnavailableError]:
         """Return the committed switch record of a group."""
-        answer = await self._ask(READ_MAP, MapQuery(group))
+        answer = await self._query(READ_MAP, MapQuery(group))
         return answer.map(lambda reply: reply.record)
 
-    async def _ask(
+    async def _query(
         self,
         method: Method[Query, Answer],
         query: Query,
@@ -57,8 +60,8 @@
                 peer,
                 method,
                 query,
-                timeout=ASK_TIMEOUT_S,
+                timeout=QUERY_TIMEOUT_S,
             )
             if answer.is_ok():
                 return Ok(answer.unwrap())
-        return Err(UnavailableError(_NOBODY, step=method.path))
+        return Err(UnavailableError(_NO_QUORUM, step=method.path))
--- a/src/snipebend/transport/group.py
+++ b/src/snipebend/transport/group.py
@@ -1,4 +1,4 @@
-"""This daemon's part in its group: the replica and the tasks around it."""
+"""A control daemon's membership in its group: the replica and its tasks."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from snipebend.consensus.config import CoreConfig
 from snipebend.consensus.events import HandOver, Tick
 from snipebend.transport.group_messages import GroupReply
-from snipebend.transport.group_questions import GroupQuestions
-from snipebend.transport.letters import Tell
+from snipebend.transport.leader_client import LeaderClient
+from snipebend.transport.replica_messages import CoreEvent
 from snipebend.transport.peer_links import PeerLinks
-from snipebend.transport.repairs import Repairs
+from snipebend.transport.membership_manager import MembershipManager
 from snipebend.transport.replica import Replica
 
 if TYPE_CHECKING:
@@ -24,66 +24,69 @@
     from snipebend.settings.model import ControlSettings
     from snipebend.transport.rpc_clients import RpcClients
 
-#: Seconds between two checks with a quorum that this state is current.
-CONFIRM_EVERY_S = 0.5
+#: Seconds between two confirmations by a quorum that this state is current.
+CONFIRM_INTERVAL_S = 0.5
 
-#: Ticks of the core in one heartbeat interval.
-_TICKS = 4
+#: Ticks of the Raft core in one heartbeat interval.
+_TICKS_PER_HEARTBEAT = 4
 
-#: A group of one needs no patience to elect itself.
-_ALONE_TIMEOUT_S = 0.05
+#: Election timeout of a group with one member, which has nobody to wait for.
+_SINGLE_MEMBER_TIMEOUT_S = 0.05
 
 
 class Group:
-    """A replica with its peers, the way to the leader and the repairs."""
+    """A replica with its peer links, leader client and membership manager."""
 
     def __init__(
         self,
         cfg: ControlSettings,
-        own: Member,
+        local_member: Member,
         opened: StoredState,
         storage: Storage,
         registry: Registry,
         clients: RpcClients,
         notify: Callable[[], None],
     ) -> None:
-        """Restore the replica from what the disk held."""
+        """Restore the replica from the data folder."""
         self._cfg = cfg
         self._clock = registry.clock
         self._tasks = registry.tasks
-        self.own = own
+        self.local_member = local_member
         self.replica = Replica(
-            core_config(cfg),
+            build_core_config(cfg),
             opened,
             storage,
             registry.clock,
-            PeerLinks(own, registry.tasks),
+            PeerLinks(local_member, registry.tasks),
             cfg.storage.snapshot_every,
             notify,
             registry.clock.began_at,
         )
-        self.questions = GroupQuestions(self.replica, clients, registry.clock)
-        self.repairs = Repairs(
+        self.leader_client = LeaderClient(self.replica, clients, registry.clock)
+        self.membership = MembershipManager(
             self.replica,
-            self.questions,
-            _may_join(cfg),
+            self.leader_client,
+            _allowed_names(cfg),
             clients,
         )
 
     def start(self) -> None:
-        """Start the tasks around the replica."""
+        """Start the tasks that serve the replica."""
         self._tasks.start('storage', self.replica.writer.run)
-        self._tasks.start('ticks', self._tick_for_ever)
-        self._tasks.start('repairs', self.repairs.run)
-        self._tasks.start('confirm', self._confirm_for_ever)
+        self._tasks.start('ticks', self._run_ticks)
+        self._tasks.start('repairs', self.membership.run)
+        self._tasks.start('confirm', self._run_confirmations)
 
     async def hand_over(self) -> None:
-        """Let another voter lead, unless that takes too long."""
+        """Transfer leadership to another voter.
+
+        Gives up after two election timeouts.
+        """
         if len(self.replica.status.members.voters) < 2:
             return
         deadline = self._clock.now() + 2 * self._cfg.election.election_timeout_s
         while self.replica.leads and self._clock.now() < deadline:
-            self.replica.post(Tell(HandOver()))
+            self.replica.post(CoreEvent(HandOver()))
             await asyncio.sleep(self._cfg.election.heartbeat_s)
 
     def close(self) -> None:
@@ -92,13 +95,13 @@
 
     @property
     def confirmed_ago(self) -> float | None:
-        """Return seconds since a quorum last confirmed this state."""
-        if self.questions.confirmed_at is None:
+        """Return the seconds since a quorum confirmed this state, or None."""
+        if self.leader_client.confirmed_at is None:
             return None
-        return self._clock.now() - self.questions.confirmed_at
+        return self._clock.now() - self.leader_client.confirmed_at
 
     def dump(self) -> dict[str, object]:
-        """Return the replica's place in its group."""
+        """Return the replica's role and progress in its group."""
         status = self.replica.status
         return {
             'role': status.role.value,
@@ -117,7 +120,7 @@
         status = self.replica.status
         ago = self.confirmed_ago
         return GroupReply(
-            member=self.own,
+            member=self.local_member,
             role=status.role,
             term=status.term,
             leader=status.leader.name if status.leader else '',
@@ -129,34 +132,36 @@
             storage_error=self.replica.storage_error,
         )
 
-    async def _confirm_for_ever(self) -> None:
+    async def _run_confirmations(self) -> None:
         while True:
-            answer = await self.questions.read()
+            answer = await self.leader_client.read()
             if answer.is_err():
                 reason = str(answer.unwrap_err())
                 logger.warning('event=not_confirmed reason={!r}', reason)
-            await asyncio.sleep(CONFIRM_EVERY_S)
+            await asyncio.sleep(CONFIRM_INTERVAL_S)
 
-    async def _tick_for_ever(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
-            await asyncio.sleep(self._cfg.election.heartbeat_s / _TICKS)
-            self.replica.post(Tell(Tick()))
+            await asyncio.sleep(
+                self._cfg.election.heartbeat_s / _TICKS_PER_HEARTBEAT
+            )
+            self.replica.post(CoreEvent(Tick()))
 
 
-def core_config(cfg: ControlSettings) -> CoreConfig:
-    """Return the core's settings."""
+def build_core_config(cfg: ControlSettings) -> CoreConfig:
+    """Build the configuration of the Raft core."""
     election = cfg.election
     alone = len(cfg.listed_addresses) < 2
     return CoreConfig(
         heartbeat_s=election.heartbeat_s,
         election_timeout_s=(
-            _ALONE_TIMEOUT_S if alone else election.election_timeout_s
+            _SINGLE_MEMBER_TIMEOUT_S if alone else election.election_timeout_s
         ),
         clock_drift=election.clock_drift,
     )
 
 
-def _may_join(cfg: ControlSettings) -> frozenset[str] | None:
+def _allowed_names(cfg: ControlSettings) -> frozenset[str] | None:
     if cfg.seeds:
         return None
     return frozenset(member.name for member in cfg.members)
--- a/src/snipebend/transport/group_api.py
+++ b/src/snipebend/transport/group_api.py
@@ -1,4 +1,7 @@
-"""What the control daemons of one group ask of each other, and operators."""
+"""The gRPC service between the members of a control group.
+
+Operators use its ``Group`` method to query a member's view of the group.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +19,8 @@
     JoinReply,
     ReadIndexReply,
 )
-from snipebend.transport.group_questions import HOP_S
-from snipebend.transport.letters import Tell
+from snipebend.transport.leader_client import HOP_TIMEOUT_S
+from snipebend.transport.replica_messages import CoreEvent
 from snipebend.transport.methods import (
     DELIVER,
     FORWARD,
@@ -43,11 +46,11 @@
         ReadIndexRequest,
     )
 
-_NOT_LEADING = 'not the leader'
+_NOT_LEADER = 'not the leader'
 
 
 class GroupApi(Service):
-    """Answers for the replica of this daemon."""
+    """Serves calls to this daemon's replica."""
 
     def __init__(self, name: str, server: RpcServer) -> None:
         """Add the endpoints to the server."""
@@ -62,59 +65,61 @@
         )
 
     async def start(self, registry: Registry) -> None:
-        """Find the state."""
+        """Look up the replicated state."""
         self._state = registry.find('state', ReplicatedState)
 
     async def deliver(self, feed: AsyncIterator[Delivery]) -> DeliveryEnd:
-        """Take in messages of log replication until the peer ends."""
+        """Receive Raft messages until the peer ends the call."""
         async for delivery in feed:
-            self._take_in(delivery)
+            self._post_envelopes(delivery)
         return DeliveryEnd()
 
     async def hello(self, req: HelloRequest) -> HelloReply:
-        """Tell who this is and the members it knows."""
+        """Return this daemon's identity and the members that it knows."""
         group = self._state.group
         if group is None:
-            return HelloReply(self._state.own)
-        return HelloReply(self._state.own, group.replica.status.members)
+            return HelloReply(self._state.local_member)
+        return HelloReply(
+            self._state.local_member, group.replica.status.members
+        )
 
     async def join(self, req: JoinRequest) -> JoinReply:
-        """Take in a member with a new disk, if this daemon leads."""
-        group = self._state.found_group()
+        """Add a member with a new disk if this daemon is the leader."""
+        group = self._state.require_group()
         if not group.replica.leads:
-            return JoinReply(accepted=False, reason=_NOT_LEADING)
-        return await group.repairs.join(req)
+            return JoinReply(accepted=False, reason=_NOT_LEADER)
+        return await group.membership.join(req)
 
     async def forward(self, req: ForwardRequest) -> ForwardReply:
-        """Execute a follower's command, if this daemon leads."""
-        group = self._state.found_group()
-        reply = await group.questions.take_forwarded(req)
+        """Execute a follower's command if this daemon is the leader."""
+        group = self._state.require_group()
+        reply = await group.leader_client.execute_forwarded(req)
         if reply is None:
-            raise GRPCError(Status.UNAVAILABLE, _NOT_LEADING)
+            raise GRPCError(Status.UNAVAILABLE, _NOT_LEADER)
         return reply
 
     async def read_index(self, req: ReadIndexRequest) -> ReadIndexReply:
-        """Return the index for a follower's read, if this daemon leads."""
-        group = self._state.found_group()
-        answer = await group.questions.read_index(HOP_S)
+        """Return the index for a follower's read if this is the leader."""
+        group = self._state.require_group()
+        answer = await group.leader_client.read_index(HOP_TIMEOUT_S)
         if answer.is_err():
-            raise GRPCError(Status.UNAVAILABLE, _NOT_LEADING)
+            raise GRPCError(Status.UNAVAILABLE, _NOT_LEADER)
         return ReadIndexReply(answer.unwrap())
 
     async def describe(self, req: GroupQuery) -> GroupReply:
         """Return this daemon's view of the group."""
         group = self._state.group
         if group is None:
-            return GroupReply(self._state.own)
+            return GroupReply(self._state.local_member)
         return group.describe()
 
-    def _take_in(self, delivery: Delivery) -> None:
+    def _post_envelopes(self, delivery: Delivery) -> None:
         group = self._state.group
         if group is None:
             return
         replica = group.replica
         for envelope in delivery.envelopes:
-            replica.links.learn_address(
+            replica.links.update_address(
                 envelope.source, delivery.source_address
             )
-            replica.offer(Tell(Received(envelope)))
+            replica.offer(CoreEvent(Received(envelope)))
--- a/src/snipebend/transport/group_messages.py
+++ b/src/snipebend/transport/group_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the control daemons of one group."""
+"""Messages between the members of a control group."""
 
 from __future__ import annotations
 
@@ -10,60 +10,63 @@
 
 
 class Delivery(Struct, frozen=True):
-    """Messages of log replication, and where to answer their sender."""
+    """Raft messages and the address for replies to their sender."""
 
     source_address: str
     envelopes: tuple[Envelope, ...]
 
 
 class DeliveryEnd(Struct, frozen=True):
-    """The end of a feed of deliveries."""
+    """The reply when a stream of deliveries ends."""
 
 
 class HelloRequest(Struct, frozen=True):
-    """Ask a daemon who it is; ``name`` is the asker's."""
+    """Ask a daemon for its identity; ``name`` is the sender's name."""
 
     name: str
 
 
 class HelloReply(Struct, frozen=True):
-    """Who answers, and the members that it knows; none: not founded yet."""
+    """The daemon's identity and the members that it knows.
+
+    ``members`` is empty if it doesn't know of a founded group.
+    """
 
     member: Member
     members: Members = Members()
 
 
 class JoinRequest(Struct, frozen=True):
-    """Ask the leader to take in a member whose disk is new."""
+    """Ask the leader to add a member with a new disk."""
 
     member: Member
 
 
 class JoinReply(Struct, frozen=True):
-    """Whether the member is a learner now; only then the log comes."""
+    """Whether the member is now a learner, and so receives the log."""
 
     accepted: bool
     reason: str = ''
 
 
 class ForwardRequest(Struct, frozen=True):
-    """A command, encoded, on its one hop from a follower to the leader."""
+    """An encoded command, forwarded once from a follower to the leader."""
 
     command: bytes
 
 
 class ForwardReply(Struct, frozen=True):
-    """The encoded reply."""
+    """The encoded reply to a forwarded command."""
 
     reply: bytes
 
 
 class ReadIndexRequest(Struct, frozen=True):
-    """Ask the leader up to where a read must see the log applied."""
+    """Ask the leader for the log index that a read must wait for."""
 
 
 class ReadIndexReply(Struct, frozen=True):
-    """A read that sees this index applied is linearizable."""
+    """A read after this index has been applied is linearizable."""
 
     index: int
 
@@ -75,9 +78,9 @@
 class GroupReply(Struct, frozen=True):
     """One daemon's view of its group.
 
-    Without a role it looks for the group still. ``confirmed_ago_s`` is how
-    long ago a quorum confirmed this daemon's state, in seconds; negative:
-    never yet.
+    ``role`` is None while the daemon is still looking for its group.
+    ``confirmed_ago_s`` is the time in seconds since a quorum confirmed this
+    daemon's state; negative if none has.
     """
 
     member: Member
--- a/src/snipebend/transport/group_switch.py
+++ b/src/snipebend/transport/group_switch.py
@@ -1,4 +1,4 @@
-"""Drives the coordinator of one group while this daemon holds its fence."""
+"""Runs the switch coordinator of a group while this daemon holds its fence."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 )
 from snipebend.orders.issuer import IssuerConfig, OrderIssuer
 from snipebend.state.expert_maps import MapDecision, MapQuery
-from snipebend.transport.map_planning import GroupFacts
+from snipebend.transport.map_planning import PlanningContext
 from snipebend.transport.rank_methods import EXPERT_LOAD
 from snipebend.transport.switch_links import RANK_TIMEOUT_S, call_rank
 from snipebend.transport.switch_log import SwitchLog
@@ -50,19 +50,20 @@
 #: Seconds between two ticks of a coordinator.
 TICK_S = 0.1
 
-#: Steps that a switch leaves for the ranks' answers, beside the fetches.
-HOLD_MARGIN = 16
+#: Steps between a proposal and its hold step for the ranks' replies, in
+#: addition to the time of the fetches.
+HOLD_MARGIN_STEPS = 16
 
-#: Seconds for the ranks' answers once the last fetch has ended.
-ANSWER_S = 30
+#: Seconds for the ranks' replies after the last fetch has finished.
+ANSWER_TIMEOUT_S = 30
 
-#: Steps a second that the fetches' time is converted with; a hold step that
-#: comes too early is put off by the coordinator.
+#: Steps per second, to convert the time of the fetches to steps. If the hold
+#: step turns out too early, the coordinator postpones it.
 STEPS_PER_S = 25
 
 
 class GroupSwitch:
-    """Owns one group's coordinator, its fence and its status."""
+    """Holds a group's fence and runs its coordinator."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         planner: MapPlanner,
         lease: IssuerConfig,
     ) -> None:
-        """Begin without a fence."""
+        """Start without a fence."""
         self.group = group
         self.coordinator: SwitchCoordinator | None = None
         self.issuer = OrderIssuer(lease, group.name, links.holder)
@@ -87,7 +88,7 @@
         self._log = SwitchLog(group.name)
 
     def status(self) -> GroupStatus:
-        """Return what ``snipebend status`` shows of the group."""
+        """Return the group's status for ``snipebend status``."""
         coordinator = self.coordinator
         if coordinator is None:
             return GroupStatus(self.group.name, 'waiting-for-fence')
@@ -105,12 +106,12 @@
             reason=self._log.reason,
         )
 
-    def announce(
+    def update_ranks(
         self,
         addresses: Mapping[str, str],
         utilisation: float,
     ) -> None:
-        """Take the ranks that are held for alive, by name to address.
+        """Update the addresses of the ranks that are alive, by rank name.
 
         ``utilisation`` is the share of their capacity in use.
         """
@@ -119,13 +120,13 @@
         self._mailbox.post(RanksAnnounced(tuple(sorted(addresses))))
 
     async def run(self) -> None:
-        """Hold the fence and drive the coordinator, for ever."""
+        """Hold the fence and run the coordinator until cancelled."""
         while True:
-            await self._keep_fence()
-            self._step(await _next_event(self._mailbox))
+            await self._maintain_fence()
+            self._step_coordinator(await _next_event(self._mailbox))
 
     async def rebalance(self) -> None:
-        """Collect the ranks' loads and switch if the planner wants to."""
+        """Collect the ranks' loads and propose the planner's map, if any."""
         coordinator = self.coordinator
         if coordinator is None or not isinstance(coordinator.state, Idle):
             return
@@ -138,7 +139,7 @@
             self.group.name,
         )
         decision = coordinator.record.decision
-        facts = GroupFacts(
+        context = PlanningContext(
             now=self._links.clock.wall(),
             changed_at_step=decision.step if decision else 0,
             utilisation=self._utilisation,
@@ -149,15 +150,15 @@
                 self._planner.rebalance,
                 in_force,
                 loads,
-                facts,
+                context,
             )
-        self._log.note_plan(plan)
+        self._log.record_plan(plan)
         if plan.placed is not None:
             incarnation = coordinator.record.incarnation
-            self._propose(coordinator, incarnation, plan)
+            self._propose_map(coordinator, incarnation, plan)
 
-    async def _keep_fence(self) -> None:
-        """Take or renew the fence; without it nothing is driven."""
+    async def _maintain_fence(self) -> None:
+        """Take or renew the fence; drop the coordinator without a lease."""
         now = self._links.clock.wall()
         if self.issuer.needs_renewal(now):
             await self._take_fence(now)
@@ -168,7 +169,7 @@
             self.coordinator is None
             and self.issuer.ready_at(self._fencing) <= now
         ):
-            await self._begin()
+            await self._start_coordinator()
 
     async def _take_fence(self, now: float) -> None:
         try:
@@ -190,34 +191,34 @@
                 reply.fence,
             )
 
-    async def _begin(self) -> None:
+    async def _start_coordinator(self) -> None:
         try:
             reply = await self._links.store.read_map(MapQuery(self.group.name))
         except GRPCError:
-            # Asked again with the next tick.
+            # Retried at the next tick.
             return
         self.coordinator = SwitchCoordinator(
             CoordinatorConfig(
                 self.group.name,
                 self.group.ranks,
-                prepare_s=self._links.schedule.horizon_s + ANSWER_S,
+                prepare_s=self._links.schedule.horizon_s + ANSWER_TIMEOUT_S,
             ),
             self.issuer.fence,
             reply.record,
             self._links.schedule,
         )
         if self._addresses:
-            self.announce(self._addresses, self._utilisation)
+            self.update_ranks(self._addresses, self._utilisation)
 
-    def _step(self, event: CoordinatorEvent) -> None:
+    def _step_coordinator(self, event: CoordinatorEvent) -> None:
         coordinator = self.coordinator
         if coordinator is None:
             return
         now = self._links.clock.wall()
         for action in coordinator.step(event, now, self._rng):
-            self._act(coordinator, action)
+            self._execute(coordinator, action)
 
-    def _act(
+    def _execute(
         self,
         coordinator: SwitchCoordinator,
         action: CoordinatorAction,
@@ -233,10 +234,10 @@
             case NeedMap() if not self._planning.locked():
                 self._links.tasks.once(
                     'place-experts',
-                    lambda: self._place(coordinator, action),
+                    lambda: self._plan_placement(coordinator, action),
                 )
             case SwitchEnded():
-                self._log.note_end(action, coordinator.record)
+                self._log.record_end(action, coordinator.record)
 
     async def _send(self, action: SendOrder) -> None:
         address = self._addresses.get(action.rank)
@@ -255,17 +256,17 @@
         try:
             reply = await self._links.store.decide_map(decision)
         except GRPCError:
-            # The coordinator asks again until it knows.
+            # The coordinator repeats the action until the record is committed.
             return
         if self.coordinator is coordinator:
             self._mailbox.post(RecordCommitted(reply.record))
 
-    async def _place(
+    async def _plan_placement(
         self,
         coordinator: SwitchCoordinator,
         need: NeedMap,
     ) -> None:
-        """Plan in a thread: a large group's map takes a while."""
+        """Plan in a thread, since a large group's map takes long."""
         if not isinstance(coordinator.state, Idle):
             return
         async with self._planning:
@@ -274,11 +275,11 @@
                 need.members,
                 coordinator.record.settled + 1,
             )
-        self._log.note_plan(plan)
+        self._log.record_plan(plan)
         if plan.placed is not None:
-            self._propose(coordinator, need.incarnation, plan)
+            self._propose_map(coordinator, need.incarnation, plan)
 
-    def _propose(
+    def _propose_map(
         self,
         coordinator: SwitchCoordinator,
         incarnation: int,
@@ -287,22 +288,24 @@
         placed = plan.placed
         if placed is None:
             return
-        fresh = coordinator.roster.ranks_without_map()
-        before = read_decision(coordinator.record.decision)
-        sizes = fetch_bytes(before, placed, self.group.expert_bytes, fresh)
-        rate = plan.pace * self.group.store_bytes_per_s
+        ranks_without_map = coordinator.roster.ranks_without_map()
+        current_map = read_decision(coordinator.record.decision)
+        sizes = fetch_bytes(
+            current_map, placed, self.group.expert_bytes, ranks_without_map
+        )
+        rate = plan.rate_share * self.group.store_bytes_per_s
         fetch_s = sum(sizes.values()) / rate
         digest = f'{placed.expert_map.digest():016x}'
-        self._log.note_proposal(digest, sum(sizes.values()))
+        self._log.record_proposal(digest, sum(sizes.values()))
         self._mailbox.post(
             MapProposed(
                 incarnation,
                 placed.members,
                 digest,
                 sizes,
-                HOLD_MARGIN + int(fetch_s * STEPS_PER_S),
+                HOLD_MARGIN_STEPS + int(fetch_s * STEPS_PER_S),
                 placed.expert_map.encode(),
-                plan.pace,
+                plan.rate_share,
             ),
         )
 
@@ -312,7 +315,7 @@
     addresses: Mapping[str, str],
     group: str,
 ) -> dict[str, ExpertLoadReply]:
-    """Ask all ranks at once; those that don't answer are left out."""
+    """Query all ranks concurrently; skip those that don't reply."""
     calls = (
         clients.call(
             address,
@@ -333,10 +336,10 @@
 async def _next_event(
     mailbox: Mailbox[CoordinatorEvent],
 ) -> CoordinatorEvent:
-    """Wait for an event, or let time pass.
+    """Return the next event, or ``Tick`` after ``TICK_S`` without one.
 
-    Not ``wait_for``, which may swallow a cancellation that comes together
-    with an event in Python 3.11.
+    It doesn't use ``asyncio.wait_for``, which in Python 3.11 may swallow a
+    cancellation that coincides with an event.
     """
     try:
         async with asyncio.timeout(TICK_S):
--- a/src/snipebend/transport/host_keeper.py
+++ b/src/snipebend/transport/host_service.py
@@ -1,4 +1,7 @@
-"""The control daemon's keeper of the numbered document and the roster."""
+"""The control daemon's service for the numbered document and the roster.
+
+It commits documents and upstream records, and sends updates to entries.
+"""
 
 from __future__ import annotations
 
@@ -32,60 +35,61 @@
     from snipebend.state.commands import Command
     from snipebend.state.roster import UpstreamRecord
 
-#: Seconds between two signs of life to a watcher. A change must be in force
-#: everywhere within 2 s, a reconnection included: four of these.
-NEWS_EVERY_S = 0.5
+#: Seconds between two updates to a watcher if nothing changes. A change must be
+#: in force everywhere within 2 s, including a reconnection, so four such
+#: updates fit.
+UPDATE_INTERVAL_S = 0.5
 
 
-#: Least seconds between two messages of one watch: what changes meanwhile is
-#: told together. While a thousand upstreams arrive, a hundred watchers would be
-#: told of each.
-NEWS_APART_S = 0.02
+#: Minimum seconds between two updates of one watch; changes in between are sent
+#: together. Otherwise each of a thousand upstreams that arrive at once would
+#: cause a separate update to each of a hundred watchers.
+MIN_UPDATE_INTERVAL_S = 0.02
 
-#: Records of upstreams in one message, some 40 KB: a watcher that loses
-#: patience with a long roster keeps what came before.
-MOST_RECORDS = 256
+#: Maximum number of upstream records in one update, about 40 KB. A watcher that
+#: times out in the middle of a long roster keeps the updates before.
+MAX_RECORDS = 256
 
 
 @dataclass(slots=True)
-class Told:
-    """What one watch has told its watcher so far."""
+class WatchCursor:
+    """How far one watch has sent the state to its watcher."""
 
     number: int
     revision: int
-    #: Counts of changes, of groups and of watchers; -1: none was told of.
-    groups: int = -1
-    watchers: int = -1
+    #: Change counts of the groups and watchers last sent; -1: not sent yet.
+    group_changes: int = -1
+    watcher_changes: int = -1
 
 
-class HostKeeper(Service):
-    """Commits documents and upstreams, and tells entries of them."""
+class HostService(Service):
+    """Commits documents and upstream records, and sends them to entries."""
 
     def __init__(self, name: str, server: RpcServer) -> None:
-        """Add the endpoint to the server."""
+        """Add the endpoints to the server."""
         super().__init__(name)
         self._stopping = False
         self._started = False
-        #: The latest watch of each process.
+        #: The request of the latest watch of each process.
         self._watchers: dict[str, HostWatchRequest] = {}
         self._groups: dict[str, UpstreamGroupStatus] = {}
-        #: Grow with each change of what is told of groups, and of watchers.
-        self._groups_changed = 0
-        self._watchers_changed = 0
-        self._shelf = DocumentStore()
+        #: Number of changes to the statuses of groups and to the watchers.
+        self._group_changes = 0
+        self._watcher_changes = 0
+        self._document_parts = DocumentStore()
         server.add(
             Endpoint(WATCH_HOSTS, self.watch),
             Endpoint(FETCH_PART, self.fetch_part),
         )
 
     async def start(self, registry: Registry) -> None:
-        """Find the state."""
+        """Look up the replicated state."""
         self._clock = registry.clock
         self._store = registry.find('state', ReplicatedState)
         self._started = True
 
     async def stop(self) -> None:
-        """End the watchers' streams."""
+        """End all watches."""
         self._stopping = True
         if not self._started:
             return
@@ -93,7 +97,7 @@
             self._store.changed.notify_all()
 
     def dump(self) -> Mapping[str, object]:
-        """Return what is in force and who watches."""
+        """Return the watchers, and the numbers of document and roster."""
         state = self._store.machine.state
         return {
             'document': state.documents.number,
@@ -104,12 +108,12 @@
         }
 
     @property
-    def book(self) -> DocumentState:
-        """Return the document as this daemon has it, perhaps behind others."""
+    def documents(self) -> DocumentState:
+        """Return this daemon's document, which may lag the leader's."""
         return self._store.machine.state.documents
 
     async def put(self, req: PutRequest) -> Result[PutReply, UnavailableError]:
-        """Put a checked document in force once a majority has synced it."""
+        """Commit a validated document; return once a majority has synced it."""
         reply = await self._execute(PutDocument(req, self._store.wall()))
         logger.info(
             'event=document_put number={} bytes={} outcome={}',
@@ -120,7 +124,7 @@
         return reply
 
     async def read(self) -> Result[DocumentState, UnavailableError]:
-        """Return the document that no other has overtaken by now."""
+        """Return the latest document; the read is linearizable."""
         try:
             machine = await self._store.read()
         except GRPCError as exc:
@@ -130,7 +134,7 @@
     async def record(
         self, upstream: UpstreamRecord
     ) -> Result[RecordReply, UnavailableError]:
-        """Note an upstream; only news is committed."""
+        """Record an upstream; commit the record only if it supersedes."""
         roster = self._store.machine.state.roster
         known = roster.upstreams.get(upstream.identity)
         if known is not None and not upstream.supersedes(known):
@@ -148,35 +152,35 @@
         )
         return reply
 
-    def tell_group(self, standing: UpstreamGroupStatus) -> None:
-        """Note what a group of upstreams does; watchers are told at once."""
-        if standing == self._groups.get(standing.group):
+    def report_group(self, status: UpstreamGroupStatus) -> None:
+        """Record the status of a group of upstreams and notify the watchers."""
+        if status == self._groups.get(status.group):
             return
         logger.info(
             'event=group_standing group={} service={} phase={} ranks={} '
             + 'slow={}',
-            standing.group,
-            standing.service,
-            standing.phase.name.lower(),
-            len(standing.members),
-            ','.join(standing.slow) or '-',
+            status.group,
+            status.service,
+            status.phase.name.lower(),
+            len(status.members),
+            ','.join(status.slow) or '-',
         )
-        self._groups[standing.group] = standing
-        self._groups_changed += 1
-        self._store.tell_changed()
+        self._groups[status.group] = status
+        self._group_changes += 1
+        self._store.notify_changed()
 
-    def forget_group(self, group: str) -> None:
-        """Leave it to others to tell of a group."""
+    def remove_group(self, group: str) -> None:
+        """Stop reporting a group; another daemon may report it."""
         if self._groups.pop(group, None) is not None:
-            self._groups_changed += 1
+            self._group_changes += 1
 
-    def forget_groups(self) -> None:
-        """Leave it to the leader to tell."""
+    def remove_groups(self) -> None:
+        """Stop reporting all groups, as only the leader reports them."""
         for group in tuple(self._groups):
-            self.forget_group(group)
+            self.remove_group(group)
 
     async def watch(self, req: HostWatchRequest) -> AsyncIterator[HostUpdate]:
-        """Yield what is newer than the watcher's, and that nothing is."""
+        """Yield newer parts of the state, or a keep-alive if there are none."""
         logger.info(
             'event=watch_opened process={} number={} roster_revision={}',
             req.process,
@@ -185,34 +189,34 @@
         )
         began_at = self._clock.now()
         self._watchers[req.process] = req
-        self._watchers_changed += 1
-        told = Told(req.number, req.roster_revision)
+        self._watcher_changes += 1
+        cursor = WatchCursor(req.number, req.roster_revision)
         try:
             while not self._stopping:
-                news = self._news_after(req, told)
-                told.number = max(told.number, news.number)
-                told.revision = max(told.revision, news.roster_revision)
-                yield news
-                await asyncio.sleep(NEWS_APART_S)
-                await self._wait_for_newer(told)
+                update = self._next_update(req, cursor)
+                cursor.number = max(cursor.number, update.number)
+                cursor.revision = max(cursor.revision, update.roster_revision)
+                yield update
+                await asyncio.sleep(MIN_UPDATE_INTERVAL_S)
+                await self._wait_for_newer(cursor)
         finally:
-            # An old watch may end after the one that took its place.
+            # A replaced watch may end after the new one has started.
             if self._watchers.get(req.process) is req:
                 self._watchers.pop(req.process)
-                self._watchers_changed += 1
+                self._watcher_changes += 1
             logger.info(
                 'event=watch_closed process={} lasted_ms={:.0f} number={}',
                 req.process,
                 1000 * (self._clock.now() - began_at),
-                told.number,
+                cursor.number,
             )
 
     async def fetch_part(self, req: PartRequest) -> DocumentPart:
-        """Return a part of a document, packed once for all who ask."""
-        book = self.book
-        if book.number > self._shelf.newest:
-            self._shelf.put(book.number, book.body)
-        part = self._shelf.get_part(req)
+        """Return a part of a document, compressed once for all entries."""
+        documents = self.documents
+        if documents.number > self._document_parts.newest:
+            self._document_parts.put(documents.number, documents.body)
+        part = self._document_parts.get_part(req)
         if not part.offset:
             logger.info(
                 'event=document_asked number={} packed_bytes={}',
@@ -221,27 +225,29 @@
             )
         return part
 
-    def _news_after(self, req: HostWatchRequest, told: Told) -> HostUpdate:
-        """Return what a watcher wasn't told yet."""
+    def _next_update(
+        self, req: HostWatchRequest, cursor: WatchCursor
+    ) -> HostUpdate:
+        """Return the changes not yet sent to a watcher; advance the cursor."""
         state = self._store.machine.state
         group = self._store.group
         ago = group.confirmed_ago if group else None
         voters = group.replica.status.members.voters if group else ()
-        book = state.documents
-        inline = book.number > told.number and not req.fetches
-        upstreams = state.roster.records_since(told.revision, MOST_RECORDS)
-        all_told = len(upstreams) < MOST_RECORDS
+        documents = state.documents
+        inline = documents.number > cursor.number and not req.fetches
+        upstreams = state.roster.records_since(cursor.revision, MAX_RECORDS)
+        is_complete = len(upstreams) < MAX_RECORDS
         groups_unchanged = (
-            req.keeps_groups and told.groups == self._groups_changed
+            req.keeps_groups and cursor.group_changes == self._group_changes
         )
-        entries = self._entries_after(told)
-        told.groups = self._groups_changed
-        told.watchers = self._watchers_changed
+        entries = self._changed_entries(cursor)
+        cursor.group_changes = self._group_changes
+        cursor.watcher_changes = self._watcher_changes
         return HostUpdate(
-            book.number,
-            state.roster.revision if all_told else upstreams[-1].revision,
+            documents.number,
+            state.roster.revision if is_complete else upstreams[-1].revision,
             -1 if ago is None else ago,
-            book.body if inline else b'',
+            documents.body if inline else b'',
             upstreams,
             tuple(member.address for member in voters),
             tuple(entry.gossip_address for entry in entries),
@@ -250,9 +256,9 @@
             tuple(entry.data_center for entry in entries),
         )
 
-    def _entries_after(self, told: Told) -> list[HostWatchRequest]:
-        """Return the entries, unless a watch told of the same ones before."""
-        if told.watchers == self._watchers_changed:
+    def _changed_entries(self, cursor: WatchCursor) -> list[HostWatchRequest]:
+        """Return the entries, or none if they are unchanged for the watch."""
+        if cursor.watcher_changes == self._watcher_changes:
             return []
         return [one for one in self._watchers.values() if one.gossip_address]
 
@@ -262,14 +268,14 @@
         except GRPCError as exc:
             return Err(UnavailableError(str(exc.message), step='execute'))
 
-    async def _wait_for_newer(self, told: Told) -> None:
+    async def _wait_for_newer(self, cursor: WatchCursor) -> None:
         try:
-            async with asyncio.timeout(NEWS_EVERY_S), self._store.changed:
+            async with asyncio.timeout(UPDATE_INTERVAL_S), self._store.changed:
                 await self._store.changed.wait_for(
                     lambda: (
                         self._stopping
-                        or self._groups_changed != told.groups
-                        or self._is_newer(told.number, told.revision)
+                        or self._group_changes != cursor.group_changes
+                        or self._is_newer(cursor.number, cursor.revision)
                     ),
                 )
         except TimeoutError:
--- a/src/snipebend/transport/group_questions.py
+++ b/src/snipebend/transport/leader_client.py
@@ -1,4 +1,4 @@
-"""Asks the group's leader, wherever it is, until a deadline."""
+"""Sends commands and reads to the group's leader, with retries."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     ForwardRequest,
     ReadIndexRequest,
 )
-from snipebend.transport.letters import Answer, Ask
+from snipebend.transport.replica_messages import Answer, CoreRequest
 from snipebend.transport.methods import FORWARD, READ_INDEX
 
 if TYPE_CHECKING:
@@ -38,27 +38,26 @@
     from snipebend.transport.replica import Replica
     from snipebend.transport.rpc_clients import RpcClients
 
-#: Seconds that a command or a read may take before it is given up.
+#: Timeout in seconds of a command or read, including retries.
 DEADLINE_S = 4.0
 
-#: Seconds for one hop to the leader.
-HOP_S = 1.5
+#: Timeout in seconds of one call to the leader.
+HOP_TIMEOUT_S = 1.5
 
-#: Seconds before a refused question is asked again.
+#: Seconds before a failed attempt is retried.
 RETRY_DELAY_S = 0.05
 
 
-class GroupQuestions:
-    """Commands and reads, answered here on the leader or by one hop to it.
+class LeaderClient:
+    """Executes commands and reads on the leader, locally or by one call.
 
-    A question whose fate is unknown is asked again: each command may be
-    executed twice without harm.
+    A request with an unknown outcome is retried: all commands are idempotent.
     """
 
     def __init__(
         self, replica: Replica, clients: RpcClients, clock: Clock
     ) -> None:
-        """Keep this member and the way to the others."""
+        """Store the replica and the clients for calls to the leader."""
         self._replica = replica
         self._clients = clients
         self._clock = clock
@@ -68,77 +67,83 @@
     async def execute(
         self, command: Command
     ) -> Result[Reply, UnavailableError]:
-        """Have a command committed and executed."""
+        """Commit and execute a command."""
 
-        async def once(remaining: float) -> Answer:
+        async def attempt(remaining: float) -> Answer:
             if self._replica.leads:
                 return await self.propose(command, remaining)
             return await self._forward(command, remaining)
 
-        return await self._until_deadline(once)
+        return await self._until_deadline(attempt)
 
     async def read(self) -> Result[int, UnavailableError]:
-        """Wait until all is executed here that was committed before.
+        """Wait until all entries committed before the call are applied here.
 
-        ``confirmed_at`` becomes the time of the call: a quorum confirmed that
-        nothing newer had been committed by then.
+        Sets ``confirmed_at`` to the time of the call: a quorum has confirmed
+        that no later entry was committed by then.
         """
 
-        async def once(remaining: float) -> Answer:
+        async def attempt(remaining: float) -> Answer:
             if self._replica.leads:
                 return await self.read_index(remaining)
-            return await self._forward_read(remaining)
+            return await self._forward_read_index(remaining)
 
         began = self._clock.now()
-        index = await self._until_deadline(once)
+        index = await self._until_deadline(attempt)
         if index.is_err():
             return index
-        answer = await self._replica.executed(index.unwrap(), DEADLINE_S)
+        answer = await self._replica.wait_applied(index.unwrap(), DEADLINE_S)
         if answer.is_ok():
             self.confirmed_at = max(began, self.confirmed_at or began)
         return answer
 
     async def propose(self, command: Command, timeout: float) -> Answer:
-        """Propose a command here, with the time of this leader."""
+        """Propose a command on this leader, stamped with its wall time."""
         if self._replica.storage_error:
             reason = f'storage: {self._replica.storage_error}'
             return Err(UnavailableError(reason, step='propose'))
         stamped = structs.replace(command, at=self._clock.wall())
-        event = Proposed(self._key(), encode_command(stamped))
-        return await self._ask(event, timeout)
+        event = Proposed(self._next_key(), encode_command(stamped))
+        return await self._submit(event, timeout)
 
     async def read_index(self, timeout: float) -> Answer:
-        """Ask here for the index of a linearizable read."""
-        return await self._ask(ReadRequested(self._key()), timeout)
+        """Request the index of a linearizable read from this leader."""
+        return await self._submit(ReadRequested(self._next_key()), timeout)
 
     async def change_members(self, change: MembersChange) -> Answer:
-        """Propose one change of the members here."""
-        event = MembersProposed(self._key(), change)
-        return await self._ask(event, HOP_S)
-
-    async def take_forwarded(self, req: ForwardRequest) -> ForwardReply | None:
-        """Execute a follower's command; nothing when this is no leader."""
+        """Propose a membership change on this leader."""
+        event = MembersProposed(self._next_key(), change)
+        return await self._submit(event, HOP_TIMEOUT_S)
+
+    async def execute_forwarded(
+        self, req: ForwardRequest
+    ) -> ForwardReply | None:
+        """Execute a follower's command; return None if it isn't committed."""
         if not self._replica.leads:
             return None
         command = decode_command(req.command)
-        answer = await self.propose(command, HOP_S)
+        answer = await self.propose(command, HOP_TIMEOUT_S)
         if answer.is_err():
             return None
         return ForwardReply(msgpack.encode(answer.unwrap()))
 
-    async def _ask(
+    async def _submit(
         self,
         event: Proposed | MembersProposed | ReadRequested,
         timeout: float,
     ) -> Answer:
         fut: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        if not self._replica.offer(Ask(event, fut)):
-            return Err(UnavailableError('too many questions', step='ask'))
+        if not self._replica.offer(CoreRequest(event, fut)):
+            return Err(
+                UnavailableError('too many waiting messages', step='ask')
+            )
         try:
             async with asyncio.timeout(timeout):
                 return await fut
         except TimeoutError:
-            return Err(UnavailableError('no quorum in time', step='ask'))
+            return Err(
+                UnavailableError(f'no quorum within {timeout:g} s', step='ask')
+            )
 
     async def _forward(self, command: Command, remaining: float) -> Answer:
         leader = self._replica.leader_address
@@ -148,11 +153,11 @@
             leader,
             FORWARD,
             ForwardRequest(encode_command(command)),
-            timeout=min(HOP_S, remaining),
+            timeout=min(HOP_TIMEOUT_S, remaining),
         )
         return answer.map(lambda reply: decode_reply(command, reply.reply))
 
-    async def _forward_read(self, remaining: float) -> Answer:
+    async def _forward_read_index(self, remaining: float) -> Answer:
         leader = self._replica.leader_address
         if not leader:
             return Err(UnavailableError('no leader', step='read'))
@@ -160,21 +165,21 @@
             leader,
             READ_INDEX,
             ReadIndexRequest(),
-            timeout=min(HOP_S, remaining),
+            timeout=min(HOP_TIMEOUT_S, remaining),
         )
         return answer.map(lambda reply: reply.index)
 
     async def _until_deadline(
-        self, once: Callable[[float], Awaitable[Answer]]
+        self, attempt: Callable[[float], Awaitable[Answer]]
     ) -> Result[Any, UnavailableError]:
         deadline = self._clock.now() + DEADLINE_S
         while True:
-            answer = await once(deadline - self._clock.now())
+            answer = await attempt(deadline - self._clock.now())
             if answer.is_ok():
                 return Ok(answer.unwrap())
             if self._clock.now() + RETRY_DELAY_S >= deadline:
                 return answer
             await asyncio.sleep(RETRY_DELAY_S)
 
-    def _key(self) -> str:
+    def _next_key(self) -> str:
         return str(next(self._numbers))
--- a/src/snipebend/transport/map_orders.py
+++ b/src/snipebend/transport/map_orders.py
@@ -1,4 +1,4 @@
-"""Orders about expert maps, as the agent gives them to its engine."""
+"""Sends an agent's orders about expert maps to its engine."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
     from snipebend.transport.engine_client import EngineClient
     from snipebend.transport.orders_api import OrdersApi
 
-#: Seconds that an order about a map may take.
-MAP_ORDER_S = 5.0
+#: Seconds until the deadline of an order about an expert map.
+MAP_ORDER_TIMEOUT_S = 5.0
 
 
 class MapOrders:
-    """Writes the orders and passes them through the agent's gate."""
+    """Builds map orders and sends them through the agent's fence gate."""
 
     def __init__(self, orders: OrdersApi, clock: Clock) -> None:
-        """Keep the gate and the clock."""
+        """Store the orders service, which holds the gate, and the clock."""
         self.clock = clock
         self._orders = orders
 
     @property
     def engine(self) -> EngineClient:
-        """Return the engine, for questions that need no fence."""
+        """Return the engine's client, for queries that need no fence."""
         return self._orders.engine
 
     def fence(self, group: str) -> int:
-        """Return the highest fence known."""
+        """Return the highest known fence of a group."""
         return self._orders.gate.fence(group)
 
-    def learn(self, group: str, fence: int) -> None:
-        """Note the fence of an order that the guard has taken."""
+    def record_fence(self, group: str, fence: int) -> None:
+        """Record the fence of an order that the rank's guard has accepted."""
         self._orders.gate.record_fence(group, fence)
 
-    async def give(
+    async def send(
         self,
         group: str,
         fence: int,
         decision: SwitchDecision,
         action: MapAction,
     ) -> bool:
-        """Give an order; return whether the engine executed it."""
+        """Send an order; return whether the engine executed it."""
         order = EngineOrder(
             kind='expert-map',
             group=group,
             fence=fence,
-            deadline_at=self.clock.wall() + MAP_ORDER_S,
+            deadline_at=self.clock.wall() + MAP_ORDER_TIMEOUT_S,
             target=decision.digest,
             map_action=action,
             map_version=decision.stamp.map_version,
--- a/src/snipebend/transport/map_planning.py
+++ b/src/snipebend/transport/map_planning.py
@@ -1,4 +1,4 @@
-"""How the control leader gets its expert maps: the planner's interface."""
+"""The interface of expert map planners, and a round-robin planner."""
 
 from __future__ import annotations
 
@@ -17,23 +17,24 @@
 
 
 class Plan(NamedTuple):
-    """A map to switch to, or none, and the reason in either case.
+    """A map to switch to, or None, and the reason in either case.
 
-    ``skew`` is that of the map in force under the latest loads, 0 if unknown;
-    ``pace`` the share of the weight store's rate that the fetches may use.
+    ``skew`` is the skew of the map in force under the latest loads, 0 if
+    unknown. ``rate_share`` is the share of the weight store's rate that the
+    fetches may use.
     """
 
     placed: PlacedMap | None
     reason: str
     skew: float = 0
-    pace: float = 1
+    rate_share: float = 1
 
 
-class GroupFacts(NamedTuple):
-    """What a plan must heed beside the loads.
+class PlanningContext(NamedTuple):
+    """The inputs of a plan in addition to the loads.
 
-    ``now`` and ``store_free_at`` are wall time in seconds, ``utilisation`` is
-    the share of the group's capacity that serving uses now.
+    ``now`` and ``store_free_at`` are wall times in seconds. ``utilisation`` is
+    the share of the group's capacity in use.
     """
 
     now: float
@@ -43,30 +44,30 @@
 
 
 class MapPlanner(Protocol):
-    """Plans the maps of one group."""
+    """Plans the expert maps of one group."""
 
     def place(self, members: tuple[str, ...], version: int) -> Plan:
-        """Plan a map for new members."""
+        """Plan a map for a new set of members."""
 
     def rebalance(
         self,
         in_force: PlacedMap,
         loads: Mapping[str, ExpertLoadReply],
-        facts: GroupFacts,
+        context: PlanningContext,
     ) -> Plan:
-        """Plan a better map for the same members, from their loads."""
+        """Plan a better map for the same members from their loads."""
 
 
-class EvenPlanner:
-    """Deals the experts out in order and never rebalances."""
+class RoundRobinPlanner:
+    """Assigns the experts to slots in turn and never rebalances."""
 
     def __init__(self, group: Group) -> None:
-        """Keep the group's sizes."""
+        """Store the group, whose sizes determine the map."""
         self._group = group
 
     def place(self, members: tuple[str, ...], version: int) -> Plan:
-        """Fill the slots of each layer with all experts in turn."""
-        shape = shape_of(self._group, len(members))
+        """Fill the slots of each layer with the experts in turn."""
+        shape = build_shape(self._group, len(members))
         if shape.ranks * shape.slots < shape.experts:
             return Plan(None, 'the members lack slots for all experts')
         layer = np.arange(shape.ranks * shape.slots) % shape.experts
@@ -81,14 +82,14 @@
         self,
         in_force: PlacedMap,
         loads: Mapping[str, ExpertLoadReply],
-        facts: GroupFacts,
+        context: PlanningContext,
     ) -> Plan:
-        """Keep the map in force."""
+        """Plan no change."""
         return Plan(None, 'static')
 
 
-def shape_of(group: Group, ranks: int) -> GroupShape:
-    """Return a group's sizes for the ranks that are members."""
+def build_shape(group: Group, ranks: int) -> GroupShape:
+    """Return the shape of a group with the given number of ranks."""
     return GroupShape(
         ranks,
         group.experts,
--- a/src/snipebend/transport/repairs.py
+++ b/src/snipebend/transport/membership_manager.py
@@ -1,4 +1,7 @@
-"""The leader's work on members: takes in new disks, promotes learners."""
+"""Changes the members of a control group while this daemon is the leader.
+
+It adds members with new disks, promotes learners and removes failed members.
+"""
 
 from __future__ import annotations
 
@@ -20,69 +23,73 @@
 if TYPE_CHECKING:
     from snipebend.consensus.records import Member
     from snipebend.transport.group_messages import JoinRequest
-    from snipebend.transport.group_questions import GroupQuestions
+    from snipebend.transport.leader_client import LeaderClient
     from snipebend.transport.replica import Replica
     from snipebend.transport.rpc_clients import RpcClients
 
-#: Seconds between two looks at the learners.
-EVERY_S = 0.2
+#: Seconds between two checks of the members.
+CHECK_INTERVAL_S = 0.2
 
-#: Seconds for the check of who stands at an address.
+#: Timeout in seconds of the query for the identity at an address.
 HELLO_TIMEOUT_S = 1.0
 
 
-class Repairs:
-    """Changes the group one member at a time, from what is committed.
+class MembershipManager:
+    """Changes the group one member at a time, based on committed members.
 
-    Each step is decided from the members as they stand, so a new leader goes
-    on where the old one stopped.
+    Each step depends only on the current members, so a new leader continues
+    where the previous one stopped.
     """
 
     def __init__(
         self,
         replica: Replica,
-        questions: GroupQuestions,
+        leader_client: LeaderClient,
         names: frozenset[str] | None,
         clients: RpcClients,
     ) -> None:
-        """Keep the replica; only the listed names may join, if there are."""
+        """Store the replica; if ``names`` is set, only these may join."""
         self._replica = replica
-        self._questions = questions
+        self._leader_client = leader_client
         self._names = names
         self._clients = clients
 
     async def run(self) -> None:
-        """Promote learners that have caught up, until cancelled."""
+        """Promote learners and remove failed members, until cancelled."""
         while True:
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if self._replica.leads:
                 for learner in self._replica.status.members.learners:
                     await self._promote(learner)
                 if self._names is None:
-                    await self._remove_gone()
+                    await self._remove_failed()
 
     async def join(self, req: JoinRequest) -> JoinReply:
-        """Take in a member with a new disk in the place of its old identity.
+        """Add a member with a new disk in place of its previous identity.
 
-        The asker's address is called back, so that a late copy of an earlier
-        identity's request changes nothing.
+        The identity is verified by a call to the member's address, so that a
+        delayed request of a previous identity has no effect.
         """
         joiner = req.member
         if self._names is not None and joiner.name not in self._names:
-            return JoinReply(accepted=False, reason='not in the list')
-        if not await self._is_at_home(joiner):
-            return JoinReply(accepted=False, reason='another identity answers')
-        for old in self._namesakes(joiner):
+            return JoinReply(
+                accepted=False, reason=f'{joiner.name} is not a listed member'
+            )
+        if not await self._answers_at_address(joiner):
+            return JoinReply(
+                accepted=False, reason=f'{joiner.address} has another identity'
+            )
+        for old in self._same_name_members(joiner):
             logger.info('event=member_replaced member={}', old.member_id)
-            if not await self._change(RemoveMember(old.member_id)):
+            if not await self._propose_change(RemoveMember(old.member_id)):
                 return JoinReply(accepted=False, reason='not now')
-        if joiner in self._everybody():
+        if joiner in self._all_members():
             return JoinReply(accepted=True)
-        accepted = await self._change(AddLearner(joiner))
+        accepted = await self._propose_change(AddLearner(joiner))
         return JoinReply(accepted, '' if accepted else 'not now')
 
     async def _promote(self, learner: Member) -> None:
-        if not await self._change(PromoteLearner(learner.member_id)):
+        if not await self._propose_change(PromoteLearner(learner.member_id)):
             return
         logger.info(
             'event=repair_done name={} member={}',
@@ -90,19 +97,19 @@
             learner.member_id,
         )
 
-    async def _remove_gone(self) -> None:
+    async def _remove_failed(self) -> None:
         members = self._replica.status.members
         gone = find_failed_member(members, self._replica.contact_ages())
         if gone is None:
             return
-        if await self._change(RemoveMember(gone.member_id)):
+        if await self._propose_change(RemoveMember(gone.member_id)):
             logger.info(
                 'event=member_removed name={} member={}',
                 gone.name,
                 gone.member_id,
             )
 
-    async def _is_at_home(self, member: Member) -> bool:
+    async def _answers_at_address(self, member: Member) -> bool:
         answer = await self._clients.call(
             member.address,
             HELLO,
@@ -111,18 +118,18 @@
         )
         return answer.is_ok() and answer.unwrap().member == member
 
-    async def _change(self, change: MembersChange) -> bool:
-        answer = await self._questions.change_members(change)
+    async def _propose_change(self, change: MembersChange) -> bool:
+        answer = await self._leader_client.change_members(change)
         return answer.is_ok()
 
-    def _namesakes(self, joiner: Member) -> list[Member]:
+    def _same_name_members(self, joiner: Member) -> list[Member]:
         return [
             member
-            for member in self._everybody()
+            for member in self._all_members()
             if member.name == joiner.name
             and member.member_id != joiner.member_id
         ]
 
-    def _everybody(self) -> tuple[Member, ...]:
+    def _all_members(self) -> tuple[Member, ...]:
         members = self._replica.status.members
         return members.voters + members.learners
--- a/src/snipebend/transport/methods.py
+++ b/src/snipebend/transport/methods.py
@@ -1,4 +1,4 @@
-"""The methods that our processes call on each other."""
+"""The gRPC methods of the control daemons."""
 
 from __future__ import annotations
 
--- a/src/snipebend/transport/orders_api.py
+++ b/src/snipebend/transport/orders_api.py
@@ -1,4 +1,4 @@
-"""The agent's gRPC interface for orders to the engine beside it."""
+"""The agent's gRPC service for orders to its engine."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class OrdersApi(Service):
-    """Checks the fence of each order and passes it on, one at a time.
+    """Checks the fence of each order and forwards one order at a time.
 
-    Orders to an engine that ignores fences must not overtake each other, so
-    the engine is given the next one only when the last has been answered or
-    its deadline has passed.
+    Orders to an engine that ignores fences must not overtake each other.
+    Therefore the next order is sent only after the engine has replied to the
+    previous one or its deadline has passed.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         )
 
     async def start(self, registry: Registry) -> None:
-        """Find the HTTP client; no fence is known yet."""
+        """Create the engine's client; fences are read with the first orders."""
         self._clock = registry.clock
         self.engine = EngineClient(
             self._engine_address,
@@ -60,11 +60,11 @@
         )
 
     def dump(self) -> Mapping[str, object]:
-        """Return the fences known."""
+        """Return the known fences."""
         return {'fences': self.gate.fences()}
 
     async def order(self, req: EngineOrder) -> OrderReply:
-        """Execute an order, or refuse it without any effect."""
+        """Execute an order, or refuse it without effect."""
         await self.read_fence(req.group)
         async with self._lock:
             now = self._clock.wall()
@@ -88,7 +88,7 @@
         return reply
 
     async def read_fence(self, group: str) -> None:
-        """Read the group's fence from a quorum, once in this process."""
+        """Read the group's fence from a quorum, unless it is already known."""
         if self.gate.has_fence(group):
             return
         fence = await self._reader.fence(group)
@@ -96,7 +96,7 @@
             self.gate.record_fence(group, fence.unwrap())
 
     async def expert_load(self, req: ExpertLoadQuery) -> ExpertLoadReply:
-        """Return the engine's counts since the last question."""
+        """Return the engine's expert counts since the previous query."""
         answer = await self.engine.expert_load()
         if answer.is_err():
             raise GRPCError(Status.UNAVAILABLE, str(answer.unwrap_err()))
--- a/src/snipebend/transport/peer_links.py
+++ b/src/snipebend/transport/peer_links.py
@@ -1,4 +1,4 @@
-"""Sends the messages of log replication, over one open call to each peer."""
+"""Sends Raft messages to peers over one streaming call per peer."""
 
 from __future__ import annotations
 
@@ -20,39 +20,41 @@
     from snipebend.consensus.records import Member
     from snipebend.kernel.tasks import TaskSupervisor
 
-#: Messages that wait for a peer; the oldest are dropped, as on a bad network.
+#: Maximum number of messages waiting for a peer. Beyond it the oldest are
+#: dropped, which Raft tolerates like loss on the network.
 MAX_WAITING = 512
 
-#: Messages in one delivery.
+#: Maximum number of messages in one delivery.
 MAX_BATCH = 32
 
-#: Seconds before a lost peer is tried again.
+#: Seconds before the call to a lost peer is opened again.
 RETRY_DELAY_S = 0.1
 
-#: A connection gone silent is noticed after two such times, in seconds.
+#: Interval and timeout of pings in seconds. An unresponsive connection is
+#: detected after twice this time.
 PING_S = 0.5
 
 
 class PeerLink:
-    """The messages to one peer and the task that sends them."""
+    """The queue of messages to one peer and the task that sends them."""
 
     def __init__(
-        self, own_address: str, address: str, clients: RpcClients
+        self, local_address: str, address: str, clients: RpcClients
     ) -> None:
-        """Keep both addresses; the peer's may change."""
+        """Store both addresses; the peer's may change later."""
         self.address = address
-        self._own_address = own_address
+        self._local_address = local_address
         self._clients = clients
         self._waiting: deque[Envelope] = deque(maxlen=MAX_WAITING)
-        self._filled = asyncio.Event()
+        self._has_waiting = asyncio.Event()
 
     def put(self, envelope: Envelope) -> None:
         """Queue a message."""
         self._waiting.append(envelope)
-        self._filled.set()
+        self._has_waiting.set()
 
     async def run(self) -> None:
-        """Send until cancelled; a lost connection is opened again."""
+        """Send messages until cancelled; reopen lost connections."""
         while True:
             try:
                 await self._clients.feed(
@@ -64,32 +66,35 @@
 
     async def _deliveries(self) -> AsyncIterator[Delivery]:
         while True:
-            await self._filled.wait()
+            await self._has_waiting.wait()
             size = min(len(self._waiting), MAX_BATCH)
             batch = tuple(self._waiting.popleft() for _ in range(size))
             if not self._waiting:
-                self._filled.clear()
-            yield Delivery(self._own_address, batch)
+                self._has_waiting.clear()
+            yield Delivery(self._local_address, batch)
 
 
 class PeerLinks:
-    """All peers by their identities, whose addresses are learnt."""
+    """The links to all peers by member identity.
 
-    def __init__(self, own: Member, tasks: TaskSupervisor) -> None:
-        """Start with no peers."""
-        self._own = own
+    Addresses come from the lists of members and from received messages.
+    """
+
+    def __init__(self, local_member: Member, tasks: TaskSupervisor) -> None:
+        """Start without peers."""
+        self._local_member = local_member
         self._tasks = tasks
         self._clients = RpcClients(PING_S, PING_S)
         self._addresses: dict[str, str] = {}
         self._links: dict[str, PeerLink] = {}
 
-    def learn(self, members: Iterable[Member]) -> None:
-        """Take over addresses from a list of members."""
+    def update_members(self, members: Iterable[Member]) -> None:
+        """Update the addresses of the given members."""
         for member in members:
-            self.learn_address(member.member_id, member.address)
+            self.update_address(member.member_id, member.address)
 
-    def learn_address(self, member_id: str, address: str) -> None:
-        """Take over the address of one member."""
+    def update_address(self, member_id: str, address: str) -> None:
+        """Update the address of one member."""
         self._addresses[member_id] = address
         link = self._links.get(member_id)
         if link is not None and link.address != address:
@@ -97,7 +102,7 @@
             link.address = address
 
     def send(self, envelope: Envelope) -> bool:
-        """Send a message; return False when its target is unknown."""
+        """Queue a message; return False if its target's address is unknown."""
         link = self._links.get(envelope.target)
         if link is None:
             link = self._open(envelope.target)
@@ -114,7 +119,7 @@
         address = self._addresses.get(member_id)
         if address is None:
             return None
-        link = PeerLink(self._own.address, address, self._clients)
+        link = PeerLink(self._local_member.address, address, self._clients)
         self._links[member_id] = link
         self._tasks.start(f'peer-{member_id}', link.run)
         return link
--- a/src/snipebend/transport/policy_planner.py
+++ b/src/snipebend/transport/policy_planner.py
@@ -1,4 +1,4 @@
-"""Plans maps by the policy of the fleet file's weights."""
+"""Plans expert maps by the rebalancing policy and the fleet file's weights."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from snipebend.experts.policy import Change, DecisionContext, Keep, Policy
 from snipebend.experts.skew import relative_loads, step_skew
 from snipebend.experts.switch_cost import PlacedMap
-from snipebend.transport.map_planning import Plan, shape_of
+from snipebend.transport.map_planning import Plan, build_shape
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -22,25 +22,28 @@
     from snipebend.experts.estimate import LoadEstimate
     from snipebend.fleet.model import Fleet, Group, Weights
     from snipebend.orders.expert_load import ExpertLoadReply
-    from snipebend.transport.map_planning import GroupFacts
+    from snipebend.transport.map_planning import PlanningContext
 
-#: Steps after which a report counts half.
+#: Half-life, in steps, of the weight of a load report.
 HALF_LIFE_STEPS = 2000
 
 
 class PolicyPlanner:
-    """Keeps one group's estimate and policy while its members stay."""
+    """Plans with one load estimate and policy per group.
+
+    Both are reset when the members change.
+    """
 
     def __init__(self, group: Group, weights: Weights) -> None:
-        """Begin without reports."""
+        """Start without load reports."""
         self._group = group
         self._weights = weights
-        self._begin(group.ranks)
+        self._reset(group.ranks)
 
     def place(self, members: tuple[str, ...], version: int) -> Plan:
-        """Place from scratch, by the loads known so far."""
+        """Place all experts from scratch, by the estimated loads."""
         shares = self._estimator.estimate().shares
-        self._begin(len(members))
+        self._reset(len(members))
         loads = relative_loads(shares, len(members))
         try:
             placed = place_from_scratch(self._shape, loads, version)
@@ -52,11 +55,11 @@
         self,
         in_force: PlacedMap,
         loads: Mapping[str, ExpertLoadReply],
-        facts: GroupFacts,
+        context: PlanningContext,
     ) -> Plan:
-        """Ask the policy whether a change pays."""
+        """Record the loads and let the policy decide on a change."""
         if len(in_force.members) != self._shape.ranks:
-            self._begin(len(in_force.members))
+            self._reset(len(in_force.members))
         for number, rank in enumerate(in_force.members):
             load = loads.get(rank)
             if load is not None:
@@ -65,7 +68,7 @@
         skew = self._skew(estimate, in_force)
         budget = StoreBudget(
             self._group.store_bytes_per_s,
-            facts.store_free_at,
+            context.store_free_at,
         )
         steps = [load.step for load in loads.values()]
         decision = self._policy.decide(
@@ -73,22 +76,22 @@
             in_force.expert_map,
             DecisionContext(
                 max(steps, default=estimate.step),
-                facts.changed_at_step,
-                facts.utilisation,
+                context.changed_at_step,
+                context.utilisation,
                 budget,
             ),
-            facts.now,
+            context.now,
         )
         match decision:
             case Keep(reason):
                 return Plan(None, reason, skew)
             case Change(expert_map=expert_map, reason=reason):
                 placed = PlacedMap(in_force.members, expert_map)
-                pace = decision.bytes_per_s / budget.bytes_per_s
-                return Plan(placed, reason, skew, pace)
+                rate_share = decision.bytes_per_s / budget.bytes_per_s
+                return Plan(placed, reason, skew, rate_share)
 
-    def _begin(self, ranks: int) -> None:
-        self._shape = shape_of(self._group, ranks)
+    def _reset(self, ranks: int) -> None:
+        self._shape = build_shape(self._group, ranks)
         self._estimator = LoadEstimator(self._shape, HALF_LIFE_STEPS)
         self._policy = Policy(
             self._shape,
@@ -120,5 +123,5 @@
 
 
 def plan_by_policy(group: Group, fleet: Fleet) -> PolicyPlanner:
-    """Make the planner of a group, with the fleet's weights."""
+    """Create the planner of a group with the fleet's weights."""
     return PolicyPlanner(group, fleet.weights)
--- a/src/snipebend/transport/rank_api.py
+++ b/src/snipebend/transport/rank_api.py
@@ -1,4 +1,4 @@
-"""The agent's gRPC interface for expert map switches on its rank."""
+"""The agent's gRPC service for expert map switches on its rank."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     from snipebend.kernel.registry import Registry
     from snipebend.transport.fence_reader import FenceReader
 
-#: Seconds between two ticks of the guards.
+#: Seconds between two ticks of the rank guards.
 TICK_S = 0.1
 
 
 class RankApi(Service):
-    """Runs one guard for each group that orders this rank."""
+    """Runs a ``RankSwitch`` for each group that sends orders to this rank."""
 
     def __init__(
         self,
@@ -43,32 +43,34 @@
         self._reader = reader
         self._switches: dict[str, RankSwitch] = {}
         server.add(
-            Endpoint(PREPARE, self.take_order),
-            Endpoint(ACTIVATE, self.take_order),
-            Endpoint(RANK_STATUS, self.take_order),
+            Endpoint(PREPARE, self.handle_order),
+            Endpoint(ACTIVATE, self.handle_order),
+            Endpoint(RANK_STATUS, self.handle_order),
         )
 
     async def start(self, registry: Registry) -> None:
-        """Find the orders' gate; a new life begins without promises."""
+        """Look up the orders service; promises of an earlier run are lost."""
         self._tasks = registry.tasks
         self._orders = registry.find('orders', OrdersApi)
         self._maps = MapOrders(self._orders, registry.clock)
-        self._tasks.start('rank-ticks', self._tick_for_ever)
+        self._tasks.start('rank-ticks', self._run_ticks)
 
     def dump(self) -> Mapping[str, object]:
-        """Return each guard's stamps and promise."""
+        """Return each group's guard with its stamps and promise."""
         return {
             group: switch.dump() for group, switch in self._switches.items()
         }
 
-    async def take_order(self, order: RankOrder) -> RankReport:
-        """Let the group's guard take an order; return its report."""
+    async def handle_order(self, order: RankOrder) -> RankReport:
+        """Let the group's guard handle an order; return its report."""
         await self._orders.read_fence(order.group)
         if not self._orders.gate.has_fence(order.group):
-            raise GRPCError(Status.UNAVAILABLE, 'the fence is not known yet')
-        return await self._find(order.group).take_order(order)
+            raise GRPCError(
+                Status.UNAVAILABLE, f'fence of group {order.group} is unknown'
+            )
+        return await self._find_switch(order.group).handle_order(order)
 
-    def _find(self, group: str) -> RankSwitch:
+    def _find_switch(self, group: str) -> RankSwitch:
         if group not in self._switches:
             self._switches[group] = RankSwitch(
                 group,
@@ -79,7 +81,7 @@
             )
         return self._switches[group]
 
-    async def _tick_for_ever(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             for switch in tuple(self._switches.values()):
                 switch.handle_event(Tick())
--- a/src/snipebend/transport/rank_methods.py
+++ b/src/snipebend/transport/rank_methods.py
@@ -1,4 +1,7 @@
-"""The methods that the control leader calls on agents, and its status."""
+"""The gRPC methods for expert map switches.
+
+The control leader calls them on agents; operators query its group status.
+"""
 
 from __future__ import annotations
 
--- a/src/snipebend/transport/rank_switch.py
+++ b/src/snipebend/transport/rank_switch.py
@@ -1,4 +1,4 @@
-"""One rank's guard and its engine: actions become orders, in one place."""
+"""Connects a rank's guard with its engine, to which it sends orders."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     from snipebend.transport.fence_reader import FenceReader
     from snipebend.transport.map_orders import MapOrders
 
-#: Seconds before an order that the engine did not execute is sent again.
-RETRY_S = 0.5
+#: Seconds before an order that the engine didn't execute is sent again.
+RETRY_INTERVAL_S = 0.5
 
 _MS_PER_S = 1000
 
@@ -44,7 +44,7 @@
 
 
 class RankSwitch:
-    """Guards one rank in one group for as long as the agent lives."""
+    """Runs the guard of one rank in one group for the agent's lifetime."""
 
     def __init__(
         self,
@@ -54,36 +54,37 @@
         reader: FenceReader,
         tasks: TaskSupervisor,
     ) -> None:
-        """Begin the first life; the group's fence was read before."""
+        """Start the first guard; the group's fence must already be known."""
         self._group = group
         self._rank = rank
         self._maps = maps
         self._reader = reader
         self._tasks = tasks
         self._rng = Random()
-        self._observing = asyncio.Lock()
-        self._following = asyncio.Lock()
-        self._begin_life()
+        self._observe_lock = asyncio.Lock()
+        self._activation_lock = asyncio.Lock()
+        self._start_guard()
 
-    async def take_order(self, order: RankOrder) -> RankReport:
-        """Let the guard take an order; return its report."""
-        await self._observe()
+    async def handle_order(self, order: RankOrder) -> RankReport:
+        """Let the guard handle an order; return its report."""
+        await self._observe_engine()
         if isinstance(order, Prepare):
-            # The engine must hear of each hold step, weights or not.
+            # The engine must receive each hold step, even if it already holds
+            # the weights.
             self.guard.promise.fetched.clear()
         self.handle_event(OrderReceived(order))
-        await self._follow()
+        await self._apply_decision()
         return self.guard.report(refused=self.guard.is_stale(order.fence))
 
     def handle_event(self, event: RankEvent) -> None:
-        """Let the guard handle an event and begin what it asks for."""
+        """Let the guard handle an event and start the resulting actions."""
         now = self._maps.clock.now()
         for action in self.guard.step(event, now, self._rng):
-            self._act(action)
-        self._maps.learn(self._group, self.guard.fence)
+            self._execute(action)
+        self._maps.record_fence(self._group, self.guard.fence)
 
     def dump(self) -> dict[str, object]:
-        """Return stamps, promise and fence."""
+        """Return the guard's fence, stamps and promise."""
         return {
             'life': self.guard.life,
             'fence': self.guard.fence,
@@ -92,19 +93,20 @@
             'hold_step': self.guard.promise.hold_step,
         }
 
-    def _begin_life(self) -> None:
+    def _start_guard(self) -> None:
         life = int(self._maps.clock.wall() * _MS_PER_S)
         fence = self._maps.fence(self._group)
         self.guard = RankGuard(self._rank, life, fence, EngineSteps)
-        self._held: SwitchDecision | None = None
+        self._fetched_decision: SwitchDecision | None = None
         self._activated = MapStamp()
 
-    async def _observe(self) -> None:
-        """Follow the engine's step; a restarted engine begins a new life.
+    async def _observe_engine(self) -> None:
+        """Update the guard with the engine's step.
 
-        Answers must not overtake each other: an older one looks like a restart.
+        If the engine has restarted, start a new guard. Replies must not
+        overtake each other, because an older one looks like a restart.
         """
-        async with self._observing:
+        async with self._observe_lock:
             answer = await self._maps.engine.rank_state()
             if answer.is_err():
                 raise GRPCError(Status.UNAVAILABLE, str(answer.unwrap_err()))
@@ -115,71 +117,78 @@
             return
         if not steps.observe(state.step, stamp):
             logger.warning('event=engine_restarted group={}', self._group)
-            self._begin_life()
+            self._start_guard()
 
-    def _act(self, action: RankAction) -> None:
+    def _execute(self, action: RankAction) -> None:
         order = self.guard.promise.fetching
         guard = self.guard
         if isinstance(action, FetchWeights) and order is not None:
-            self._tasks.once('fetch', lambda: self._fetch(guard, order))
+            self._tasks.once('fetch', lambda: self._fetch_weights(guard, order))
         elif isinstance(action, QueryDecision):
-            self._tasks.once('ask-decision', lambda: self._ask(guard))
+            self._tasks.once(
+                'ask-decision', lambda: self._query_decision(guard)
+            )
 
-    async def _fetch(self, guard: RankGuard, order: Prepare) -> None:
-        """Have the engine fetch weights, not before the store's schedule."""
+    async def _fetch_weights(self, guard: RankGuard, order: Prepare) -> None:
+        """Order the engine to fetch weights at the time of the schedule."""
         wait_s = order.fetch_at - self._maps.clock.wall()
         await asyncio.sleep(max(wait_s, 0))
         while self.guard is guard and guard.promise.fetching is order:
-            if await self._give(order.decision, 'prepare'):
-                self._held = order.decision
-                await self._observe()
+            if await self._send_order(order.decision, 'prepare'):
+                self._fetched_decision = order.decision
+                await self._observe_engine()
                 if self.guard is guard:
                     self.handle_event(WeightsFetched(order.decision.digest))
                 return
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _ask(self, guard: RankGuard) -> None:
+    async def _query_decision(self, guard: RankGuard) -> None:
         record = await self._reader.record(self._group)
         if record.is_ok() and self.guard is guard:
             order = Activate(self._group, guard.fence, record.unwrap())
             self.handle_event(OrderReceived(order))
-            await self._follow()
+            await self._apply_decision()
 
-    async def _follow(self) -> None:
-        """Tell the engine of a decision before anybody hears that it is known.
+    async def _apply_decision(self) -> None:
+        """Send a decision to the engine before a report shows it as known.
 
         Raises:
-            GRPCError: when the engine did not take it; the order comes again.
+            GRPCError: when the engine didn't execute it; the coordinator then
+                repeats its order.
         """
-        async with self._following:
+        async with self._activation_lock:
             await self._activate()
-            await self._release()
+            await self._abort_if_released()
 
     async def _activate(self) -> None:
         decision = self.guard.promise.pending or self.guard.runner.in_force
         if decision is not None and self._activated != decision.stamp:
-            await self._tell(decision, *_SWITCH_ACTIONS)
+            await self._send_actions(decision, *_SWITCH_ACTIONS)
             self._activated = decision.stamp
 
-    async def _release(self) -> None:
-        """Let the engine go on if the map that it holds for was aborted."""
-        held = self._held
-        if held is None or self.guard.promise.hold_step is not None:
+    async def _abort_if_released(self) -> None:
+        """Order the engine to continue if its pending map was aborted."""
+        fetched = self._fetched_decision
+        if fetched is None or self.guard.promise.hold_step is not None:
             return
-        if held.stamp != self.guard.promise.installed:
-            await self._tell(held, 'abort')
-        if self._held is held:
-            self._held = None
+        if fetched.stamp != self.guard.promise.installed:
+            await self._send_actions(fetched, 'abort')
+        if self._fetched_decision is fetched:
+            self._fetched_decision = None
 
-    async def _tell(
+    async def _send_actions(
         self,
         decision: SwitchDecision,
         *actions: MapAction,
     ) -> None:
         for action in actions:
-            if not await self._give(decision, action):
-                raise GRPCError(Status.UNAVAILABLE, f'engine: no {action}')
-
-    async def _give(self, decision: SwitchDecision, action: MapAction) -> bool:
+            if not await self._send_order(decision, action):
+                raise GRPCError(
+                    Status.UNAVAILABLE, f'engine did not execute {action}'
+                )
+
+    async def _send_order(
+        self, decision: SwitchDecision, action: MapAction
+    ) -> bool:
         fence = self.guard.fence
-        return await self._maps.give(self._group, fence, decision, action)
+        return await self._maps.send(self._group, fence, decision, action)
--- a/src/snipebend/transport/replica.py
+++ b/src/snipebend/transport/replica.py
@@ -1,4 +1,4 @@
-"""The task that owns the core of log replication and the state machine."""
+"""The task that owns the Raft core and the state machine."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from snipebend.kernel.mailbox import Mailbox
 from snipebend.transport.applier import Applier
 from snipebend.transport.control_meters import ReplicaMeters
-from snipebend.transport.effects import Effects
-from snipebend.transport.letters import (
-    Ask,
-    Letter,
+from snipebend.transport.action_executor import ActionExecutor
+from snipebend.transport.replica_messages import (
+    CoreRequest,
+    ReplicaMessage,
     SnapshotReplaced,
     SnapshotSaved,
     StorageBlocked,
     StorageFailed,
-    StorageFree,
-    Tell,
+    StorageUnblocked,
+    CoreEvent,
 )
-from snipebend.transport.questions import Questions
+from snipebend.transport.pending_requests import PendingRequests
 from snipebend.transport.storage_writer import StorageWriter
 
 if TYPE_CHECKING:
@@ -39,63 +39,63 @@
     from snipebend.consensus.core import CoreStatus
     from snipebend.consensus.storage import Storage, StoredState
     from snipebend.kernel.clock import Clock
-    from snipebend.transport.letters import Answer
+    from snipebend.transport.replica_messages import Answer
     from snipebend.transport.peer_links import PeerLinks
 
-#: Letters that may wait before those of peers and callers are dropped.
-BUSY_LETTERS = 10_000
+#: Number of waiting messages from which those of peers and callers are dropped.
+MAX_WAITING_MESSAGES = 10_000
 
 _CAPACITY = 1_000_000
 
 
 class Replica:
-    """Steps the core with the letters of other tasks.
+    """Steps the core with the messages of other tasks.
 
-    ``notify`` is called whenever something that watchers follow has changed.
+    ``notify`` is called whenever a watched part of the state has changed.
     """
 
     def __init__(
         self,
         cfg: CoreConfig,
-        opened: StoredState,
+        stored: StoredState,
         storage: Storage,
         clock: Clock,
         links: PeerLinks,
         snapshot_every: int,
         notify: Callable[[], None],
-        began_at: float,
+        process_started_at: float,
     ) -> None:
-        """Restore core and machine from what the disk held.
+        """Restore the core and the state machine from the data folder.
 
-        ``began_at`` is when this process began, by the clock.
+        ``process_started_at`` is the time on ``clock`` when this process started.
         """
         self._clock = clock
         self._notify = notify
-        # Spreads elections only; nobody gains by guessing it.
+        # Only spreads election timeouts; need not be unpredictable.
         self._rng = random.Random()
-        self._letters: Mailbox[Letter] = Mailbox(_CAPACITY)
+        self._messages: Mailbox[ReplicaMessage] = Mailbox(_CAPACITY)
         self.links = links
         self.storage_error = ''
         meters = ReplicaMeters()
         self.writer = StorageWriter(storage, self.post, meters)
-        self.questions = Questions()
-        meta = opened.restored.snapshot
+        self.pending = PendingRequests()
+        meta = stored.restored.snapshot
         start = meta.index if meta else 0
-        self.applier = Applier(opened.payload, start, snapshot_every)
+        self.applier = Applier(stored.payload, start, snapshot_every)
         self._core = Core(
             cfg,
-            opened.member_id,
-            opened.restored,
+            stored.member_id,
+            stored.restored,
             clock.now(),
             self._rng,
-            began_at,
+            process_started_at,
         )
-        self._effects = Effects(
+        self._executor = ActionExecutor(
             self._core,
             links,
             self.writer,
             self.applier,
-            self.questions,
+            self.pending,
             meters,
         )
 
@@ -106,89 +106,91 @@
 
     @property
     def has_lease(self) -> bool:
-        """Tell whether this member leads and nobody else can."""
+        """Return whether this member holds the leader lease."""
         return self._clock.now() < self._core.lease_until()
 
     def contact_ages(self) -> dict[str, float]:
-        """Return, on the leader, the others' silences in seconds."""
+        """Return, on the leader, the seconds since contact with each member."""
         return self._core.contact_ages()
 
     @property
     def leads(self) -> bool:
-        """Tell whether this member leads, as far as it knows."""
+        """Return whether this member is the leader, as far as it knows."""
         return self.status.role is Role.LEADER
 
     @property
     def leader_address(self) -> str:
-        """Return where the leader answers; empty: not known."""
+        """Return the leader's address; empty if it is unknown."""
         leader = self.status.leader
         return leader.address if leader else ''
 
-    async def executed(self, index: int, timeout: float) -> Answer:
-        """Wait until an index is executed here."""
-        return await self.questions.wait(index, self.applier.index, timeout)
+    async def wait_applied(self, index: int, timeout: float) -> Answer:
+        """Wait until an index is applied here."""
+        return await self.pending.wait(index, self.applier.index, timeout)
 
-    def post(self, letter: Letter) -> None:
-        """Send a letter that must not get lost."""
-        self._letters.post(letter)
+    def post(self, message: ReplicaMessage) -> None:
+        """Queue a message that must not be lost."""
+        self._messages.post(message)
 
-    def offer(self, letter: Letter) -> bool:
-        """Send a letter that may be dropped when too many wait."""
-        if len(self._letters) >= BUSY_LETTERS:
+    def offer(self, message: ReplicaMessage) -> bool:
+        """Queue a message, or drop it and return False if too many wait."""
+        if len(self._messages) >= MAX_WAITING_MESSAGES:
             return False
-        return self._letters.post(letter)
+        return self._messages.post(message)
 
     async def run(self) -> None:
-        """Work until cancelled, or until the state can't be trusted."""
+        """Handle messages until cancelled, or until the state is corrupt."""
         try:
             while True:
                 self._step(await self._collect())
         except CorruptionError as exc:
             logger.critical('event=replica_failed error={!r}', str(exc))
             self.storage_error = str(exc)
-            self.questions.fail_all(str(exc))
+            self.pending.fail_all(str(exc))
 
-    async def _collect(self) -> list[Letter]:
-        letters = [await self._letters.receive()]
-        while len(self._letters):
-            letters.append(await self._letters.receive())
-        return letters
+    async def _collect(self) -> list[ReplicaMessage]:
+        messages = [await self._messages.receive()]
+        while len(self._messages):
+            messages.append(await self._messages.receive())
+        return messages
 
-    def _step(self, letters: list[Letter]) -> None:
-        news = self.applier.news
+    def _step(self, messages: list[ReplicaMessage]) -> None:
+        previous = self.applier.watched_revisions
         events: list[Event] = []
-        for letter in letters:
-            events.extend(self._to_events(letter))
+        for message in messages:
+            events.extend(self._to_core_events(message))
         actions = self._core.step_all(events, self._clock.now(), self._rng)
-        self._effects.carry_out(actions)
-        if self.applier.news != news:
+        self._executor.execute(actions)
+        if self.applier.watched_revisions != previous:
             self._notify()
 
-    def _to_events(self, letter: Letter) -> list[Event]:
-        match letter:
-            case Tell(event):
+    def _to_core_events(self, message: ReplicaMessage) -> list[Event]:
+        match message:
+            case CoreEvent(event):
                 return [event]
-            case Ask(event, _):
-                self.questions.add(letter)
+            case CoreRequest(event, _):
+                self.pending.add(message)
                 return [event]
             case SnapshotReplaced(snapshot):
                 self.applier.replace(snapshot)
                 return [SnapshotInstalled(snapshot.meta.index)]
-            case SnapshotSaved(keep):
-                return self._drop_log(keep)
+            case SnapshotSaved(truncate_to):
+                return self._compact_log(truncate_to)
             case StorageBlocked(reason):
-                # Another member with room on its disk should lead.
+                # A member that can write to its disk should be the leader.
                 self.storage_error = reason
                 return [HandOver()]
-            case StorageFree():
+            case StorageUnblocked():
                 self.storage_error = ''
                 return []
             case StorageFailed(error):
                 raise error
 
-    def _drop_log(self, keep: int) -> list[Event]:
-        """Let the core forget what a snapshot covers, if it still has it."""
-        term = self._core.term_at(keep)
-        if term is None or not keep:
+    def _compact_log(self, truncate_to: int) -> list[Event]:
+        """Let the core drop the log up to ``truncate_to``, if it has it."""
+        term = self._core.term_at(truncate_to)
+        if term is None or not truncate_to:
             return []
-        return [SnapshotTaken(keep, term, self._core.members_at(keep))]
+        return [
+            SnapshotTaken(truncate_to, term, self._core.members_at(truncate_to))
+        ]
--- a/src/snipebend/transport/letters.py
+++ b/src/snipebend/transport/replica_messages.py
@@ -1,4 +1,4 @@
-"""What other tasks tell the one that owns the core and the state machine."""
+"""Messages to the task that owns the Raft core and the state machine."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 from snipebend.consensus.snapshot_file import Snapshot
 from snipebend.errors.hierarchy import CorruptionError, UnavailableError
 
-#: The answer to a question: a reply, or an index for reads and members.
+#: The outcome of a request: the command's reply, or an index for reads and
+#: membership changes.
 Answer = Result[Any, UnavailableError]
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A question to the core; the future gets the answer."""
+class CoreRequest:
+    """A request to the core; its outcome is set on the future."""
 
     event: Proposed | MembersProposed | ReadRequested
     answer: Future[Answer]
 
     @property
     def key(self) -> str:
-        """Return the name under which the core answers."""
+        """Return the identifier that the core's outcome carries."""
         match self.event:
             case ReadRequested(read_id):
                 return read_id
@@ -39,51 +40,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """An event that needs no answer."""
+class CoreEvent:
+    """An event for the core without an outcome."""
 
     event: Event
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotSaved:
-    """The machine's own snapshot is synced; the log may go up to ``keep``."""
+    """A snapshot of this replica is synced.
 
-    keep: int
+    The log can be truncated up to the index ``truncate_to``.
+    """
+
+    truncate_to: int
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReplaced:
-    """A leader's snapshot is synced in place of snapshot and log."""
+    """A snapshot from the leader has replaced the stored snapshot and log."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class StorageBlocked:
-    """A write failed and is tried again, on a full disk for instance."""
+    """A write failed, for instance on a full disk, and is being retried."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class StorageFree:
+class StorageUnblocked:
     """Writes succeed again."""
 
 
 @dataclass(frozen=True, slots=True)
 class StorageFailed:
-    """The files can't be trusted any more."""
+    """The stored files are corrupt, so the replica must stop."""
 
     error: CorruptionError
 
 
-Letter = (
-    Ask
-    | Tell
+ReplicaMessage = (
+    CoreRequest
+    | CoreEvent
     | SnapshotSaved
     | SnapshotReplaced
     | StorageBlocked
-    | StorageFree
+    | StorageUnblocked
     | StorageFailed
 )
--- a/src/snipebend/transport/replica_view.py
+++ b/src/snipebend/transport/replica_view.py
@@ -1,4 +1,4 @@
-"""What the expert service looks at: this replica's fleet and directory."""
+"""This control daemon's leadership, fleet and directory for expert maps."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 if TYPE_CHECKING:
     from snipebend.fleet.model import Fleet
     from snipebend.membership.messages import Announcement
-    from snipebend.transport.directory_api import DirectoryKeeper
+    from snipebend.transport.directory_api import DirectoryApi
     from snipebend.transport.replicated_state import ReplicatedState
 
 
 class ReplicaView:
-    """Parses the configuration once for each revision."""
+    """Gives the expert service access to the state of this daemon.
+
+    The configuration is parsed once per revision.
+    """
 
     def __init__(
         self,
         state: ReplicatedState,
-        directory: DirectoryKeeper,
+        directory: DirectoryApi,
     ) -> None:
-        """Keep where the state and the announcements are."""
+        """Store the replicated state and the directory."""
         self._state = state
         self._directory = directory
         self._revision = 0
@@ -29,12 +32,12 @@
 
     @property
     def leads(self) -> bool:
-        """Tell whether this daemon leads, as far as it knows."""
+        """Return whether this daemon is the leader, as far as it knows."""
         group = self._state.group
         return group is not None and group.replica.leads
 
     def fleet(self) -> Fleet | None:
-        """Return the fleet in force, or None before the first one."""
+        """Return the fleet in force, or None if there is none yet."""
         configuration = self._state.machine.state.configuration
         if configuration.revision != self._revision:
             parsed = parse_fleet(configuration.text, 'state')
@@ -43,5 +46,5 @@
         return self._fleet
 
     def upstreams(self) -> tuple[Announcement, ...]:
-        """Return the upstreams whose announcements are fresh."""
+        """Return the upstreams whose announcements have not expired."""
         return self._directory.fresh()
--- a/src/snipebend/transport/replicated_state.py
+++ b/src/snipebend/transport/replicated_state.py
@@ -1,4 +1,4 @@
-"""The control daemon's replicated state, as its interfaces use it."""
+"""The control daemon's replicated state, as used by its gRPC services."""
 
 from __future__ import annotations
 
@@ -22,101 +22,101 @@
 
 
 class ReplicatedState(Service):
-    """Enters the group and answers from its replica."""
+    """Joins the group; reads and changes the state through its replica."""
 
     def __init__(self, name: str, cfg: ControlSettings) -> None:
-        """Keep the settings; nothing is opened yet."""
+        """Store the settings; ``start`` opens the data folder."""
         super().__init__(name)
         self.changed = asyncio.Condition()
         self.group: Group | None = None
         self._start = GroupStart(cfg)
-        self._empty = Machine()
+        self._empty_machine = Machine()
 
     async def start(self, registry: Registry) -> None:
-        """Open the folder; find the group in a task, for it may take time.
+        """Open the data folder; search the group in a task, as it takes time.
 
         Raises:
             CorruptionError: when the folder is damaged.
             UnavailableError: when another process uses the folder.
         """
         self._registry = registry
-        self.own = await asyncio.to_thread(self._start.open)
-        registry.tasks.start('replica', self._live)
+        self.local_member = await asyncio.to_thread(self._start.open)
+        registry.tasks.start('replica', self._run_replica)
 
     async def reload(self, cfg: object) -> None:
-        """Take over other seeds."""
+        """Use the seeds of new settings."""
         if isinstance(cfg, ControlSettings):
-            self._start.take_settings(cfg)
+            self._start.apply_settings(cfg)
 
     async def drain(self) -> None:
-        """Hand the leadership over before the process stops."""
+        """Transfer leadership before the process stops."""
         if self.group is not None:
             await self.group.hand_over()
 
     async def stop(self) -> None:
-        """Close connections and give the folder back."""
+        """Close the connections and unlock the data folder."""
         if self.group is not None:
             self.group.close()
         self._start.close()
 
     def ready(self) -> bool:
-        """Tell whether a quorum confirmed this state within the lease."""
+        """Return whether a quorum confirmed this state within the lease."""
         lease_s = self.machine.state.configuration.routing.config_lease_s
         ago = self.group.confirmed_ago if self.group else None
         return ago is not None and ago <= lease_s
 
     def dump(self) -> Mapping[str, object]:
-        """Return the replica's place in its group and the table sizes."""
+        """Return the replica's status and the sizes of the state's tables."""
         group = self.group.dump() if self.group else {'role': None}
         return {**group, **self.machine.sizes()}
 
     @property
     def machine(self) -> Machine:
-        """Return the machine as this daemon has it, perhaps behind others."""
+        """Return this daemon's state machine, which may lag the leader's."""
         if self.group is None:
-            return self._empty
+            return self._empty_machine
         return self.group.replica.applier.machine
 
     def wall(self) -> float:
-        """Return the wall time for a command; the leader puts in its own."""
+        """Return the wall time for a command; the leader overwrites it."""
         return self._registry.clock.wall()
 
     async def execute(self, command: Command) -> Any:
-        """Have a command committed by the group and return its reply.
+        """Commit a command in the group and return its reply.
 
         Raises:
-            GRPCError: when it isn't known to be committed in time.
+            GRPCError: when the commit isn't confirmed before the timeout.
         """
-        answer = await self.found_group().questions.execute(command)
+        answer = await self.require_group().leader_client.execute(command)
         if answer.is_err():
             raise GRPCError(Status.UNAVAILABLE, str(answer.unwrap_err()))
         return answer.unwrap()
 
     async def read(self) -> Machine:
-        """Return the machine with all that was accepted before the call.
+        """Return the machine with all commands committed before the call.
 
         Raises:
-            GRPCError: when no quorum confirms it in time.
+            GRPCError: when no quorum confirms it before the timeout.
         """
-        answer = await self.found_group().questions.read()
+        answer = await self.require_group().leader_client.read()
         if answer.is_err():
             raise GRPCError(Status.UNAVAILABLE, str(answer.unwrap_err()))
         return self.machine
 
-    def found_group(self) -> Group:
+    def require_group(self) -> Group:
         """Return the group.
 
         Raises:
-            GRPCError: while it isn't found yet.
+            GRPCError: while the group is still being searched.
         """
         if self.group is None:
             raise GRPCError(Status.UNAVAILABLE, 'the group is not found yet')
         return self.group
 
-    async def _live(self) -> None:
-        """Find the group, then step its core until the end."""
+    async def _run_replica(self) -> None:
+        """Find the group, then run its replica until cancelled."""
         if self.group is None:
-            group = await self._start.enter(self._registry, self.tell_changed)
+            group = await self._start.enter(self._registry, self.notify_changed)
             group.start()
             self.group = group
             self._registry.tasks.start(
@@ -124,10 +124,10 @@
             )
         await self.group.replica.run()
 
-    def tell_changed(self) -> None:
-        """Wake all that wait for a change of what is told of the state."""
-        self._registry.tasks.once('tell-changed', self._wake)
+    def notify_changed(self) -> None:
+        """Notify all tasks that wait for a change of the watched state."""
+        self._registry.tasks.once('tell-changed', self._notify_waiters)
 
-    async def _wake(self) -> None:
+    async def _notify_waiters(self) -> None:
         async with self.changed:
             self.changed.notify_all()
--- a/src/snipebend/transport/routing_desk.py
+++ b/src/snipebend/transport/routing_desk.py
@@ -18,7 +18,7 @@
 from snipebend.routing.router import Router, RouterSettings
 from snipebend.transport.death_tally import DeathTally
 from snipebend.transport.directory_follower import DirectoryFollower
-from snipebend.transport.followers import ConfigurationFollower
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.suspect_leases import SuspectLeases
 from snipebend.transport.upstream_views import UpstreamViews
 from snipebend.transport.waiting_room import GONE, Verdict, WaitingRoom
--- a/src/snipebend/transport/rpc_clients.py
+++ b/src/snipebend/transport/rpc_clients.py
@@ -1,4 +1,4 @@
-"""The gRPC clients of a process: one channel a peer, opened when first used."""
+"""The gRPC clients of a process: one channel per peer, opened on first use."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from snipebend.errors.hierarchy import UnavailableError
 from snipebend.transport.codec import MessageCodec
 from snipebend.transport.rpc import (
-    PING_EVERY_S,
+    PING_INTERVAL_S,
     PING_TIMEOUT_S,
     Method,
     Reply,
@@ -26,17 +26,17 @@
     build_configuration,
 )
 
-#: Seconds for a connection to open, doubled after each try that took longer.
-#: A VM without power drops the opening, and the kernel sends it again after a
-#: second only: processes that were back 0.3 s before the others of a power loss
-#: reached them 0.7 s after those had started.
-CONNECT_S = 0.25
+#: Timeout in seconds of opening a connection, doubled after each attempt that
+#: times out. A VM without power drops the SYN packet, and the kernel resends it
+#: only after 1 s: after a power loss, processes that were back 0.3 s before
+#: their peers reached them 0.7 s after those had started.
+CONNECT_TIMEOUT_S = 0.25
 
-#: Bound of that, in seconds: it passes for a way around the world and a packet
-#: that is lost on it.
-MOST_CONNECT_S = 2.0
+#: Maximum of that timeout in seconds: enough for a round trip around the world
+#: with one lost packet.
+MAX_CONNECT_TIMEOUT_S = 2.0
 
-#: What a broken or silent connection raises on the caller's side.
+#: Exceptions that a broken or unresponsive connection raises in the caller.
 CALL_FAILURES = (
     GRPCError,
     ProtocolError,
@@ -47,18 +47,18 @@
 
 
 class RpcClients:
-    """Channels to peers by address, opened when first used."""
+    """Channels to peers by address, opened on first use."""
 
     def __init__(
         self,
-        ping_every_s: float = PING_EVERY_S,
+        ping_interval_s: float = PING_INTERVAL_S,
         ping_timeout_s: float = PING_TIMEOUT_S,
     ) -> None:
-        """Start with no channels; the times are those of pings, in seconds."""
+        """Start without channels; both durations are in seconds."""
         self._channels: dict[str, Channel] = {}
-        #: Seconds for the next try, of peers that didn't answer the last.
-        self._connect_s: dict[str, float] = {}
-        self._pings = (ping_every_s, ping_timeout_s)
+        #: Timeout of the next attempt, by peer whose last attempt timed out.
+        self._connect_timeouts_s: dict[str, float] = {}
+        self._pings = (ping_interval_s, ping_timeout_s)
 
     async def call(
         self,
@@ -68,7 +68,7 @@
         *,
         timeout: float,
     ) -> Result[Reply, UnavailableError]:
-        """Call once; ``timeout`` is in seconds and bounds the whole call."""
+        """Call once; ``timeout`` in seconds includes opening the channel."""
         unary: Any = UnaryUnaryMethod(
             self._channel(peer),
             method.path,
@@ -80,7 +80,7 @@
                 await self._connect(peer)
                 return Ok(await unary(req, timeout=timeout))
         except GRPCError as exc:
-            # The peer refused: the connection works, others may use it.
+            # The peer replied with an error: the connection works, so keep it.
             return Err(_unavailable(exc, method.path, peer))
         except CALL_FAILURES as exc:
             self.retire(peer)
@@ -92,7 +92,7 @@
         method: Method[Request, Reply],
         req: Request,
     ) -> AsyncGenerator[Reply, None]:
-        """Yield replies until the peer ends or the connection breaks.
+        """Yield replies until the peer ends the call.
 
         Raises:
             UnavailableError: when the connection breaks.
@@ -119,14 +119,14 @@
         method: Method[Request, Reply],
         requests: AsyncIterator[Request],
     ) -> Reply:
-        """Send requests over one call as they come; return the reply.
+        """Send requests over one call as they arrive; return the reply.
 
-        A message on an open call costs a small part of a call of its own.
+        A message on an open call is much cheaper than a separate call.
 
         Raises:
             UnavailableError: when the connection breaks.
         """
-        method_at_peer: Any = StreamUnaryMethod(
+        stream_method: Any = StreamUnaryMethod(
             self._channel(peer),
             method.path,
             method.request_type,
@@ -134,7 +134,7 @@
         )
         try:
             await self._connect(peer)
-            async with method_at_peer.open() as stream:
+            async with stream_method.open() as stream:
                 async for req in requests:
                     await stream.send_message(req)
                 await stream.end()
@@ -156,19 +156,21 @@
             self.retire(peer)
 
     async def _connect(self, peer: str) -> None:
-        """Open the channel, unless it is.
+        """Open the channel unless it is already open.
 
         Raises:
-            OSError: when the peer refuses, or doesn't answer in time.
+            OSError: when the peer refuses or doesn't reply before the timeout.
         """
-        span_s = self._connect_s.get(peer, CONNECT_S)
+        timeout_s = self._connect_timeouts_s.get(peer, CONNECT_TIMEOUT_S)
         try:
-            async with asyncio.timeout(span_s):
+            async with asyncio.timeout(timeout_s):
                 await self._channel(peer).__connect__()
         except TimeoutError:
-            self._connect_s[peer] = min(MOST_CONNECT_S, 2 * span_s)
+            self._connect_timeouts_s[peer] = min(
+                MAX_CONNECT_TIMEOUT_S, 2 * timeout_s
+            )
             raise
-        self._connect_s.pop(peer, None)
+        self._connect_timeouts_s.pop(peer, None)
 
     def _channel(self, peer: str) -> Channel:
         channel = self._channels.get(peer)
--- a/src/snipebend/transport/rpc_server.py
+++ b/src/snipebend/transport/rpc_server.py
@@ -1,4 +1,4 @@
-"""The gRPC server of a process: endpoints on one address."""
+"""The gRPC server of a process, with the endpoints of its services."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from snipebend.transport.rpc import Method, build_configuration
 
 UnaryHandler = Callable[[Any], Awaitable[Any]]
-StreamHandler = Callable[[Any], AsyncIterator[Any]]
-FeedHandler = Callable[[AsyncIterator[Any]], Awaitable[Any]]
+ReplyStreamHandler = Callable[[Any], AsyncIterator[Any]]
+RequestStreamHandler = Callable[[AsyncIterator[Any]], Awaitable[Any]]
 
 
 class Endpoint(NamedTuple):
-    """A method together with the function that answers it."""
+    """A method and the function that handles its calls."""
 
     method: Method[Any, Any]
-    handler: UnaryHandler | StreamHandler | FeedHandler
+    handler: UnaryHandler | ReplyStreamHandler | RequestStreamHandler
 
 
-class _Table:
-    """What ``grpclib`` asks of a service: a mapping of paths to handlers."""
+class _HandlerTable:
+    """A ``grpclib`` service: a mapping from paths to handlers."""
 
     def __init__(self, endpoints: tuple[Endpoint, ...]) -> None:
         self._endpoints = endpoints
@@ -44,27 +44,29 @@
     method = endpoint.method
     if method.streams_replies:
         return Handler(
-            _answer_stream(endpoint),
+            _build_reply_stream_handler(endpoint),
             Cardinality.UNARY_STREAM,
             method.request_type,
             method.reply_type,
         )
     if method.streams_requests:
         return Handler(
-            _answer_feed(endpoint),
+            _build_request_stream_handler(endpoint),
             Cardinality.STREAM_UNARY,
             method.request_type,
             method.reply_type,
         )
     return Handler(
-        _answer_unary(endpoint),
+        _build_unary_handler(endpoint),
         Cardinality.UNARY_UNARY,
         method.request_type,
         method.reply_type,
     )
 
 
-def _answer_unary(endpoint: Endpoint) -> Callable[[Any], Awaitable[None]]:
+def _build_unary_handler(
+    endpoint: Endpoint,
+) -> Callable[[Any], Awaitable[None]]:
     async def answer(stream: Any) -> None:
         req = await stream.recv_message()
         reply: Any = await endpoint.handler(req)  # type: ignore[misc]
@@ -73,7 +75,9 @@
     return answer
 
 
-def _answer_feed(endpoint: Endpoint) -> Callable[[Any], Awaitable[None]]:
+def _build_request_stream_handler(
+    endpoint: Endpoint,
+) -> Callable[[Any], Awaitable[None]]:
     async def answer(stream: Any) -> None:
         handler: Any = endpoint.handler
         await stream.send_message(await handler(stream))
@@ -81,14 +85,17 @@
     return answer
 
 
-def _answer_stream(endpoint: Endpoint) -> Callable[[Any], Awaitable[None]]:
+def _build_reply_stream_handler(
+    endpoint: Endpoint,
+) -> Callable[[Any], Awaitable[None]]:
     async def answer(stream: Any) -> None:
         req = await stream.recv_message()
         replies: Any = endpoint.handler(req)
-        # A caller that leaves while a reply waits for its window ends this
-        # task outside of the generator. Unclosed, it would hold the reply
-        # until garbage is collected: control daemons reached the bound of
-        # their memory, by 10 to 25 MB a second, while watches came and went.
+        # If a caller disconnects while a reply waits for the flow-control
+        # window, this task is cancelled outside the generator. Without closing
+        # it, the generator would hold the reply until garbage collection:
+        # control daemons grew by 10 to 25 MB per second up to their memory
+        # limit while watches were opened and closed.
         async with aclosing(replies):
             async for reply in replies:
                 await stream.send_message(reply)
@@ -97,10 +104,10 @@
 
 
 class RpcServer(Service):
-    """Listens on one address and answers the registered endpoints."""
+    """Listens on one address and serves the registered endpoints."""
 
     def __init__(self, name: str, host: str, port: int) -> None:
-        """Keep the address; port 0 lets the system choose."""
+        """Store the address; with port 0 the system chooses a port."""
         super().__init__(name)
         self._host = host
         self._port = port
@@ -109,17 +116,17 @@
 
     @property
     def address(self) -> str:
-        """Return ``host:port`` once the server listens."""
+        """Return ``host:port``, with the actual port after the start."""
         return f'{self._host}:{self._port}'
 
     def add(self, *endpoints: Endpoint) -> None:
-        """Add endpoints; only before the start."""
+        """Add endpoints; must be called before the start."""
         self._endpoints.extend(endpoints)
 
     async def start(self, registry: Registry) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = Server(
-            [_Table(tuple(self._endpoints))],
+            [_HandlerTable(tuple(self._endpoints))],
             codec=MessageCodec(),
             config=build_configuration(),
         )
@@ -135,6 +142,6 @@
             await self._server.wait_closed()
 
     def dump(self) -> Mapping[str, object]:
-        """Return the address and the paths."""
+        """Return the address and the paths of the methods."""
         paths = [endpoint.method.path for endpoint in self._endpoints]
         return {'address': self.address, 'paths': paths}
--- a/src/snipebend/transport/state_api.py
+++ b/src/snipebend/transport/state_api.py
@@ -1,4 +1,4 @@
-"""The control daemon's interface to claims, fences, crashes and maps."""
+"""The control daemon's gRPC service for claims, fences, crashes and maps."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class StateApi(Service):
-    """Turns requests into commands of the replicated state."""
+    """Executes requests as commands on, or reads of, the replicated state."""
 
     def __init__(self, name: str, server: RpcServer) -> None:
         """Add the endpoints to the server."""
@@ -68,7 +68,7 @@
         )
 
     async def start(self, registry: Registry) -> None:
-        """Find the state."""
+        """Look up the replicated state."""
         self._store = registry.find('state', ReplicatedState)
 
     async def claim(self, req: ClaimRequest) -> ClaimReply:
@@ -79,7 +79,7 @@
         return reply
 
     async def settle(self, req: SettleRequest) -> SettleReply:
-        """Settle the attempt that holds a key."""
+        """Record the outcome of the attempt that holds a key."""
         reply: SettleReply = await self._store.execute(
             Settle(req, self._store.wall()),
         )
@@ -93,39 +93,39 @@
         return reply
 
     async def read_fence(self, req: FenceQuery) -> FenceReply:
-        """Return a group's fence, as a quorum knows it."""
+        """Return a group's fence; the read is linearizable."""
         machine = await self._store.read()
         return machine.state.fences.read(req.group)
 
     async def report_crash(self, req: CrashReport) -> SuspectList:
-        """Count an upstream's death; return all suspects."""
+        """Count an upstream's crash; return all suspects."""
         reply: SuspectList = await self._store.execute(
             ReportCrash(req, self._store.wall()),
         )
         return reply
 
     async def clear_suspect(self, req: SuspectCleared) -> SuspectList:
-        """Clear a request that ran to its end; return all suspects."""
+        """Clear a request that completed; return all suspects."""
         reply: SuspectList = await self._store.execute(
             ClearSuspect(req, self._store.wall()),
         )
         return reply
 
     async def suspects(self, req: SuspectQuery) -> SuspectList:
-        """Return this daemon's list, if the asker's is another one."""
+        """Return this daemon's list, or an empty one if it is unchanged."""
         crashes = self._store.machine.state.crashes
         if req.revision == crashes.revision:
             return SuspectList(crashes.revision)
         return crashes.suspects()
 
     async def decide_map(self, req: MapDecision) -> DecideMapReply:
-        """Decide on a group's expert map."""
+        """Commit a decision on a group's expert map."""
         reply: DecideMapReply = await self._store.execute(
             DecideExpertMap(req, self._store.wall()),
         )
         return reply
 
     async def read_map(self, req: MapQuery) -> DecideMapReply:
-        """Return a group's latest decision, as a quorum knows it."""
+        """Return a group's latest decision; the read is linearizable."""
         machine = await self._store.read()
         return machine.state.maps.read(req.group)
--- a/src/snipebend/transport/storage_writer.py
+++ b/src/snipebend/transport/storage_writer.py
@@ -1,4 +1,4 @@
-"""The one task that writes the data folder, in threads beside the loop."""
+"""The only task that writes to the data folder; it does so in threads."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from snipebend.consensus.events import Persisted, SnapshotLoaded
 from snipebend.errors.hierarchy import CorruptionError
 from snipebend.kernel.mailbox import Mailbox
-from snipebend.transport.letters import (
-    Letter,
+from snipebend.transport.replica_messages import (
+    ReplicaMessage,
     SnapshotReplaced,
     SnapshotSaved,
     StorageBlocked,
     StorageFailed,
-    StorageFree,
-    Tell,
+    StorageUnblocked,
+    CoreEvent,
 )
 
 if TYPE_CHECKING:
@@ -32,31 +32,32 @@
 
 Outcome = TypeVar('Outcome')
 
-#: Seconds before a failed write is tried again.
+#: Seconds before a failed write is retried.
 RETRY_DELAY_S = 0.5
 
-#: Writes that may wait; the core bounds what it asks for long before.
+#: Maximum number of waiting jobs; the core's own limits are reached long
+#: before.
 _CAPACITY = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """Write the machine's own snapshot; the log may go up to ``keep``."""
+    """Save a snapshot of this replica, then drop the log to ``truncate_to``."""
 
     snapshot: Snapshot
-    keep: int
+    truncate_to: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReplaceSnapshot:
-    """Write a leader's snapshot in place of snapshot and log."""
+    """Replace the stored snapshot and log by a snapshot from the leader."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class LoadSnapshot:
-    """Read the newest snapshot for a follower."""
+    """Load the newest snapshot to send it to a follower."""
 
     target: str
 
@@ -65,15 +66,15 @@
 
 
 class StorageWriter:
-    """Does the jobs in order; joins writes of the log that wait together."""
+    """Runs jobs in order; combines consecutive waiting log writes."""
 
     def __init__(
         self,
         storage: Storage,
-        post: Callable[[Letter], None],
+        post: Callable[[ReplicaMessage], None],
         meters: ReplicaMeters,
     ) -> None:
-        """Keep the folder and the way to report what is synced."""
+        """Store the data folder and the function that posts results."""
         self._storage = storage
         self._post = post
         self._jobs: Mailbox[Job] = Mailbox(_CAPACITY)
@@ -85,26 +86,28 @@
         self._jobs.post(job)
 
     async def run(self) -> None:
-        """Work until cancelled, or until the files can't be trusted."""
+        """Run jobs until cancelled, or until the files are corrupt."""
         job: Job | None = None
         try:
             while True:
-                job = await self._work_on(job or await self._jobs.receive())
+                job = await self._run_job(job or await self._jobs.receive())
         except CorruptionError as exc:
             logger.critical('event=storage_failed error={!r}', str(exc))
             self._post(StorageFailed(exc))
 
-    async def _work_on(self, job: Job) -> Job | None:
-        """Do a job; return the next one if it was taken off already."""
+    async def _run_job(self, job: Job) -> Job | None:
+        """Run a job; return the next one if it was already dequeued."""
         match job:
             case Persist():
                 return await self._persist(job)
-            case SaveSnapshot(snapshot, keep):
-                work = partial(self._storage.save_snapshot, snapshot, keep + 1)
-                await self._repeat(work)
-                self._post(SnapshotSaved(keep))
+            case SaveSnapshot(snapshot, truncate_to):
+                work = partial(
+                    self._storage.save_snapshot, snapshot, truncate_to + 1
+                )
+                await self._retry(work)
+                self._post(SnapshotSaved(truncate_to))
             case ReplaceSnapshot(snapshot):
-                await self._repeat(
+                await self._retry(
                     partial(self._storage.install_snapshot, snapshot)
                 )
                 self._post(SnapshotReplaced(snapshot))
@@ -114,31 +117,31 @@
 
     async def _persist(self, first: Persist) -> Job | None:
         writes = [first]
-        following: Job | None = None
-        while following is None and len(self._jobs):
+        next_job: Job | None = None
+        while next_job is None and len(self._jobs):
             job = await self._jobs.receive()
             if isinstance(job, Persist):
                 writes.append(job)
             else:
-                following = job
+                next_job = job
         began_at = time.monotonic()
-        await self._repeat(partial(self._storage.persist, writes))
-        self._meters.synced(time.monotonic() - began_at)
-        self._post(Tell(Persisted(writes[-1].sequence)))
-        return following
+        await self._retry(partial(self._storage.persist, writes))
+        self._meters.record_sync(time.monotonic() - began_at)
+        self._post(CoreEvent(Persisted(writes[-1].sequence)))
+        return next_job
 
     async def _load(self, target: str) -> None:
-        snapshot = await self._repeat(self._storage.load_snapshot)
+        snapshot = await self._retry(self._storage.load_snapshot)
         if snapshot is None:
             return
         meta = snapshot.meta
         loaded = SnapshotLoaded(
             target, meta.index, meta.term, meta.members, snapshot.payload
         )
-        self._post(Tell(loaded))
+        self._post(CoreEvent(loaded))
 
-    async def _repeat(self, work: Callable[[], Outcome]) -> Outcome:
-        """Work until it succeeds; a full disk is reported, not hidden."""
+    async def _retry(self, work: Callable[[], Outcome]) -> Outcome:
+        """Retry until success; report failures such as a full disk."""
         while True:
             try:
                 outcome = await asyncio.to_thread(work)
@@ -150,5 +153,5 @@
                 continue
             if self._blocked:
                 self._blocked = False
-                self._post(StorageFree())
+                self._post(StorageUnblocked())
             return outcome
--- a/src/snipebend/transport/switch_links.py
+++ b/src/snipebend/transport/switch_links.py
@@ -1,4 +1,4 @@
-"""What drives a group's coordinator: the state, the agents, the planner."""
+"""The dependencies that the switch coordinators of all groups share."""
 
 from __future__ import annotations
 
@@ -27,33 +27,37 @@
     from snipebend.state.fences import FenceReply, FenceRequest
     from snipebend.transport.rpc_clients import RpcClients
 
-#: Seconds for one call to an agent.
+#: Timeout in seconds of one call to an agent.
 RANK_TIMEOUT_S = 5.0
 
 
 class DecisionStore(Protocol):
-    """The replicated state; raises ``GRPCError`` when no quorum answers."""
+    """The replicated state; raises ``GRPCError`` when no quorum replies."""
 
     async def take_fence(self, req: FenceRequest) -> FenceReply:
         """Take or renew a group's fence."""
 
     async def decide_map(self, req: MapDecision) -> DecideMapReply:
-        """Change a group's record; the answer comes once it is durable."""
+        """Change a group's record; return once the change is durable."""
 
     async def read_map(self, req: MapQuery) -> DecideMapReply:
-        """Return a group's record as a quorum knows it."""
+        """Return a group's record; the read is linearizable."""
 
 
 class Leadership(Protocol):
-    """Tells whether this daemon leads the control group."""
+    """The leadership of this daemon in the control group."""
 
     @property
     def leads(self) -> bool:
-        """Tell whether it leads, as far as it knows."""
+        """Return whether this daemon is the leader, as far as it knows."""
 
 
 class SwitchLinks(NamedTuple):
-    """What all groups' coordinators share in a process."""
+    """Dependencies of a coordinator.
+
+    ``schedule`` is that of the weight store; ``holder`` identifies the
+    holder of the group's fence and is unique per start of a coordinator.
+    """
 
     store: DecisionStore
     clients: RpcClients
@@ -68,7 +72,7 @@
     address: str,
     order: RankOrder,
 ) -> Result[RankReport, UnavailableError]:
-    """Send an order to the agent beside a rank."""
+    """Send an order to the agent of a rank."""
     match order:
         case Prepare():
             return await clients.call(
--- a/src/snipebend/transport/switch_log.py
+++ b/src/snipebend/transport/switch_log.py
@@ -1,4 +1,4 @@
-"""What one group's switches came to: logs, metrics and status figures."""
+"""Reports a group's map switches in logs, metrics and its status."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """The last decision and its reason, the skew and the bytes moved."""
 
     def __init__(self, group: str) -> None:
-        """Begin with nothing decided."""
+        """Start without a decision."""
         self.skew: float = 0
         self.moved_bytes = 0
         self.last_decision = 'none'
@@ -30,19 +30,19 @@
         self._bytes = meter.create_counter('expert_map_moved_bytes')
         self._skew = meter.create_gauge('expert_map_skew')
 
-    def note_plan(self, plan: Plan) -> None:
-        """Keep the planner's reason."""
+    def record_plan(self, plan: Plan) -> None:
+        """Record the planner's reason and the skew."""
         self.reason = plan.reason
         if plan.skew:
             self.skew = plan.skew
             self._skew.set(plan.skew, self._attributes)
 
-    def note_proposal(self, digest: str, size: int) -> None:
-        """Remember what a map would cost."""
+    def record_proposal(self, digest: str, size: int) -> None:
+        """Record the bytes that a proposed map would move."""
         self._proposed = {digest: size}
 
-    def note_end(self, ended: SwitchEnded, record: GroupRecord) -> None:
-        """Count a switch that has ended."""
+    def record_end(self, ended: SwitchEnded, record: GroupRecord) -> None:
+        """Record the outcome of a switch."""
         stamp = ended.stamp
         self.last_decision = ended.outcome
         self._switches.add(
--- a/src/snipebend/transport/upstream_api.py
+++ b/src/snipebend/transport/upstream_api.py
@@ -21,7 +21,7 @@
 )
 from snipebend.transport.crash_witness import CrashWitness
 from snipebend.transport.engine_calls import find_engine_calls
-from snipebend.transport.followers import ConfigurationFollower
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.frames import (
     MEDIA_FRAMES,
     Accepted,
--- a/tests/balancing/fakes.py
+++ b/tests/balancing/fakes.py
@@ -5,16 +5,16 @@
 from types import SimpleNamespace
 
 from snipebend.kernel.service import Service
-from snipebend.transport.host_keeper import HostKeeper
-from tests.transport.own_state import OwnState
+from snipebend.transport.host_service import HostService
+from tests.transport.standalone_state import StandaloneState
 
 
-class LeadingStore(OwnState):
+class LeadingStore(StandaloneState):
     """A leading replica, which can continue with another replica's state."""
 
-    def __init__(self, kept=None, term=3):
+    def __init__(self, local_machine=None, term=3):
         super().__init__()
-        self.kept = kept or self.kept
+        self.local_machine = local_machine or self.local_machine
         status = SimpleNamespace(term=term)
         self.group = SimpleNamespace(
             replica=SimpleNamespace(has_lease=True, status=status),
@@ -22,21 +22,21 @@
         )
 
     async def execute(self, command):
-        return self.kept.state.plans.decide(command.req)
+        return self.local_machine.state.plans.decide(command.req)
 
 
-class RecordingKeeper(HostKeeper):
+class RecordingKeeper(HostService):
     """Records the published group statuses."""
 
     def __init__(self):
         Service.__init__(self, 'hosts')
         self.groups = {}
 
-    def tell_group(self, standing):
+    def report_group(self, standing):
         self.groups[standing.group] = standing
 
-    def forget_group(self, group):
+    def remove_group(self, group):
         self.groups.pop(group, None)
 
-    def forget_groups(self):
+    def remove_groups(self):
         self.groups.clear()
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -311,7 +311,7 @@
     """A control leader, which can be stopped at any time."""
 
     def __init__(self, group, pass_times, before=None, term=1):
-        self.store = LeadingStore(before and before.store.kept, term)
+        self.store = LeadingStore(before and before.store.local_machine, term)
         self._registry = Registry(LoopClock(), TaskSupervisor())
         self._registry.register(self.store)
         self._registry.register(RecordingKeeper())
@@ -319,7 +319,7 @@
         self._balancer = GroupBalancer('b', group, lambda: table, pass_times)
         for rank in range(group.shape.ranks):
             record = UpstreamRecord(str(rank), 's', '10.0.0.1:80', 'dc', 3)
-            self.store.kept.state.roster.record(RecordRequest(record))
+            self.store.local_machine.state.roster.record(RecordRequest(record))
 
     async def start(self):
         await self._balancer.start(self._registry)
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -155,9 +155,9 @@
         self.engines = FakeEngines()
         registry = Registry(self.clock, TaskSupervisor())
         self.store = LeadingStore()
-        self.keeper = RecordingKeeper()
+        self.host_service = RecordingKeeper()
         registry.register(self.store)
-        registry.register(self.keeper)
+        registry.register(self.host_service)
         self.pass_times = GroupPassTimes()
         self.balancer = GroupBalancer(
             'balancer', self.engines, lambda: TABLE, self.pass_times
@@ -263,7 +263,7 @@
         await self.check()
         self.clock.at += SETTLE_S
         await self.check()
-        self.assertEqual(self.keeper.groups['g'].slow, ('0', '1'))
+        self.assertEqual(self.host_service.groups['g'].slow, ('0', '1'))
 
 
 class TestDemand(BalancerCase):
--- a/tests/edge/document_fixture.py
+++ b/tests/edge/document_fixture.py
@@ -17,39 +17,39 @@
 from snipebend.settings.seeds import SeedsSection
 from snipebend.state.documents import PutRequest
 from snipebend.state.roster import RecordRequest, UpstreamRecord
-from snipebend.transport.host_keeper import HostKeeper
+from snipebend.transport.host_service import HostService
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import RpcServer
 from tests.narrow_link import NarrowLink
-from tests.transport.own_state import OwnState
+from tests.transport.standalone_state import StandaloneState
 
 
 class Daemon:
-    """A control daemon: its host keeper, state and server."""
+    """A control daemon: its host service, state and server."""
 
     async def start(self, stack):
         self._registry = Registry(SystemClock(), TaskSupervisor())
-        self.state = OwnState()
+        self.state = StandaloneState()
         self.server = RpcServer('grpc', '127.0.0.1', 0)
-        self.keeper = HostKeeper('hosts', self.server)
+        self.host_service = HostService('hosts', self.server)
         self.state._registry = self._registry
         self._registry.register(self.state)
-        await self.keeper.start(self._registry)
+        await self.host_service.start(self._registry)
         await self.server.start(self._registry)
         stack.push_async_callback(self._registry.tasks.stop)
         stack.push_async_callback(self.server.stop)
-        stack.push_async_callback(self.keeper.stop)
+        stack.push_async_callback(self.host_service.stop)
 
     def put(self, number, body):
         """Store an accepted document."""
-        self.state.kept.state.documents.put(PutRequest(number, body))
-        self.state.tell_changed()
+        self.state.local_machine.state.documents.put(PutRequest(number, body))
+        self.state.notify_changed()
 
     def record(self, identity):
         """Store an upstream record."""
         record = UpstreamRecord(identity, 's', f'{identity}:1', 'dc', 1)
-        self.state.kept.state.roster.record(RecordRequest(record))
-        self.state.tell_changed()
+        self.state.local_machine.state.roster.record(RecordRequest(record))
+        self.state.notify_changed()
 
 
 class Deployment:
--- a/tests/transport/__init__.py
+++ b/tests/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the network services and clients."""
