--- a/tests/transport/own_state.py
+++ b/tests/transport/standalone_state.py
@@ -1,4 +1,4 @@
-"""The state of a control daemon that needs no others."""
+"""A replicated state without peers, for tests of a single control daemon."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from snipebend.transport.replicated_state import ReplicatedState
 
 
-class OwnState(ReplicatedState):
-    """A machine that is changed by the test."""
+class StandaloneState(ReplicatedState):
+    """Serves a local state machine, which the test changes directly."""
 
     def __init__(self):
         Service.__init__(self, 'state')
         self.changed = asyncio.Condition()
         self.group = None
-        self.kept = Machine()
+        self.local_machine = Machine()
 
     @property
     def machine(self):
-        return self.kept
+        return self.local_machine
 
     def wall(self):
         return 0.0
--- a/tests/transport/switch_rig.py
+++ b/tests/transport/switch_environment.py
@@ -1,4 +1,7 @@
-"""Control leaders, agents and engines in one process, over real sockets."""
+"""Control leaders, agents and engines in one process, over real sockets.
+
+The tests of expert map switches run in this environment.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 from snipebend.transport.fence_reader import FenceReader
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.http_server import HttpServer
-from snipebend.transport.map_planning import EvenPlanner, Plan
+from snipebend.transport.map_planning import RoundRobinPlanner, Plan
 from snipebend.transport.methods import READ_FENCE, READ_MAP
 from snipebend.transport.orders_api import OrdersApi
 from snipebend.transport.rank_api import RankApi
@@ -47,12 +50,12 @@
 
 
 class Store(Service):
-    """The committed state; the agents read it over gRPC unless it is mute."""
+    """The committed state; agents read its maps unless it is unavailable."""
 
     def __init__(self) -> None:
         super().__init__('state-api')
         self.machine = Machine()
-        self.mute = False
+        self.unavailable = False
         self.grpc = RpcServer('grpc', '127.0.0.1', 0)
         self.grpc.add(
             Endpoint(READ_FENCE, self.read_fence),
@@ -63,17 +66,17 @@
         return self.machine.state.fences.read(req.group)
 
     async def read_map(self, req: Any) -> Any:
-        if self.mute:
-            raise GRPCError(Status.UNAVAILABLE, 'mute')
+        if self.unavailable:
+            raise GRPCError(Status.UNAVAILABLE, 'unavailable')
         return self.machine.state.maps.read(req.group)
 
 
 class Leader:
-    """One control daemon's way to the state, which can be cut."""
+    """One control daemon's access to the state, which can be cut off."""
 
     def __init__(self, store: Store) -> None:
         self.leads = False
-        self.cut = False
+        self.isolated = False
         self.on_decide: Callable[[], str] = str
         self._store = store
 
@@ -86,12 +89,12 @@
         if isinstance(req.change, Decide):
             verdict = self.on_decide()
             if verdict == 'isolate':
-                self.cut = True
+                self.isolated = True
             elif verdict == 'die-before':
-                self.die()
+                self.crash()
             elif verdict == 'die-after':
                 self._store.machine.execute(DecideExpertMap(req, time.time()))
-                self.die()
+                self.crash()
         self._check()
         return self._store.machine.execute(DecideExpertMap(req, time.time()))
 
@@ -99,61 +102,61 @@
         self._check()
         return self._store.machine.state.maps.read(req.group)
 
-    def die(self) -> None:
-        """Lose the state and every task that drives a switch."""
-        self.cut = True
+    def crash(self) -> None:
+        """Lose access to the state and stop all tasks that run switches."""
+        self.isolated = True
         self.leads = False
 
     def _check(self) -> None:
-        if self.cut:
+        if self.isolated:
             raise GRPCError(Status.UNAVAILABLE, 'isolated')
 
 
-class ShiftPlanner(EvenPlanner):
-    """Wants another map each time it is told to."""
+class ScriptedPlanner(RoundRobinPlanner):
+    """Plans a new map as many times as the test sets in ``wanted``."""
 
-    wanted = 0
+    pending_plans = 0
 
-    def rebalance(self, in_force: PlacedMap, loads: Any, facts: Any) -> Plan:
-        if not type(self).wanted:
+    def rebalance(self, in_force: PlacedMap, loads: Any, context: Any) -> Plan:
+        if not type(self).pending_plans:
             return Plan(None, 'nothing to do')
-        type(self).wanted -= 1
+        type(self).pending_plans -= 1
         rolled = np.roll(in_force.expert_map.placement, 1, axis=1)
         version = in_force.expert_map.version + 1
         placed = PlacedMap(in_force.members, ExpertMap(version, rolled))
         return Plan(placed, 'shifted', skew=1.5)
 
 
-def _plan(group: Any, fleet: Any) -> ShiftPlanner:
-    return ShiftPlanner(group)
+def _plan(group: Any, fleet: Any) -> ScriptedPlanner:
+    return ScriptedPlanner(group)
 
 
-class DeafRank(RankApi):
-    """Hears no activation under one fence."""
+class LossyRank(RankApi):
+    """Rejects the activations under one fence."""
 
-    deaf_to = 0
+    lost_fence = 0
 
-    async def take_order(self, order: Any) -> Any:
-        if isinstance(order, Activate) and order.fence == self.deaf_to:
-            raise GRPCError(Status.UNAVAILABLE, 'deaf')
-        return await super().take_order(order)
+    async def handle_order(self, order: Any) -> Any:
+        if isinstance(order, Activate) and order.fence == self.lost_fence:
+            raise GRPCError(Status.UNAVAILABLE, 'activation lost')
+        return await super().handle_order(order)
 
 
-class Rig:
+class SwitchEnvironment:
     """A store, two leaders and a group of ranks."""
 
     def __init__(self, fleet_text: str) -> None:
         self.store = Store()
         self.leaders = [Leader(self.store) for _ in range(2)]
         self.services: list[ExpertService] = []
-        self.ranks: list[DeafRank] = []
+        self.ranks: list[LossyRank] = []
         self.agents: list[str] = []
         self.engines: list[Engine] = []
         self.clients = RpcClients()
         self._fleet = parse_fleet(fleet_text, 'test').unwrap()
         self._stack = AsyncExitStack()
 
-    async def __aenter__(self) -> Rig:
+    async def __aenter__(self) -> SwitchEnvironment:
         await self._run('store', [self.store.grpc])
         for number in range(RANKS):
             self.agents.append(await self.start_agent(number))
@@ -186,13 +189,13 @@
         )
 
     async def start_agent(self, number: int) -> str:
-        """Start an agent, with its engine if that doesn't run yet."""
+        """Start an agent, and its engine unless that is already running."""
         if number == len(self.engines):
             self.engines.append(await self._start_engine())
         engine = self.engines[number]
         grpc = RpcServer('grpc', '127.0.0.1', 0)
         reader = FenceReader([self.store.grpc.address], self.clients)
-        rank = DeafRank('ranks', grpc, f'rank-{number}', reader)
+        rank = LossyRank('ranks', grpc, f'rank-{number}', reader)
         self.ranks.append(rank)
         services = [
             HttpClient('client'),
@@ -204,7 +207,7 @@
         return grpc.address
 
     def stamps(self) -> list[MapStamp]:
-        """Return the map in force of each engine."""
+        """Return the stamp of the map in force on each engine."""
         states = [
             engine.orders.rank_state(engine.clock.step)
             for engine in self.engines
@@ -224,20 +227,20 @@
             for engine in self.engines
         ]
 
-    def decided(self) -> int:
-        """Return the version of the committed decision."""
+    def decided_version(self) -> int:
+        """Return the map version of the committed decision."""
         decision = self.store.machine.state.maps.read(GROUP).record.decision
         return decision.stamp.map_version
 
-    def activated(self, version: int) -> list[bool]:
-        """Tell of each engine whether it was told to activate a version."""
+    def has_activated(self, version: int) -> list[bool]:
+        """Return, for each engine, whether it has activated a version."""
         return [
             any(order['map_version'] == version for order in orders)
             for orders in self.activations()
         ]
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait for a condition."""
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition holds."""
 
         async def poll() -> None:
             while not condition():
@@ -245,9 +248,9 @@
 
         await asyncio.wait_for(poll(), PATIENCE_S)
 
-    async def until_all_at(self, version: int) -> MapStamp:
-        """Wait until all engines run one map of at least that version."""
-        await self.until(
+    async def wait_for_map(self, version: int) -> MapStamp:
+        """Wait until all engines have one map, of at least this version."""
+        await self.wait_until(
             lambda: (
                 len(set(self.stamps())) == 1
                 and self.stamps()[0].map_version >= version
@@ -270,4 +273,4 @@
         self._stack.push_async_callback(process.stop)
 
 
-Scenario = Callable[[Rig], Awaitable[None]]
+Scenario = Callable[[SwitchEnvironment], Awaitable[None]]
--- a/tests/transport/test_cancelled_waits.py
+++ b/tests/transport/test_cancelled_waits.py
@@ -12,10 +12,10 @@
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.membership.messages import Announcement, DirectoryRequest
-from snipebend.transport.control_api import ConfigurationKeeper
-from snipebend.transport.directory_api import DirectoryKeeper
-from snipebend.transport.followers import ConfigurationFollower
-from snipebend.transport.questions import Questions
+from snipebend.transport.control_api import ConfigurationApi
+from snipebend.transport.directory_api import DirectoryApi
+from snipebend.transport.configuration_follower import ConfigurationFollower
+from snipebend.transport.pending_requests import PendingRequests
 from snipebend.transport.rpc_server import RpcServer
 
 #: Turns of the loop between the news and the cancellation.
@@ -29,10 +29,10 @@
         await asyncio.sleep(0)
 
 
-async def start_keeper() -> DirectoryKeeper:
+async def start_keeper() -> DirectoryApi:
     """Return a directory that is ready for watchers."""
-    keeper = DirectoryKeeper('directory', RpcServer('grpc', '127.0.0.1', 0))
-    configuration = mock.create_autospec(ConfigurationKeeper, instance=True)
+    keeper = DirectoryApi('directory', RpcServer('grpc', '127.0.0.1', 0))
+    configuration = mock.create_autospec(ConfigurationApi, instance=True)
     configuration.name = 'configuration'
     configuration.revision = 1
     registry = Registry(SystemClock(), TaskSupervisor())
@@ -71,11 +71,13 @@
 
     async def test_read_of_the_state(self) -> None:
         for turns in TURNS:
-            questions = Questions()
+            questions = PendingRequests()
             task = asyncio.create_task(self.read_for_ever(questions))
-            await self.check_ends(task, partial(questions.executed, 1), turns)
+            await self.check_ends(
+                task, partial(questions.complete_reads, 1), turns
+            )
 
-    async def follow(self, keeper: DirectoryKeeper) -> None:
+    async def follow(self, keeper: DirectoryApi) -> None:
         async for _ in keeper.watch(DirectoryRequest('e-1')):
             await asyncio.sleep(0)
 
@@ -84,7 +86,7 @@
             await follower.wait_newer(0, 60)
             follower._changed.clear()
 
-    async def read_for_ever(self, questions: Questions) -> None:
+    async def read_for_ever(self, questions: PendingRequests) -> None:
         while True:
             await questions.wait(1, 0, 60)
 
--- a/tests/transport/test_directory_watch.py
+++ b/tests/transport/test_directory_watch.py
@@ -9,7 +9,7 @@
 
 from snipebend.membership.directory_delta import DirectoryCopy
 from snipebend.membership.messages import Announcement, DirectoryRequest
-from snipebend.transport.directory_api import DirectoryKeeper
+from snipebend.transport.directory_api import DirectoryApi
 from tests.transport.test_cancelled_waits import start_keeper, turn
 
 UPSTREAMS = 400
@@ -68,7 +68,7 @@
         self.assertEqual((len(before), len(after)), (20, 20))
         self.assertNotEqual(before, after)
 
-    def record_new(self, keeper: DirectoryKeeper, number: int) -> None:
+    def record_new(self, keeper: DirectoryApi, number: int) -> None:
         """Add an upstream that wasn't there before."""
         keeper.record(
             Announcement(f'n-{number}', 'p', 'dc', 'h:1', 'g:1', 1, 1)
--- a/tests/transport/test_expert_switch.py
+++ b/tests/transport/test_expert_switch.py
@@ -1,4 +1,7 @@
-"""Leaders that die in a switch, and one that is isolated and still orders."""
+"""Failures of the control leader during an expert map switch.
+
+The leader dies at each stage, or is isolated and continues to send orders.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,12 @@
 from snipebend.orders.messages import EngineOrder, OrderOutcome, OrderReply
 from snipebend.state.commands import TakeFence
 from snipebend.transport.rank_methods import ORDER
-from tests.transport.switch_rig import GROUP, LEASE, Rig, ShiftPlanner
+from tests.transport.switch_environment import (
+    GROUP,
+    LEASE,
+    ScriptedPlanner,
+    SwitchEnvironment,
+)
 
 _FLEET = (
     FLEET.replace('ranks = 4', 'ranks = 3')
@@ -22,100 +30,110 @@
 
 
 class LeaderDeathTest(unittest.IsolatedAsyncioTestCase):
-    """The next leader ends what the former one has begun."""
+    """The next leader completes the switch of the previous one."""
 
     async def test_death_before_the_decision(self) -> None:
-        async with Rig(_FLEET) as rig:
-            first = await self._first_map(rig)
-            self._shift_and_die(rig, 'die-before')
-            await rig.until(lambda: rig.leaders[0].cut)
-            self.assertEqual(set(rig.stamps()), {first})
-            rig.leaders[1].leads = True
-            ShiftPlanner.wanted = 1
-            last = await rig.until_all_at(first.map_version + 2)
-            self._check_activations(rig, last.map_version)
+        async with SwitchEnvironment(_FLEET) as env:
+            first = await self._first_map(env)
+            self._fail_during_switch(env, 'die-before')
+            await env.wait_until(lambda: env.leaders[0].isolated)
+            self.assertEqual(set(env.stamps()), {first})
+            env.leaders[1].leads = True
+            ScriptedPlanner.pending_plans = 1
+            last = await env.wait_for_map(first.map_version + 2)
+            self._check_activations(env, last.map_version)
 
     async def test_death_after_the_decision(self) -> None:
-        async with Rig(_FLEET) as rig:
-            first = await self._first_map(rig)
-            # Only the next leader can tell the ranks.
-            rig.store.mute = True
-            self._shift_and_die(rig, 'die-after')
-            await rig.until(lambda: rig.leaders[0].cut)
-            self.assertEqual(set(rig.stamps()), {first})
-            rig.leaders[1].leads = True
-            last = await rig.until_all_at(first.map_version + 1)
-            self._check_activations(rig, last.map_version)
+        async with SwitchEnvironment(_FLEET) as env:
+            first = await self._first_map(env)
+            # The ranks can't read the decision, so only the next leader sends
+            # it.
+            env.store.unavailable = True
+            self._fail_during_switch(env, 'die-after')
+            await env.wait_until(lambda: env.leaders[0].isolated)
+            self.assertEqual(set(env.stamps()), {first})
+            env.leaders[1].leads = True
+            last = await env.wait_for_map(first.map_version + 1)
+            self._check_activations(env, last.map_version)
 
     async def test_death_before_the_last_activation(self) -> None:
-        async with Rig(_FLEET) as rig:
-            first = await self._first_map(rig)
-            fences = rig.store.machine.state.fences
-            rig.ranks[2].deaf_to = fences.read(GROUP).fence
-            rig.store.mute = True
-            ShiftPlanner.wanted = 1
-            await rig.until(lambda: rig.decided() > first.map_version)
-            version = rig.decided()
-            await rig.until(lambda: all(rig.activated(version)[:2]))
-            rig.leaders[0].die()
-            self.assertEqual(rig.activated(version), [True, True, False])
-            rig.leaders[1].leads = True
-            await rig.until_all_at(version)
-            self._check_activations(rig, version)
+        async with SwitchEnvironment(_FLEET) as env:
+            first = await self._first_map(env)
+            fences = env.store.machine.state.fences
+            env.ranks[2].lost_fence = fences.read(GROUP).fence
+            env.store.unavailable = True
+            ScriptedPlanner.pending_plans = 1
+            await env.wait_until(
+                lambda: env.decided_version() > first.map_version
+            )
+            version = env.decided_version()
+            await env.wait_until(lambda: all(env.has_activated(version)[:2]))
+            env.leaders[0].crash()
+            self.assertEqual(env.has_activated(version), [True, True, False])
+            env.leaders[1].leads = True
+            await env.wait_for_map(version)
+            self._check_activations(env, version)
 
     async def test_isolated_leader_believes_it_is_in_charge(self) -> None:
-        async with Rig(_FLEET) as rig:
-            first = await self._first_map(rig)
-            self._shift_and_die(rig, 'isolate')
-            await rig.until(lambda: rig.leaders[0].cut)
-            rig.leaders[1].leads = True
-            ShiftPlanner.wanted = 1
-            last = await rig.until_all_at(first.map_version + 2)
-            self._check_activations(rig, last.map_version)
-            # It still leads in its own eyes, but its lease has ended.
-            self.assertTrue(rig.leaders[0].leads)
-            dump = rig.services[0].dump()
+        async with SwitchEnvironment(_FLEET) as env:
+            first = await self._first_map(env)
+            self._fail_during_switch(env, 'isolate')
+            await env.wait_until(lambda: env.leaders[0].isolated)
+            env.leaders[1].leads = True
+            ScriptedPlanner.pending_plans = 1
+            last = await env.wait_for_map(first.map_version + 2)
+            self._check_activations(env, last.map_version)
+            # The old leader still assumes leadership, but its lease has
+            # expired.
+            self.assertTrue(env.leaders[0].leads)
+            dump = env.services[0].dump()
             self.assertEqual(dump[GROUP]['phase'], 'waiting-for-fence')
 
-    async def _first_map(self, rig: Rig):
-        ShiftPlanner.wanted = 0
-        rig.leaders[0].leads = True
-        return await rig.until_all_at(1)
+    async def _first_map(self, env: SwitchEnvironment):
+        ScriptedPlanner.pending_plans = 0
+        env.leaders[0].leads = True
+        return await env.wait_for_map(1)
 
-    def _shift_and_die(self, rig: Rig, when: str) -> None:
-        rig.leaders[0].on_decide = lambda: when
-        ShiftPlanner.wanted = 1
+    def _fail_during_switch(self, env: SwitchEnvironment, when: str) -> None:
+        env.leaders[0].on_decide = lambda: when
+        ScriptedPlanner.pending_plans = 1
 
-    def _check_activations(self, rig: Rig, version: int) -> None:
-        """All ranks activated the decided map, each version at one step."""
+    def _check_activations(self, env: SwitchEnvironment, version: int) -> None:
+        """Check that all ranks activated the decided map.
+
+        Each version must have one target and step on all ranks.
+        """
         seen: dict[int, tuple[str, int]] = {}
-        for orders in rig.activations():
+        for orders in env.activations():
             for order in orders:
                 content = (order['target'], order['at_step'])
                 known = seen.setdefault(order['map_version'], content)
                 self.assertEqual(known, content)
             versions = [activation['map_version'] for activation in orders]
             self.assertIn(version, versions)
-        decision = rig.store.machine.state.maps.read(GROUP).record.decision
+        decision = env.store.machine.state.maps.read(GROUP).record.decision
         self.assertEqual(seen[version], (decision.digest, decision.step))
 
 
 class IsolatedLeaderTest(unittest.IsolatedAsyncioTestCase):
-    """Its orders have no effect on an engine that ignores fences."""
+    """An isolated leader's orders have no effect.
+
+    The engine ignores fences, so agents and issuers must stop the orders.
+    """
 
     async def test_orders_of_the_former_holder(self) -> None:
-        async with Rig(_FLEET) as rig:
-            machine = rig.store.machine
+        async with SwitchEnvironment(_FLEET) as env:
+            machine = env.store.machine
             issuers = [OrderIssuer(LEASE, GROUP, name) for name in 'ab']
             old, new = issuers
             now = time.time()
             old.apply_reply(machine.execute(TakeFence(old.request(now), now)))
             first = self._write(old, 'role-of-old')
             late = replace(first, target='late', deadline_at=now + 60)
-            reply = await self._order(rig, first)
+            reply = await self._order(env, first)
             self.assertIs(reply.outcome, OrderOutcome.EXECUTED)
 
-            def take() -> bool:
+            def has_taken_fence() -> bool:
                 moment = time.time()
                 req = new.request(moment)
                 new.apply_reply(machine.execute(TakeFence(req, moment)))
@@ -123,35 +141,40 @@
                     EngineOrder('load', GROUP, 0, 0), 'ignored', moment
                 ).is_ok()
 
-            await rig.until(take)
-            # The old holder's own check stops it, as does the deadline.
+            await env.wait_until(has_taken_fence)
+            # Both the old holder's check of its lease and the order's deadline
+            # prevent the order.
             draft = EngineOrder('role', GROUP, 0, 0)
             self.assertTrue(old.write(draft, 'ignored', time.time()).is_err())
-            reply = await self._order(rig, first)
+            reply = await self._order(env, first)
             self.assertIs(reply.outcome, OrderOutcome.REFUSED)
             self.assertIn('deadline', reply.reason)
-            # A restarted agent reads the fence first; a clock may be wrong.
-            rig.agents[0] = await rig.start_agent(0)
-            reply = await self._order(rig, late)
+            # A restarted agent reads the fence first, so that it refuses a
+            # stale order even if a clock is wrong and its deadline hasn't
+            # passed.
+            env.agents[0] = await env.start_agent(0)
+            reply = await self._order(env, late)
             self.assertIs(reply.outcome, OrderOutcome.REFUSED)
             self.assertIn('stale', reply.reason)
             order = self._write(new, 'role-of-new')
-            reply = await self._order(rig, order)
+            reply = await self._order(env, order)
             self.assertIs(reply.outcome, OrderOutcome.EXECUTED)
             self.assertIs(
-                (await self._order(rig, late)).outcome,
+                (await self._order(env, late)).outcome,
                 OrderOutcome.REFUSED,
             )
-            executed = b''.join(map(bytes, rig.engines[0].orders.executed))
+            executed = b''.join(map(bytes, env.engines[0].orders.executed))
             self.assertNotIn(b'late', executed)
-            self.assertEqual(len(rig.engines[0].orders.executed), 2)
+            self.assertEqual(len(env.engines[0].orders.executed), 2)
 
     def _write(self, issuer: OrderIssuer, target: str) -> EngineOrder:
         draft = EngineOrder('role', GROUP, 0, 0, target=target)
         return issuer.write(draft, 'ignored', time.time()).unwrap()
 
-    async def _order(self, rig: Rig, order: EngineOrder) -> OrderReply:
-        answer = await rig.clients.call(rig.agents[0], ORDER, order, timeout=5)
+    async def _order(
+        self, env: SwitchEnvironment, order: EngineOrder
+    ) -> OrderReply:
+        answer = await env.clients.call(env.agents[0], ORDER, order, timeout=5)
         return answer.unwrap()
 
 
--- a/tests/transport/test_load_reader.py
+++ b/tests/transport/test_load_reader.py
@@ -13,7 +13,7 @@
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.settings.model import UpstreamSection
-from snipebend.transport.followers import ConfigurationFollower
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.load_reader import LoadReader
 from tests.fleet.test_rendering import EXAMPLES
--- a/tests/transport/test_policy_planner.py
+++ b/tests/transport/test_policy_planner.py
@@ -1,4 +1,4 @@
-"""The planner between the agents' reports and the policy."""
+"""Plans of ``PolicyPlanner`` from the load reports of agents."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from snipebend.experts.switch_cost import fetch_bytes
 from snipebend.fleet.model import Group, Weights
 from snipebend.orders.expert_load import ExpertLoadReply
-from snipebend.transport.map_planning import GroupFacts, Plan
+from snipebend.transport.map_planning import PlanningContext, Plan
 from snipebend.transport.policy_planner import PolicyPlanner
 
 MEMBERS = ('a', 'b', 'c', 'd')
@@ -41,12 +41,15 @@
         self.assertEqual((plan.placed, plan.reason), (None, 'no-reports'))
 
     def report(self, planner, placed, counts, first_step) -> Plan:
-        """Let all members report the same counts some times."""
+        """Report equal counts for all members until a map is planned.
+
+        Stops after 20 reports at the latest; returns the last plan.
+        """
         for step in range(first_step, first_step + 4000, 200):
             reply = ExpertLoadReply(step, counts.astype(int).tolist())
-            facts = GroupFacts(step / 20, 0, 0.2, 0)
+            context = PlanningContext(step / 20, 0, 0.2, 0)
             loads = dict.fromkeys(MEMBERS, reply)
-            plan = planner.rebalance(placed, loads, facts)
+            plan = planner.rebalance(placed, loads, context)
             if plan.placed is not None:
                 return plan
         return plan
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -1,4 +1,4 @@
-"""Calls between our processes: shapes of calls and their failures."""
+"""gRPC calls between processes: all kinds of streaming, and failures."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     text: bytes
 
 
-#: Bytes that no window of a connection takes at once.
-_LONG = 8 * 1024 * 1024
+#: Size in bytes that exceeds every flow-control window.
+_LONG_BYTES = 8 * 1024 * 1024
 
 
 _DOUBLE = Method('/test/Double', _Number, _Number)
@@ -56,18 +56,18 @@
     return _Number(sum([req.number async for req in requests]))
 
 
-class Silent:
-    """A channel that never opens."""
+class UnresponsiveChannel:
+    """A channel whose connection attempt never completes."""
 
     async def __connect__(self) -> None:
         await asyncio.Event().wait()
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, as no connection is open."""
 
 
 class RpcTest(unittest.IsolatedAsyncioTestCase):
-    """One server with all shapes of calls."""
+    """Calls to a server with all kinds of streaming."""
 
     async def asyncSetUp(self) -> None:
         self.server = RpcServer('grpc', '127.0.0.1', 0)
@@ -96,18 +96,19 @@
         self.assertEqual(summed.number, 10)
 
     async def test_what_answers_a_caller_that_left_ends_at_once(self) -> None:
-        """Not once garbage is collected: until then it holds what it sends.
+        """A reply stream is closed as soon as its caller disconnects.
 
-        Control daemons grew by 10 to 25 MB a second, to the bound of their
-        memory, while entries opened watch after watch of a large document: of
-        90 watches that had ended 30 never said so.
+        When it was left to garbage collection, it held the reply in memory:
+        control daemons grew by 10 to 25 MB per second up to their memory limit
+        while entries repeatedly opened watches of a large document. Of 90
+        closed watches, 30 never logged their end.
         """
         ended = asyncio.Event()
 
         async def flood(_: _Number) -> AsyncIterator[_Text]:
             try:
                 while True:
-                    yield _Text(bytes(_LONG))
+                    yield _Text(bytes(_LONG_BYTES))
             finally:
                 ended.set()
 
@@ -123,10 +124,13 @@
         await asyncio.wait_for(ended.wait(), PATIENCE_S)
 
     async def test_little_is_sent_before_a_slow_reader_has_read(self) -> None:
-        """Pings wait behind it, and a link in use must not count as silent."""
+        """Pings wait behind unread data.
+
+        A link in use must not count as unresponsive.
+        """
 
         async def flood(_: _Number) -> AsyncIterator[_Text]:
-            yield _Text(bytes(_LONG))
+            yield _Text(bytes(_LONG_BYTES))
 
         await self.server.stop()
         self.server = RpcServer('grpc', '127.0.0.1', 0)
@@ -152,22 +156,25 @@
         await asyncio.wait([first])
 
     async def test_a_peer_that_drops_openings_is_tried_again(self) -> None:
-        """As a VM without power does; the kernel's next try is a second off."""
+        """A VM without power drops SYN packets.
+
+        The kernel resends them only after 1 s.
+        """
         peer = self.server.address
-        with mock.patch.object(rpc_clients, 'CONNECT_S', 0.01):
+        with mock.patch.object(rpc_clients, 'CONNECT_TIMEOUT_S', 0.01):
             for tries in range(3):
-                self.clients._channels[peer] = Silent()
+                self.clients._channels[peer] = UnresponsiveChannel()
                 called = await self.clients.call(
                     peer, _DOUBLE, _Number(1), timeout=60
                 )
                 self.assertTrue(called.is_err())
-                waits_s = self.clients._connect_s[peer]
+                waits_s = self.clients._connect_timeouts_s[peer]
                 self.assertAlmostEqual(waits_s, 0.02 * 2**tries)
             called = await self.clients.call(
                 peer, _DOUBLE, _Number(1), timeout=60
             )
         self.assertEqual(called.unwrap(), _Number(2))
-        self.assertEqual(self.clients._connect_s, {})
+        self.assertEqual(self.clients._connect_timeouts_s, {})
 
     async def test_a_lost_peer_is_an_error_with_step_and_peer(self) -> None:
         await self.server.stop()
--- a/tests/transport/test_upstream_views.py
+++ b/tests/transport/test_upstream_views.py
@@ -40,7 +40,7 @@
         keeper = await start_keeper()
         keeper.record(NEWS)
         watch = keeper.watch(DirectoryRequest('e-1'))
-        with mock.patch.object(directory_api, 'LOADS_EVERY_S', 0.001):
+        with mock.patch.object(directory_api, 'LOAD_INTERVAL_S', 0.001):
             first = await anext(watch)
             second = await anext(watch)
         self.assertTrue(first.reset)
