--- a/bench/rpc_cost.py
+++ b/bench/rpc_cost.py
@@ -80,13 +80,15 @@
         )
         reply.unwrap()
 
-    await clients.feed(peer, ANNOUNCE, _announcements(UPSTREAMS))
+    await clients.send_stream(peer, ANNOUNCE, _announcements(UPSTREAMS))
     figures |= await _feed_cost(clients, peer, control)
     figures |= await _cost('directory_100', list_all, control)
     async with CountingProxy(peer) as proxy:
-        await clients.feed(proxy.address, ANNOUNCE, _announcements(1))
+        await clients.send_stream(proxy.address, ANNOUNCE, _announcements(1))
         before = proxy.total_bytes
-        await clients.feed(proxy.address, ANNOUNCE, _announcements(CALLS))
+        await clients.send_stream(
+            proxy.address, ANNOUNCE, _announcements(CALLS)
+        )
         figures['announce_bytes'] = (proxy.total_bytes - before) / CALLS
         before = proxy.total_bytes
         await _repeat(lambda one: _claim(clients, proxy.address, one), KEYS)
@@ -123,7 +125,7 @@
     """Measure announcements that leave one by one, as in service."""
     client_before = time.process_time()
     server_before = _cpu(server)
-    await clients.feed(peer, ANNOUNCE, _announcements(CALLS))
+    await clients.send_stream(peer, ANNOUNCE, _announcements(CALLS))
     client_s = time.process_time() - client_before
     server_s = _cpu(server) - server_before
     return {
--- a/src/snipebend/daemons/control.py
+++ b/src/snipebend/daemons/control.py
@@ -16,7 +16,7 @@
 from snipebend.transport.directory_api import DirectoryApi
 from snipebend.transport.expert_service import ExpertService
 from snipebend.transport.group_api import GroupApi
-from snipebend.transport.policy_planner import plan_by_policy
+from snipebend.transport.policy_planner import build_policy_planner
 from snipebend.transport.replica_view import ReplicaView
 from snipebend.transport.replicated_state import ReplicatedState
 from snipebend.transport.rpc_server import RpcServer
@@ -37,7 +37,9 @@
         directory,
         state_api,
         GroupApi('group-api', grpc),
-        ExpertService('experts', grpc, state_api, view, view, plan_by_policy),
+        ExpertService(
+            'experts', grpc, state_api, view, view, build_policy_planner
+        ),
         grpc,
         admin,
         PortsFile(cfg.listen.ports_file, {'grpc': grpc, 'admin': admin}),
--- a/src/snipebend/transport/action_executor.py
+++ b/src/snipebend/transport/action_executor.py
@@ -129,7 +129,9 @@
             self._core.members_at(index),
         )
         snapshot = Snapshot(meta, self._applier.machine.encode())
-        self._writer.put(SaveSnapshot(snapshot, self._applier.keep_index()))
+        self._writer.put(
+            SaveSnapshot(snapshot, self._applier.truncation_index())
+        )
         logger.info('event=snapshot index={}', index)
 
     def _update_members(self) -> None:
--- a/src/snipebend/transport/announcer.py
+++ b/src/snipebend/transport/announcer.py
@@ -86,7 +86,9 @@
     async def _announce_to(self, peer: str) -> None:
         while True:
             try:
-                await self._clients.feed(peer, ANNOUNCE, self._announcements())
+                await self._clients.send_stream(
+                    peer, ANNOUNCE, self._announcements()
+                )
             except UnavailableError as exc:
                 logger.debug('event=announce_lost error={!r}', exc)
             await asyncio.sleep(RETRY_DELAY_S)
--- a/src/snipebend/transport/applier.py
+++ b/src/snipebend/transport/applier.py
@@ -93,7 +93,7 @@
         self._bytes_since_snapshot = 0
         return True
 
-    def keep_index(self) -> int:
+    def truncation_index(self) -> int:
         """Return the last index to drop from the log after a snapshot.
 
         Some entries before the snapshot stay in the log, so that a follower
--- a/src/snipebend/transport/configuration_follower.py
+++ b/src/snipebend/transport/configuration_follower.py
@@ -130,13 +130,13 @@
 
     def _apply(self, message: Configuration, opened_at: float) -> bool:
         """Apply a message; return whether to keep following this daemon."""
-        taken = self._copy.apply(message, opened_at)
-        self._needs_full = taken is UpdateResult.MISSED
-        if taken is UpdateResult.NEWER:
+        update_result = self._copy.apply(message, opened_at)
+        self._needs_full = update_result is UpdateResult.MISSED
+        if update_result is UpdateResult.NEWER:
             self._changed.set()
             self._changed = asyncio.Event()
             logger.info('event=configuration revision={}', self.revision)
-        if taken is UpdateResult.MISSED:
+        if update_result is UpdateResult.MISSED:
             logger.warning('event=delta_missed revision={}', message.revision)
             return False
         return not self._is_stale(message)
@@ -144,5 +144,5 @@
     def _is_stale(self, message: Configuration) -> bool:
         """Return whether the daemon may be partitioned from its group."""
         unconfirmed = not 0 <= message.confirmed_ago_s <= STALE_S
-        lapsed = self.is_expired(self._clock.now())
-        return unconfirmed or (lapsed and self.index is not None)
+        expired = self.is_expired(self._clock.now())
+        return unconfirmed or (expired and self.index is not None)
--- a/src/snipebend/transport/control_calls.py
+++ b/src/snipebend/transport/control_calls.py
@@ -132,16 +132,16 @@
             'no control daemon is configured', step=method.path
         )
         for peer in tuple(self._control):
-            answer = await self._clients.call(
+            reply = await self._clients.call(
                 peer,
                 method,
                 req,
                 timeout=CONTROL_TIMEOUT_S,
             )
-            if answer.is_ok():
+            if reply.is_ok():
                 self._prefer(peer)
-                return answer
-            failure = answer.unwrap_err()
+                return reply
+            failure = reply.unwrap_err()
             logger.warning('event=control_failed reason={!r}', str(failure))
         return Err(failure)
 
--- a/src/snipebend/transport/directory_follower.py
+++ b/src/snipebend/transport/directory_follower.py
@@ -105,7 +105,9 @@
     async def _confirm_to(self, peer: str) -> None:
         while True:
             try:
-                await self._clients.feed(peer, CONFIRM, self._confirmations())
+                await self._clients.send_stream(
+                    peer, CONFIRM, self._confirmations()
+                )
             except UnavailableError as exc:
                 logger.debug('event=confirm_lost peer={} error={!r}', peer, exc)
             await asyncio.sleep(CONFIRM_EVERY_S)
--- a/src/snipebend/transport/expert_service.py
+++ b/src/snipebend/transport/expert_service.py
@@ -140,7 +140,7 @@
             return
         if self._leading_since is None:
             self._leading_since = self._clock.now()
-            self._schedule = self._plan_store(fleet)
+            self._schedule = self._build_store_schedule(fleet)
         self._sync_groups(fleet)
         if self._clock.now() >= self._leading_since + self._cfg.settle_s:
             self._update_ranks()
@@ -201,10 +201,10 @@
             ranks = [one for one in upstreams if one.policy in policies]
             driven.switch.update_ranks(
                 {one.upstream: one.grpc_address for one in ranks},
-                self._utilisation(ranks),
+                self._compute_utilisation(ranks),
             )
 
-    def _utilisation(self, ranks: list[Announcement]) -> float:
+    def _compute_utilisation(self, ranks: list[Announcement]) -> float:
         """Return the running requests as a share of the ranks' capacity."""
         fleet = self._view.fleet()
         policies = fleet.upstreams if fleet else ()
@@ -213,7 +213,7 @@
         running = sum(one.running for one in ranks)
         return running / capacity if capacity else 0
 
-    def _plan_store(self, fleet: Fleet) -> StoreSchedule:
+    def _build_store_schedule(self, fleet: Fleet) -> StoreSchedule:
         """Create the schedule of the weight store, which all groups share.
 
         Its rate is the lowest that any group configures. Its horizon covers the
--- a/src/snipebend/transport/leader_client.py
+++ b/src/snipebend/transport/leader_client.py
@@ -28,7 +28,7 @@
     ForwardRequest,
     ReadIndexRequest,
 )
-from snipebend.transport.replica_messages import Answer, CoreRequest
+from snipebend.transport.replica_messages import RequestOutcome, CoreRequest
 from snipebend.transport.methods import FORWARD, READ_INDEX
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     from snipebend.transport.rpc_clients import RpcClients
 
 #: Timeout in seconds of a command or read, including retries.
-DEADLINE_S = 4.0
+REQUEST_TIMEOUT_S = 4.0
 
 #: Timeout in seconds of one call to the leader.
 HOP_TIMEOUT_S = 1.5
@@ -69,12 +69,12 @@
     ) -> Result[Reply, UnavailableError]:
         """Commit and execute a command."""
 
-        async def attempt(remaining: float) -> Answer:
+        async def attempt(remaining: float) -> RequestOutcome:
             if self._replica.leads:
                 return await self.propose(command, remaining)
             return await self._forward(command, remaining)
 
-        return await self._until_deadline(attempt)
+        return await self._retry_until_deadline(attempt)
 
     async def read(self) -> Result[int, UnavailableError]:
         """Wait until all entries committed before the call are applied here.
@@ -83,21 +83,23 @@
         that no later entry was committed by then.
         """
 
-        async def attempt(remaining: float) -> Answer:
+        async def attempt(remaining: float) -> RequestOutcome:
             if self._replica.leads:
                 return await self.read_index(remaining)
             return await self._forward_read_index(remaining)
 
         began = self._clock.now()
-        index = await self._until_deadline(attempt)
+        index = await self._retry_until_deadline(attempt)
         if index.is_err():
             return index
-        answer = await self._replica.wait_applied(index.unwrap(), DEADLINE_S)
-        if answer.is_ok():
+        outcome = await self._replica.wait_applied(
+            index.unwrap(), REQUEST_TIMEOUT_S
+        )
+        if outcome.is_ok():
             self.confirmed_at = max(began, self.confirmed_at or began)
-        return answer
+        return outcome
 
-    async def propose(self, command: Command, timeout: float) -> Answer:
+    async def propose(self, command: Command, timeout: float) -> RequestOutcome:
         """Propose a command on this leader, stamped with its wall time."""
         if self._replica.storage_error:
             reason = f'storage: {self._replica.storage_error}'
@@ -106,11 +108,11 @@
         event = Proposed(self._next_key(), encode_command(stamped))
         return await self._submit(event, timeout)
 
-    async def read_index(self, timeout: float) -> Answer:
+    async def read_index(self, timeout: float) -> RequestOutcome:
         """Request the index of a linearizable read from this leader."""
         return await self._submit(ReadRequested(self._next_key()), timeout)
 
-    async def change_members(self, change: MembersChange) -> Answer:
+    async def change_members(self, change: MembersChange) -> RequestOutcome:
         """Propose a membership change on this leader."""
         event = MembersProposed(self._next_key(), change)
         return await self._submit(event, HOP_TIMEOUT_S)
@@ -122,17 +124,19 @@
         if not self._replica.leads:
             return None
         command = decode_command(req.command)
-        answer = await self.propose(command, HOP_TIMEOUT_S)
-        if answer.is_err():
+        outcome = await self.propose(command, HOP_TIMEOUT_S)
+        if outcome.is_err():
             return None
-        return ForwardReply(msgpack.encode(answer.unwrap()))
+        return ForwardReply(msgpack.encode(outcome.unwrap()))
 
     async def _submit(
         self,
         event: Proposed | MembersProposed | ReadRequested,
         timeout: float,
-    ) -> Answer:
-        fut: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    ) -> RequestOutcome:
+        fut: asyncio.Future[RequestOutcome] = (
+            asyncio.get_running_loop().create_future()
+        )
         if not self._replica.offer(CoreRequest(event, fut)):
             return Err(
                 UnavailableError('too many waiting messages', step='ask')
@@ -145,40 +149,42 @@
                 UnavailableError(f'no quorum within {timeout:g} s', step='ask')
             )
 
-    async def _forward(self, command: Command, remaining: float) -> Answer:
+    async def _forward(
+        self, command: Command, remaining: float
+    ) -> RequestOutcome:
         leader = self._replica.leader_address
         if not leader:
             return Err(UnavailableError('no leader', step='forward'))
-        answer = await self._clients.call(
+        outcome = await self._clients.call(
             leader,
             FORWARD,
             ForwardRequest(encode_command(command)),
             timeout=min(HOP_TIMEOUT_S, remaining),
         )
-        return answer.map(lambda reply: decode_reply(command, reply.reply))
+        return outcome.map(lambda reply: decode_reply(command, reply.reply))
 
-    async def _forward_read_index(self, remaining: float) -> Answer:
+    async def _forward_read_index(self, remaining: float) -> RequestOutcome:
         leader = self._replica.leader_address
         if not leader:
             return Err(UnavailableError('no leader', step='read'))
-        answer = await self._clients.call(
+        outcome = await self._clients.call(
             leader,
             READ_INDEX,
             ReadIndexRequest(),
             timeout=min(HOP_TIMEOUT_S, remaining),
         )
-        return answer.map(lambda reply: reply.index)
+        return outcome.map(lambda reply: reply.index)
 
-    async def _until_deadline(
-        self, attempt: Callable[[float], Awaitable[Answer]]
+    async def _retry_until_deadline(
+        self, attempt: Callable[[float], Awaitable[RequestOutcome]]
     ) -> Result[Any, UnavailableError]:
-        deadline = self._clock.now() + DEADLINE_S
+        deadline = self._clock.now() + REQUEST_TIMEOUT_S
         while True:
-            answer = await attempt(deadline - self._clock.now())
-            if answer.is_ok():
-                return Ok(answer.unwrap())
+            outcome = await attempt(deadline - self._clock.now())
+            if outcome.is_ok():
+                return Ok(outcome.unwrap())
             if self._clock.now() + RETRY_DELAY_S >= deadline:
-                return answer
+                return outcome
             await asyncio.sleep(RETRY_DELAY_S)
 
     def _next_key(self) -> str:
--- a/src/snipebend/transport/membership_manager.py
+++ b/src/snipebend/transport/membership_manager.py
@@ -99,28 +99,28 @@
 
     async def _remove_failed(self) -> None:
         members = self._replica.status.members
-        gone = find_failed_member(members, self._replica.contact_ages())
-        if gone is None:
+        failed = find_failed_member(members, self._replica.contact_ages())
+        if failed is None:
             return
-        if await self._propose_change(RemoveMember(gone.member_id)):
+        if await self._propose_change(RemoveMember(failed.member_id)):
             logger.info(
                 'event=member_removed name={} member={}',
-                gone.name,
-                gone.member_id,
+                failed.name,
+                failed.member_id,
             )
 
     async def _answers_at_address(self, member: Member) -> bool:
-        answer = await self._clients.call(
+        outcome = await self._clients.call(
             member.address,
             HELLO,
             HelloRequest(''),
             timeout=HELLO_TIMEOUT_S,
         )
-        return answer.is_ok() and answer.unwrap().member == member
+        return outcome.is_ok() and outcome.unwrap().member == member
 
     async def _propose_change(self, change: MembersChange) -> bool:
-        answer = await self._leader_client.change_members(change)
-        return answer.is_ok()
+        outcome = await self._leader_client.change_members(change)
+        return outcome.is_ok()
 
     def _same_name_members(self, joiner: Member) -> list[Member]:
         return [
--- a/src/snipebend/transport/peer_links.py
+++ b/src/snipebend/transport/peer_links.py
@@ -57,7 +57,7 @@
         """Send messages until cancelled; reopen lost connections."""
         while True:
             try:
-                await self._clients.feed(
+                await self._clients.send_stream(
                     self.address, DELIVER, self._deliveries()
                 )
             except UnavailableError as exc:
--- a/src/snipebend/transport/pending_requests.py
+++ b/src/snipebend/transport/pending_requests.py
@@ -14,7 +14,7 @@
     from asyncio import Future
 
     from snipebend.consensus.records import Member
-    from snipebend.transport.replica_messages import Answer, CoreRequest
+    from snipebend.transport.replica_messages import RequestOutcome, CoreRequest
 
 _PROPOSE = 'propose'
 _READ = 'read'
@@ -22,7 +22,7 @@
 
 class _WaitingRead(NamedTuple):
     required_index: int
-    answer: Future[Answer]
+    outcome: Future[RequestOutcome]
 
 
 class PendingRequests:
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         """Start without requests."""
-        self._futures: dict[str, Future[Answer]] = {}
+        self._futures: dict[str, Future[RequestOutcome]] = {}
         self._waiting_reads: list[_WaitingRead] = []
 
     def __len__(self) -> int:
@@ -42,7 +42,7 @@
 
     def add(self, req: CoreRequest) -> None:
         """Add a request."""
-        self._futures[req.key] = req.answer
+        self._futures[req.key] = req.outcome
 
     def complete(self, key: str, reply: Any) -> None:
         """Complete a proposal that has been committed and applied."""
@@ -69,11 +69,11 @@
 
     async def wait(
         self, index: int, applied_index: int, timeout: float
-    ) -> Answer:
+    ) -> RequestOutcome:
         """Wait until ``index`` is applied; ``applied_index`` already is."""
         if index <= applied_index:
             return Ok(index)
-        fut: Future[Answer] = asyncio.get_running_loop().create_future()
+        fut: Future[RequestOutcome] = asyncio.get_running_loop().create_future()
         self._waiting_reads.append(_WaitingRead(index, fut))
         try:
             async with asyncio.timeout(timeout):
@@ -92,8 +92,8 @@
         for read in self._waiting_reads:
             if read.required_index > index:
                 waiting.append(read)
-            elif not read.answer.done():
-                read.answer.set_result(Ok(read.required_index))
+            elif not read.outcome.done():
+                read.outcome.set_result(Ok(read.required_index))
         self._waiting_reads = waiting
 
     def fail_all(self, reason: str) -> None:
@@ -101,9 +101,9 @@
         for key in tuple(self._futures):
             self._fail(key, UnavailableError(reason, step=_PROPOSE))
         for read in self._waiting_reads:
-            if not read.answer.done():
+            if not read.outcome.done():
                 error = UnavailableError(reason, step=_READ)
-                read.answer.set_result(Err(error))
+                read.outcome.set_result(Err(error))
         self._waiting_reads = []
 
     def _fail(self, key: str, error: UnavailableError) -> None:
--- a/src/snipebend/transport/policy_planner.py
+++ b/src/snipebend/transport/policy_planner.py
@@ -65,7 +65,7 @@
             if load is not None:
                 self._record(number, load)
         estimate = self._estimator.estimate()
-        skew = self._skew(estimate, in_force)
+        skew = self._compute_skew(estimate, in_force)
         budget = StoreBudget(
             self._group.store_bytes_per_s,
             context.store_free_at,
@@ -106,22 +106,24 @@
             return
         layers = np.arange(len(counts))
         report = ExpertReport(number, load.step, layers, counts)
-        taken = self._estimator.record(report)
-        if taken.is_err():
+        recorded = self._estimator.record(report)
+        if recorded.is_err():
             logger.warning(
                 'event=expert_load_refused group={} rank={} reason={!r}',
                 self._group.name,
                 number,
-                taken.unwrap_err().message,
+                recorded.unwrap_err().message,
             )
 
-    def _skew(self, estimate: LoadEstimate, in_force: PlacedMap) -> float:
+    def _compute_skew(
+        self, estimate: LoadEstimate, in_force: PlacedMap
+    ) -> float:
         if estimate.step < 0:
             return 0
         loads = relative_loads(estimate.shares, self._shape.ranks)
         return step_skew(in_force.expert_map.placement, loads)
 
 
-def plan_by_policy(group: Group, fleet: Fleet) -> PolicyPlanner:
+def build_policy_planner(group: Group, fleet: Fleet) -> PolicyPlanner:
     """Create the planner of a group with the fleet's weights."""
     return PolicyPlanner(group, fleet.weights)
--- a/src/snipebend/transport/replica.py
+++ b/src/snipebend/transport/replica.py
@@ -39,7 +39,7 @@
     from snipebend.consensus.core import CoreStatus
     from snipebend.consensus.storage import Storage, StoredState
     from snipebend.kernel.clock import Clock
-    from snipebend.transport.replica_messages import Answer
+    from snipebend.transport.replica_messages import RequestOutcome
     from snipebend.transport.peer_links import PeerLinks
 
 #: Number of waiting messages from which those of peers and callers are dropped.
@@ -67,7 +67,7 @@
     ) -> None:
         """Restore the core and the state machine from the data folder.
 
-        ``process_started_at`` is the time on ``clock`` when this process started.
+        ``process_started_at`` is the start time of this process on ``clock``.
         """
         self._clock = clock
         self._notify = notify
@@ -124,7 +124,7 @@
         leader = self.status.leader
         return leader.address if leader else ''
 
-    async def wait_applied(self, index: int, timeout: float) -> Answer:
+    async def wait_applied(self, index: int, timeout: float) -> RequestOutcome:
         """Wait until an index is applied here."""
         return await self.pending.wait(index, self.applier.index, timeout)
 
@@ -142,13 +142,13 @@
         """Handle messages until cancelled, or until the state is corrupt."""
         try:
             while True:
-                self._step(await self._collect())
+                self._step(await self._receive_all())
         except CorruptionError as exc:
             logger.critical('event=replica_failed error={!r}', str(exc))
             self.storage_error = str(exc)
             self.pending.fail_all(str(exc))
 
-    async def _collect(self) -> list[ReplicaMessage]:
+    async def _receive_all(self) -> list[ReplicaMessage]:
         messages = [await self._messages.receive()]
         while len(self._messages):
             messages.append(await self._messages.receive())
--- a/src/snipebend/transport/replica_messages.py
+++ b/src/snipebend/transport/replica_messages.py
@@ -19,7 +19,7 @@
 
 #: The outcome of a request: the command's reply, or an index for reads and
 #: membership changes.
-Answer = Result[Any, UnavailableError]
+RequestOutcome = Result[Any, UnavailableError]
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     """A request to the core; its outcome is set on the future."""
 
     event: Proposed | MembersProposed | ReadRequested
-    answer: Future[Answer]
+    outcome: Future[RequestOutcome]
 
     @property
     def key(self) -> str:
--- a/src/snipebend/transport/rpc_clients.py
+++ b/src/snipebend/transport/rpc_clients.py
@@ -113,7 +113,7 @@
             self.retire(peer)
             raise _unavailable(exc, method.path, peer) from exc
 
-    async def feed(
+    async def send_stream(
         self,
         peer: str,
         method: Method[Request, Reply],
--- a/src/snipebend/transport/rpc_server.py
+++ b/src/snipebend/transport/rpc_server.py
@@ -67,28 +67,28 @@
 def _build_unary_handler(
     endpoint: Endpoint,
 ) -> Callable[[Any], Awaitable[None]]:
-    async def answer(stream: Any) -> None:
+    async def handle_call(stream: Any) -> None:
         req = await stream.recv_message()
         reply: Any = await endpoint.handler(req)  # type: ignore[misc]
         await stream.send_message(reply)
 
-    return answer
+    return handle_call
 
 
 def _build_request_stream_handler(
     endpoint: Endpoint,
 ) -> Callable[[Any], Awaitable[None]]:
-    async def answer(stream: Any) -> None:
+    async def handle_call(stream: Any) -> None:
         handler: Any = endpoint.handler
         await stream.send_message(await handler(stream))
 
-    return answer
+    return handle_call
 
 
 def _build_reply_stream_handler(
     endpoint: Endpoint,
 ) -> Callable[[Any], Awaitable[None]]:
-    async def answer(stream: Any) -> None:
+    async def handle_call(stream: Any) -> None:
         req = await stream.recv_message()
         replies: Any = endpoint.handler(req)
         # If a caller disconnects while a reply waits for the flow-control
@@ -100,7 +100,7 @@
             async for reply in replies:
                 await stream.send_message(reply)
 
-    return answer
+    return handle_call
 
 
 class RpcServer(Service):
--- a/tests/transport/test_expert_switch.py
+++ b/tests/transport/test_expert_switch.py
@@ -103,16 +103,16 @@
 
         Each version must have one target and step on all ranks.
         """
-        seen: dict[int, tuple[str, int]] = {}
+        activated: dict[int, tuple[str, int]] = {}
         for orders in env.activations():
             for order in orders:
                 content = (order['target'], order['at_step'])
-                known = seen.setdefault(order['map_version'], content)
+                known = activated.setdefault(order['map_version'], content)
                 self.assertEqual(known, content)
             versions = [activation['map_version'] for activation in orders]
             self.assertIn(version, versions)
         decision = env.store.machine.state.maps.read(GROUP).record.decision
-        self.assertEqual(seen[version], (decision.digest, decision.step))
+        self.assertEqual(activated[version], (decision.digest, decision.step))
 
 
 class IsolatedLeaderTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/transport/test_group_discovery.py
+++ b/tests/transport/test_group_discovery.py
@@ -63,13 +63,21 @@
         )
         return await discovery.run_round()
 
-    async def test_only_the_first_founds_and_only_with_all(self) -> None:
-        fresh = [HelloReply(member(number)) for number in (1, 2, 3)]
+    async def test_only_the_first_daemon_founds_and_only_with_all_replies(
+        self,
+    ) -> None:
+        new_replies = [HelloReply(member(number)) for number in (1, 2, 3)]
         all_three = Members((member(1), member(2), member(3)))
-        found = await self.run_round(member(1), FakePeers(fresh[1], fresh[2]))
+        found = await self.run_round(
+            member(1), FakePeers(new_replies[1], new_replies[2])
+        )
         self.assertEqual((found, self.saved), (all_three, [all_three]))
-        self.assertIsNone(await self.run_round(member(1), FakePeers(fresh[1])))
-        waiting = await self.run_round(member(2), FakePeers(fresh[0], fresh[2]))
+        self.assertIsNone(
+            await self.run_round(member(1), FakePeers(new_replies[1]))
+        )
+        waiting = await self.run_round(
+            member(2), FakePeers(new_replies[0], new_replies[2])
+        )
         self.assertEqual((waiting, self.saved), (None, []))
 
     async def test_a_new_disk_joins_the_leader_and_never_founds(self) -> None:
@@ -84,7 +92,7 @@
         adopted = await self.run_round(member(2), FakePeers(reply))
         self.assertEqual((adopted, self.saved), (group, [group]))
 
-    async def test_a_leader_that_is_not_listed_takes_a_new_disk_in(
+    async def test_unlisted_leader_adds_a_member_with_a_new_disk(
         self,
     ) -> None:
         """The listed members know the leader's address.
@@ -133,7 +141,9 @@
         await manager.join(JoinRequest(joiner))
         return [type(change).__name__ for change in group.changes]
 
-    async def test_a_late_request_of_an_earlier_life_is_refused(self) -> None:
+    async def test_a_late_request_of_an_earlier_incarnation_is_refused(
+        self,
+    ) -> None:
         second, third = member(2, incarnation=2), member(2, incarnation=3)
         self.assertEqual(await self.join(second, third), [])
         changes = await self.join(third, third)
--- a/tests/transport/test_host_service.py
+++ b/tests/transport/test_host_service.py
@@ -28,7 +28,7 @@
         async with aclosing(self.host_service.watch(watch)) as updates:
             return await anext(updates)
 
-    async def test_news_hold_a_document_for_earlier_versions_only(self):
+    async def test_updates_hold_a_document_for_earlier_versions_only(self):
         self.daemon.put(4, b'4 body')
         update = await self.first_update(fetches=True)
         self.assertEqual((update.number, update.document), (4, b''))
@@ -53,7 +53,7 @@
         await new.aclose()
         await third.aclose()
 
-    async def test_a_long_roster_comes_in_pieces_that_add_up(self):
+    async def test_a_long_roster_is_sent_in_several_updates(self):
         """A watch that ends early must not lose the records it has received."""
         count = 2 * host_service.MAX_RECORDS + 1
         for number in range(count):
@@ -74,7 +74,7 @@
         self.assertEqual(len(received), count)
         self.assertEqual(update_count, 3)
 
-    async def test_entries_and_groups_are_told_when_they_change(self):
+    async def test_entries_and_groups_are_sent_when_they_change(self):
         """Unchanged groups and entries must not be sent again.
 
         When each update held all of them, a keep-alive had 17 kB with 1,000
@@ -97,7 +97,7 @@
                 (third.groups, third.groups_unchanged), ((), False)
             )
 
-    async def test_earlier_versions_are_told_of_groups_each_time(self):
+    async def test_earlier_versions_receive_groups_in_each_update(self):
         status = UpstreamGroupStatus('g', 's', GroupPhase.OPEN, ('i-1', 'i-2'))
         self.host_service.report_group(status)
         watch = HostWatchRequest('e', 0, 0, '10.0.0.1:7')
@@ -108,7 +108,7 @@
                 self.assertFalse(update.groups_unchanged)
                 self.daemon.record(f'i-{number}')
 
-    async def test_changes_that_come_together_are_told_together(self):
+    async def test_simultaneous_changes_are_sent_in_one_update(self):
         watch = HostWatchRequest('e', 0, 0, '10.0.0.1:7')
         async with aclosing(self.host_service.watch(watch)) as updates:
             await anext(updates)
--- a/tests/transport/test_policy_planner.py
+++ b/tests/transport/test_policy_planner.py
@@ -17,7 +17,7 @@
 
 
 class PolicyPlannerTest(unittest.TestCase):
-    def test_even_load_is_left_alone_and_a_hot_expert_is_not(self) -> None:
+    def test_map_changes_for_a_hot_expert_but_not_for_even_load(self) -> None:
         planner = PolicyPlanner(GROUP, Weights(0.7, 0.3))
         first = planner.place(MEMBERS, 1).placed
         even = np.full((2, 16), 500)
@@ -30,8 +30,10 @@
         self.assertIsNotNone(plan.placed, plan.reason)
         sizes = fetch_bytes(first, plan.placed, GROUP.expert_bytes, ())
         self.assertLess(sum(sizes.values()), 4 * 12 * 1000)
-        fresh = fetch_bytes(first, plan.placed, GROUP.expert_bytes, ('b',))
-        self.assertEqual(fresh['b'], 12 * 1000)
+        sizes_without_map = fetch_bytes(
+            first, plan.placed, GROUP.expert_bytes, ('b',)
+        )
+        self.assertEqual(sizes_without_map['b'], 12 * 1000)
 
     def test_too_few_members_and_reports_of_other_sizes(self) -> None:
         planner = PolicyPlanner(GROUP, Weights(0.5, 0.5))
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -83,7 +83,7 @@
         self.clients.close()
         await self.server.stop()
 
-    async def test_every_shape_of_call(self) -> None:
+    async def test_every_kind_of_streaming(self) -> None:
         peer = self.server.address
         doubled = await self.clients.call(peer, _DOUBLE, _Number(4), timeout=10)
         self.assertEqual(doubled.unwrap().number, 8)
@@ -92,10 +92,10 @@
             async for reply in self.clients.stream(peer, _COUNT, _Number(3))
         ]
         self.assertEqual(counted, [0, 1, 2])
-        summed = await self.clients.feed(peer, _SUM, _count(_Number(5)))
+        summed = await self.clients.send_stream(peer, _SUM, _count(_Number(5)))
         self.assertEqual(summed.number, 10)
 
-    async def test_what_answers_a_caller_that_left_ends_at_once(self) -> None:
+    async def test_reply_stream_ends_when_its_caller_disconnects(self) -> None:
         """A reply stream is closed as soon as its caller disconnects.
 
         When it was left to garbage collection, it held the reply in memory:
@@ -123,7 +123,7 @@
         self.clients.retire(server.address)
         await asyncio.wait_for(ended.wait(), PATIENCE_S)
 
-    async def test_little_is_sent_before_a_slow_reader_has_read(self) -> None:
+    async def test_unread_data_is_bounded_by_the_window(self) -> None:
         """Pings wait behind unread data.
 
         A link in use must not count as unresponsive.
@@ -155,7 +155,9 @@
         first.cancel()
         await asyncio.wait([first])
 
-    async def test_a_peer_that_drops_openings_is_tried_again(self) -> None:
+    async def test_connect_timeout_doubles_while_a_peer_drops_packets(
+        self,
+    ) -> None:
         """A VM without power drops SYN packets.
 
         The kernel resends them only after 1 s.
@@ -183,4 +185,4 @@
         exc = answer.unwrap_err()
         self.assertEqual((exc.step, exc.peer), ('/test/Double', peer))
         with self.assertRaises(UnavailableError):
-            await self.clients.feed(peer, _SUM, _count(_Number(1)))
+            await self.clients.send_stream(peer, _SUM, _count(_Number(1)))
