--- a/bench/rpc_cost.py
+++ b/bench/rpc_cost.py
@@ -81,13 +81,15 @@
         )
         reply.unwrap()
 
-    await clients.feed(peer, ANNOUNCE, _announcements(UPSTREAMS))
+    await clients.send_stream(peer, ANNOUNCE, _announcements(UPSTREAMS))
     figures |= await _measure_announcements(clients, peer, control)
     figures |= await _measure_call('directory_100', fetch_directory, control)
     async with CountingProxy(peer) as proxy:
-        await clients.feed(proxy.address, ANNOUNCE, _announcements(1))
+        await clients.send_stream(proxy.address, ANNOUNCE, _announcements(1))
         before = proxy.total_bytes
-        await clients.feed(proxy.address, ANNOUNCE, _announcements(CALLS))
+        await clients.send_stream(
+            proxy.address, ANNOUNCE, _announcements(CALLS)
+        )
         figures['announce_bytes'] = (proxy.total_bytes - before) / CALLS
         before = proxy.total_bytes
         await _repeat(
@@ -128,7 +130,7 @@
     """Measure announcements that are sent one by one, as in production."""
     client_before = time.process_time()
     server_before = _read_cpu_seconds(server)
-    await clients.feed(peer, ANNOUNCE, _announcements(CALLS))
+    await clients.send_stream(peer, ANNOUNCE, _announcements(CALLS))
     client_s = time.process_time() - client_before
     server_s = _read_cpu_seconds(server) - server_before
     return {
--- a/src/snipebend/daemons/control.py
+++ b/src/snipebend/daemons/control.py
@@ -12,11 +12,11 @@
 )
 from snipebend.kernel.process import Process
 from snipebend.settings.model import ControlSettings
-from snipebend.transport.control_api import ConfigurationKeeper
-from snipebend.transport.directory_api import DirectoryKeeper
+from snipebend.transport.control_api import ConfigurationApi
+from snipebend.transport.directory_api import DirectoryApi
 from snipebend.transport.expert_service import ExpertService
 from snipebend.transport.group_api import GroupApi
-from snipebend.transport.policy_planner import plan_by_policy
+from snipebend.transport.policy_planner import build_policy_planner
 from snipebend.transport.replica_view import ReplicaView
 from snipebend.transport.replicated_state import ReplicatedState
 from snipebend.transport.rpc_server import RpcServer
@@ -29,15 +29,17 @@
     grpc = RpcServer('grpc', cfg.listen.host, cfg.listen.grpc_port)
     state = ReplicatedState('state', cfg)
     state_api = StateApi('state-api', grpc)
-    directory = DirectoryKeeper('directory', grpc)
+    directory = DirectoryApi('directory', grpc)
     view = ReplicaView(state, directory)
     services = [
         state,
-        ConfigurationKeeper('configuration', grpc),
+        ConfigurationApi('configuration', grpc),
         directory,
         state_api,
         GroupApi('group-api', grpc),
-        ExpertService('experts', grpc, state_api, view, view, plan_by_policy),
+        ExpertService(
+            'experts', grpc, state_api, view, view, build_policy_planner
+        ),
         grpc,
         admin,
         PortsFile(cfg.listen.ports_file, {'grpc': grpc, 'admin': admin}),
--- a/src/snipebend/transport/announcer.py
+++ b/src/snipebend/transport/announcer.py
@@ -12,7 +12,7 @@
 from snipebend.errors.hierarchy import UnavailableError
 from snipebend.kernel.service import Service
 from snipebend.membership.messages import Announcement, Phase
-from snipebend.transport.followers import (
+from snipebend.transport.configuration_follower import (
     RETRY_DELAY_S,
     ConfigurationFollower,
 )
@@ -87,7 +87,9 @@
     async def _announce_to(self, peer: str) -> None:
         while True:
             try:
-                await self._clients.feed(peer, ANNOUNCE, self._announcements())
+                await self._clients.send_stream(
+                    peer, ANNOUNCE, self._announcements()
+                )
             except UnavailableError as exc:
                 logger.debug('event=announce_lost error={!r}', exc)
             await asyncio.sleep(RETRY_DELAY_S)
--- a/src/snipebend/transport/directory_follower.py
+++ b/src/snipebend/transport/directory_follower.py
@@ -13,7 +13,7 @@
 from snipebend.kernel.service import Service
 from snipebend.membership.directory_delta import DirectoryCopy
 from snipebend.membership.messages import Announcement, DirectoryRequest
-from snipebend.transport.followers import (
+from snipebend.transport.configuration_follower import (
     RETRY_DELAY_S,
     ConfigurationFollower,
 )
@@ -105,7 +105,9 @@
     async def _confirm_to(self, peer: str) -> None:
         while True:
             try:
-                await self._clients.feed(peer, CONFIRM, self._confirmations())
+                await self._clients.send_stream(
+                    peer, CONFIRM, self._confirmations()
+                )
             except UnavailableError as exc:
                 logger.debug('event=confirm_lost peer={} error={!r}', peer, exc)
             await asyncio.sleep(CONFIRM_INTERVAL_S)
--- a/src/snipebend/transport/upstream_api.py
+++ b/src/snipebend/transport/upstream_api.py
@@ -21,7 +21,7 @@
 )
 from snipebend.transport.crash_reporter import CrashReporter
 from snipebend.transport.engine_call_factory import create_engine_call_factory
-from snipebend.transport.followers import ConfigurationFollower
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.frames import (
     MEDIA_FRAMES,
     Accepted,
--- a/tests/transport/test_cancelled_waits.py
+++ b/tests/transport/test_cancelled_waits.py
@@ -16,10 +16,10 @@
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.membership.messages import Announcement, DirectoryRequest
-from snipebend.transport.control_api import ConfigurationKeeper
-from snipebend.transport.directory_api import DirectoryKeeper
-from snipebend.transport.followers import ConfigurationFollower
-from snipebend.transport.questions import Questions
+from snipebend.transport.control_api import ConfigurationApi
+from snipebend.transport.directory_api import DirectoryApi
+from snipebend.transport.configuration_follower import ConfigurationFollower
+from snipebend.transport.pending_requests import PendingRequests
 from snipebend.transport.rpc_server import RpcServer
 
 #: Iterations of the event loop between the wake-up and the cancellation.
@@ -33,10 +33,10 @@
         await asyncio.sleep(0)
 
 
-async def start_keeper() -> DirectoryKeeper:
+async def start_keeper() -> DirectoryApi:
     """Return a started directory that serves watchers."""
-    keeper = DirectoryKeeper('directory', RpcServer('grpc', '127.0.0.1', 0))
-    configuration = mock.create_autospec(ConfigurationKeeper, instance=True)
+    keeper = DirectoryApi('directory', RpcServer('grpc', '127.0.0.1', 0))
+    configuration = mock.create_autospec(ConfigurationApi, instance=True)
     configuration.name = 'configuration'
     configuration.revision = 1
     registry = Registry(SystemClock(), TaskSupervisor())
@@ -77,13 +77,13 @@
 
     async def test_read_of_the_state(self) -> None:
         for turns in TURNS:
-            questions = Questions()
+            questions = PendingRequests()
             task = asyncio.create_task(self.read_repeatedly(questions))
             await self.assert_cancelled(
-                task, partial(questions.executed, 1), turns
+                task, partial(questions.complete_reads, 1), turns
             )
 
-    async def follow(self, keeper: DirectoryKeeper) -> None:
+    async def follow(self, keeper: DirectoryApi) -> None:
         async for _ in keeper.watch(DirectoryRequest('e-1')):
             await asyncio.sleep(0)
 
@@ -92,7 +92,7 @@
             await follower.wait_newer(0, 60)
             follower._changed.clear()
 
-    async def read_repeatedly(self, questions: Questions) -> None:
+    async def read_repeatedly(self, questions: PendingRequests) -> None:
         while True:
             await questions.wait(1, 0, 60)
 
--- a/tests/transport/test_policy_planner.py
+++ b/tests/transport/test_policy_planner.py
@@ -1,4 +1,4 @@
-"""The planner between the agents' reports and the policy."""
+"""Plans of ``PolicyPlanner`` from the load reports of agents."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from snipebend.experts.switch_cost import fetch_bytes
 from snipebend.fleet.model import Group, Weights
 from snipebend.orders.expert_load import ExpertLoadReply
-from snipebend.transport.map_planning import GroupFacts, Plan
+from snipebend.transport.map_planning import PlanningContext, Plan
 from snipebend.transport.policy_planner import PolicyPlanner
 
 MEMBERS = ('a', 'b', 'c', 'd')
@@ -17,7 +17,7 @@
 
 
 class PolicyPlannerTest(unittest.TestCase):
-    def test_even_load_is_left_alone_and_a_hot_expert_is_not(self) -> None:
+    def test_map_changes_for_a_hot_expert_but_not_for_even_load(self) -> None:
         planner = PolicyPlanner(GROUP, Weights(0.7, 0.3))
         first = planner.place(MEMBERS, 1).placed
         even = np.full((2, 16), 500)
@@ -30,8 +30,10 @@
         self.assertIsNotNone(plan.placed, plan.reason)
         sizes = fetch_bytes(first, plan.placed, GROUP.expert_bytes, ())
         self.assertLess(sum(sizes.values()), 4 * 12 * 1000)
-        fresh = fetch_bytes(first, plan.placed, GROUP.expert_bytes, ('b',))
-        self.assertEqual(fresh['b'], 12 * 1000)
+        sizes_without_map = fetch_bytes(
+            first, plan.placed, GROUP.expert_bytes, ('b',)
+        )
+        self.assertEqual(sizes_without_map['b'], 12 * 1000)
 
     def test_too_few_members_and_reports_of_other_sizes(self) -> None:
         planner = PolicyPlanner(GROUP, Weights(0.5, 0.5))
@@ -41,12 +43,15 @@
         self.assertEqual((plan.placed, plan.reason), (None, 'no-reports'))
 
     def report(self, planner, placed, counts, first_step) -> Plan:
-        """Let all members report the same counts some times."""
+        """Report equal counts for all members until a map is planned.
+
+        Stops after 20 reports at the latest; returns the last plan.
+        """
         for step in range(first_step, first_step + 4000, 200):
             reply = ExpertLoadReply(step, counts.astype(int).tolist())
-            facts = GroupFacts(step / 20, 0, 0.2, 0)
+            context = PlanningContext(step / 20, 0, 0.2, 0)
             loads = dict.fromkeys(MEMBERS, reply)
-            plan = planner.rebalance(placed, loads, facts)
+            plan = planner.rebalance(placed, loads, context)
             if plan.placed is not None:
                 return plan
         return plan
