--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Puts the libraries and the two packages, byte-compiled, under target/deps.
-# What is there already isn't touched: a program may be running from it.
+# Files that exist already aren't changed: a program may be running from them.
 set -eu
 stamp=target/deps/.installed
 if [ ! "$stamp" -nt deploy/requirements.lock ]; then
