--- a/tests/experts/test_change_value.py
+++ b/tests/experts/test_change_value.py
@@ -1,4 +1,9 @@
-"""Saving that a change of the map must bring, by age of the demand."""
+"""Guards against changes too small to pay off, and maps that are never refined.
+
+With one fixed threshold, small changes delay the response to a shift that is
+due where demand shifts often. Or a map that was planned from few counts right
+after a shift stays in force although the demand lasts.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_demand.py
+++ b/tests/experts/test_demand.py
@@ -1,4 +1,9 @@
-"""Detection of shifts of demand among the noise of counts."""
+"""Guards against missed shifts of demand, and noise mistaken for a shift.
+
+Two spans of counts always differ: with few choices by chance, with many choices
+because the requests of one period are correlated. If that noise is misjudged, a
+shift goes undetected, or a valid estimate of the demand is discarded.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -1,4 +1,10 @@
-"""Orders that one coordinator sends at each stage of a switch."""
+"""Guards against a ``Go`` that is sent too early, and a group left on hold.
+
+Replies are lost, ranks refuse ``Arm`` until they have fetched, and step
+readings become outdated. A ``Go`` before every rank is armed would start a pass
+with different maps. A hold that is set too early or is not released makes the
+group idle.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_direct_switch_search.py
+++ b/tests/experts/test_direct_switch_search.py
@@ -1,4 +1,10 @@
-"""Randomized search over seeded schedules of direct switches."""
+"""Searches for a schedule in which one pass runs with different maps.
+
+Orders are lost, or executed seconds after their sender timed out, and leaders
+are replaced during a switch. A coordinator that sends ``Go`` early, arms
+without a hold or continues without its lease then lets ranks start a pass with
+different maps. A switch must also not leave its group on hold.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_estimate.py
+++ b/tests/experts/test_estimate.py
@@ -1,4 +1,8 @@
-"""Load estimates from late, repeated, reordered and missing reports."""
+"""Ensures that load estimates do not depend on how reports arrive.
+
+Reports of ranks arrive late, twice, out of order or not at all, and some are
+invalid. The estimate must not be biased by this, only less certain.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_group_monitor.py
+++ b/tests/experts/test_group_monitor.py
@@ -1,4 +1,10 @@
-"""Demand estimated from rank counts, and the maps proposed for it."""
+"""Prevents maps that are planned for a demand that does not exist.
+
+An interval between two readings can contain a demand shift, too few selections,
+or counts of another epoch. A map planned from it would suit neither the old nor
+the new demand. Changes that save little are also deferred while passes are
+short.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_map_search.py
+++ b/tests/experts/test_map_search.py
@@ -1,4 +1,9 @@
-"""Search for a better map within the limits of one change."""
+"""Detects maps that exceed the limits of a change, or stay too skewed.
+
+Improved one after the other, the first layers use up all fetches of the ranks.
+A minimum gain or a number of steps that suits small groups stops the search too
+early in large ones.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_model.py
+++ b/tests/experts/test_model.py
@@ -1,4 +1,8 @@
-"""Encoding and validation of expert maps."""
+"""Ensures that invalid expert maps are refused.
+
+Encoded maps can be truncated. A placement can name an unknown expert, leave an
+expert without a rank, or list it twice on one rank.
+"""
 
 from __future__ import annotations
 
@@ -16,6 +20,8 @@
 
 
 class ModelTest(unittest.TestCase):
+    """Encoding, moves and checks of a map."""
+
     def test_encoding_keeps_the_map_and_its_digest(self) -> None:
         expert_map = _make_map()
         decoded = decode_map(expert_map.encode()).unwrap()
--- a/tests/experts/test_placement.py
+++ b/tests/experts/test_placement.py
@@ -1,4 +1,9 @@
-"""Validity and minimal moves of placed, searched and truncated maps."""
+"""Detects placements that lose experts or load more than the budget.
+
+A search is cut off after any number of changes to stay within a budget. Each
+prefix must be a valid map, with the skew that was predicted for it, and a small
+drift must not cause as many loads as a placement from scratch.
+"""
 
 from __future__ import annotations
 
@@ -31,6 +36,8 @@
 
 
 class PlacementTest(unittest.TestCase):
+    """Maps for random shapes and loads, and for skewed and drifted loads."""
+
     @given(_placement_cases())
     @settings(derandomize=True, deadline=None, max_examples=200)
     def test_maps_from_scratch_are_valid(self, case) -> None:
--- a/tests/experts/test_placement_view.py
+++ b/tests/experts/test_placement_view.py
@@ -1,4 +1,9 @@
-"""Derived arrays of the search against their definition, with ties."""
+"""Detects a search that scores the drop of a replica wrongly.
+
+The load that the other holders of an expert have after a drop is computed for
+all slots at once. It is compared with its definition, slot by slot, for skewed
+loads and for equal loads, where ranks tie.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +19,8 @@
 
 
 class ViewTest(unittest.TestCase):
+    """Derived arrays against their definition."""
+
     def test_load_of_other_holders_after_a_drop(self) -> None:
         even = np.ones((SHAPE.layers, SHAPE.experts))
         for shares in (even, zipf_shares(SHAPE, 1), zipf_shares(SHAPE, 2)):
--- a/tests/experts/test_policy.py
+++ b/tests/experts/test_policy.py
@@ -1,4 +1,9 @@
-"""Decisions of the policy on changes of the expert map."""
+"""Prevents map changes that cost more than they gain.
+
+Noise, alternating load and stale or missing reports suggest gains that do not
+last. Loading experts for them takes capacity from requests, and bandwidth of
+the weight store from other groups.
+"""
 
 from __future__ import annotations
 
@@ -97,6 +102,8 @@
 
 
 class PolicyTest(unittest.TestCase):
+    """Decisions under steady, drifting and alternating load."""
+
     def test_no_move_without_drift(self) -> None:
         for weights in (SKEW_FIRST, COST_FIRST):
             group = _Group(weights)
--- a/tests/experts/test_rank_group_index.py
+++ b/tests/experts/test_rank_group_index.py
@@ -1,4 +1,9 @@
-"""Groups derived from the reports of ranks."""
+"""No order may go to a group whose members are not known for certain.
+
+Ranks report their group one after the other. When a group is re-formed, or two
+groups exchange a rank, a removed rank still reports the old epoch, and two
+ranks can report the same number.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -1,4 +1,10 @@
-"""Schedule of count readings, by the reported pass times."""
+"""Guards against readings of counts that are too frequent, or miss a shift.
+
+Each reading pauses the group, and is useless while streams are on time. A span
+that contains a shift or a change of the map can mix two demands, and a span
+with few choices does not show the demand. After a check that kept the map, a
+shift can go unnoticed because passes were long before it, too.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +30,7 @@
 
 
 class TestReadingPlan(unittest.TestCase):
-    """The next reading by pass times and earlier readings."""
+    """Selects the next reading by pass times and earlier readings."""
 
     def setUp(self):
         self.plan = ReadingPlan(MAX_PAUSE_S)
--- a/tests/experts/test_switch_search.py
+++ b/tests/experts/test_switch_search.py
@@ -1,4 +1,10 @@
-"""Randomized search over seeded schedules of the expert map switch."""
+"""Searches for a schedule in which one step runs under two expert maps.
+
+The network is unreliable. A coordinator that activates a map without a durable
+decision, or a rank that passes the hold, accepts an old fence or promises
+before its weights are fetched, then lets ranks run a step under different maps.
+The search must detect each of these faults when it is injected.
+"""
 
 from __future__ import annotations
 
@@ -118,6 +124,8 @@
 
 
 class SwitchSearchTest(unittest.TestCase):
+    """No step runs under two maps, and switches make progress."""
+
     def test_no_step_under_two_maps_and_progress(self) -> None:
         steps = 0
         switches = 0
--- a/tests/experts/test_two_groups.py
+++ b/tests/experts/test_two_groups.py
@@ -1,4 +1,9 @@
-"""Randomized search over seeded schedules of two groups under one leader."""
+"""Searches for a schedule in which the switch of one group affects another one.
+
+An order can be executed late, after its rank moved to the other group. If the
+epoch did not change, the rank executes it there. If each group numbers its
+versions independently, a moved rank refuses versions of its new group.
+"""
 
 from __future__ import annotations
 
--- a/tests/experts/test_uncertain_skew.py
+++ b/tests/experts/test_uncertain_skew.py
@@ -1,4 +1,8 @@
-"""Expected skew of maps that were made from few counts."""
+"""Detects a skew that is estimated too low because counts are few.
+
+A map search fits the map to the noise of the counts, too. Under the counted
+shares the skew is then lower than under the true demand.
+"""
 
 from __future__ import annotations
 
