--- a/tests/balancing/test_count_reader.py
+++ b/tests/balancing/test_count_reader.py
@@ -1,4 +1,9 @@
-"""Number of ranks whose counts are read."""
+"""Guards against counts that are read from too few or too many ranks.
+
+While the demand is unknown, the counts of a few ranks contain too few
+selections to estimate it, and an unsuitable map stays in force longer. Once it
+is known, reading further ranks only adds cost.
+"""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_demand_shifts.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -1,4 +1,10 @@
-"""Time from a demand shift to a suitable map, for groups of various sizes."""
+"""A map that no longer suits the demand must not stay in force.
+
+The shift can go unnoticed or be handled late if passes were long before it, if
+they stay short after it, if a reading of counts fails, or if the leader is
+replaced meanwhile. The time to a suitable map is measured for groups of 8 to
+192 ranks.
+"""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_engine_backoffs.py
+++ b/tests/balancing/test_engine_backoffs.py
@@ -1,4 +1,8 @@
-"""Backoffs requested by engines."""
+"""Guards against calls to an engine before its backoff has expired.
+
+An engine that requested a long backoff can request a shorter one afterwards,
+which must not replace the longer one.
+"""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_engine_http.py
+++ b/tests/balancing/test_engine_http.py
@@ -1,4 +1,9 @@
-"""Concurrent calls to many engines, and backoffs requested by engines."""
+"""Calls must not wait for other calls, nor be sent during a backoff.
+
+A leader calls all ranks of a group at once. If a call waits for the connection
+of another one, a late response delays other ranks. An engine that responds with
+``Retry-After``, to a query or an order, refuses calls until that time.
+"""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -1,4 +1,10 @@
-"""Conditions under which the leader sends orders for expert maps."""
+"""Prevents orders that are based on outdated knowledge of a group.
+
+When a leader takes over, reports don't show the last orders of its predecessor
+yet. Its switch may be unfinished and the group on hold, so the new leader must
+wait for current reports and then complete the switch. Without the lease it must
+send nothing.
+"""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_group_observer.py
+++ b/tests/balancing/test_group_observer.py
@@ -1,4 +1,9 @@
-"""Groups are observed independently of the ranks of other groups."""
+"""Ensures that a faulty rank does not hide or delay other groups.
+
+A rank can stop responding, be replaced under the same number, or change groups.
+Other groups must not wait for it, and a snapshot must not outlive a rank that
+was removed.
+"""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_last_switch.py
+++ b/tests/balancing/test_last_switch.py
@@ -1,4 +1,9 @@
-"""State of a switch derived from reports of different age."""
+"""Guards against a switch that is repeated although it is taking effect.
+
+Reports of the ranks have different ages. After ``Go`` was accepted, some still
+show the previous map and the hold, like a rank that failed to switch. Only the
+step of a report tells the two cases apart.
+"""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_steady_demand.py
+++ b/tests/balancing/test_steady_demand.py
@@ -1,4 +1,9 @@
-"""Under steady demand a bad map is replaced and a good map is kept."""
+"""Detects bad maps that stay, and changes that bring no benefit.
+
+The first map is planned from few counts. With a fixed threshold for the saving,
+it is never refined although the demand lasts. Without a threshold, noise in the
+counts would lead to further changes.
+"""
 
 from __future__ import annotations
 
