--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -1,4 +1,9 @@
-"""Fenced orders: the fence gate of the agent and the waits of the holder."""
+"""No order of a former holder may run after one of its successor.
+
+Orders are delayed on the way, clocks differ, agents restart, and some engines
+ignore fences. If the next holder sends orders before the previous lease has
+expired, an engine can execute an older order after a newer one.
+"""
 
 from __future__ import annotations
 
@@ -19,6 +24,8 @@
 
 
 class FenceGateTest(unittest.TestCase):
+    """Refuses stale and expired orders, and all until a fence is known."""
+
     def test_restart_stale_fence_and_deadline(self) -> None:
         gate = FenceGate()
         order = EngineOrder('load', 'g', 4, deadline_at=10)
@@ -34,6 +41,8 @@
 
 
 class IssuerTest(unittest.TestCase):
+    """A holder sends no orders before its predecessor's have expired."""
+
     def test_waits_for_engines_that_ignore_fences(self) -> None:
         book = FenceState()
         old = OrderIssuer(CFG, 'g', 'old')
--- a/tests/orders/test_flow.py
+++ b/tests/orders/test_flow.py
@@ -1,4 +1,10 @@
-"""Limits on orders in flight and timeouts of their replies."""
+"""Guards against orders that time out although the link still delivers them.
+
+Large orders to many ranks share one link, so the last ones arrive late. A
+timeout that ignores their size and the replies to other orders ends calls that
+make progress. The limit on bytes in flight must not delay small, urgent orders
+or stay filled by an order that gets no reply.
+"""
 
 from __future__ import annotations
 
