--- a/tests/relay/test_call_outcomes.py
+++ b/tests/relay/test_call_outcomes.py
@@ -1,4 +1,9 @@
-"""The decision whether to retry a request after a failed call."""
+"""Prevents requests from running twice, or being refused although they ran.
+
+A call can fail after the upstream received the request, so that nobody knows
+whether it ran. A retry could run a non-idempotent request again, and a refusal
+would state that it did not run.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_entry_directory.py
+++ b/tests/relay/test_entry_directory.py
@@ -1,4 +1,9 @@
-"""The entry directory, merged from the lists of several daemons."""
+"""Entries must not disappear from the directory while a daemon lists them.
+
+Each control daemon lists the entries that are connected to it. A daemon that is
+cut off from an entry doesn't list it, and daemons of earlier versions send no
+data centres. Entries that no daemon lists must be removed.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_fan_out.py
+++ b/tests/relay/test_fan_out.py
@@ -1,4 +1,10 @@
-"""The recipients of gossip messages."""
+"""Gossip must reach each entry exactly once.
+
+A message is sent once to each other data centre and forwarded there. If sender
+and forwarder choose their recipients differently, entries are left out or
+receive copies, and a fixed recipient would do all forwarding of its data
+centre.
+"""
 
 from __future__ import annotations
 
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -1,4 +1,10 @@
-"""Upstreams that announce a rate limit."""
+"""Guards against upstreams that get more calls than they announced to accept.
+
+A limit applies to the calls of all entries together, but each entry receives
+the counts of the others late, or not at all if datagrams are lost, entries
+freeze or restart, or the network is partitioned. A late or unauthenticated
+response must not lift a limit.
+"""
 
 from __future__ import annotations
 
@@ -148,7 +154,7 @@
 
 
 class TestRateLimitTable(unittest.TestCase):
-    """Which notice takes effect."""
+    """Notices of a limit that are applied, ignored or reported."""
 
     def setUp(self):
         self.table = RateLimitTable()
--- a/tests/relay/test_refusals.py
+++ b/tests/relay/test_refusals.py
@@ -173,7 +173,7 @@
 
 
 class TestRefusals(unittest.TestCase):
-    """Which reports count, and for how long."""
+    """How long a refusing upstream is chosen last, and what ends that."""
 
     def setUp(self):
         self.refusals = RefusalHistory()
--- a/tests/relay/test_retry_after.py
+++ b/tests/relay/test_retry_after.py
@@ -1,4 +1,9 @@
-"""When refused callers are told to retry."""
+"""Callers must not be told to retry too early, too late or all at once.
+
+Callers retry once or twice. A retry that is too early meets the same outage,
+and one that is too late exceeds the caller's timeout. If all callers wait
+equally long, their retries arrive together.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +19,7 @@
 
 
 class TestRetryAfter(unittest.TestCase):
-    """Within a third of the caller's timeout, with jitter."""
+    """Waits within a third of the caller's time left, with jitter."""
 
     def test_busy(self):
         self.assertLess(busy_retry_after_s(0), busy_retry_after_s(0.9))
--- a/tests/relay/test_upstream_selection.py
+++ b/tests/relay/test_upstream_selection.py
@@ -1,4 +1,9 @@
-"""The selection of an upstream, and the state it depends on."""
+"""Guards against calls to upstreams that are busy, unavailable or slow.
+
+An entry knows the load and state of upstreams from reports of others, which
+arrive late or out of order. In a group that runs in lock-step, one lost or slow
+rank affects the calls of all ranks, also of those that are idle.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +36,7 @@
 
 
 class TestSelectUpstream(unittest.TestCase):
-    """The least loaded upstream, then one in the same data centre."""
+    """Prefers the least loaded upstream, then one in the same data centre."""
 
     def select(self, *candidates, requirements=REQUIREMENTS, now=10.0):
         chosen = select_upstream(candidates, requirements, now, Random(1))
--- a/tests/relay/test_upstreams.py
+++ b/tests/relay/test_upstreams.py
@@ -1,4 +1,9 @@
-"""Incarnations of upstreams in an entry's table."""
+"""A restarted upstream must not inherit the state of its predecessor.
+
+A restarted upstream keeps its identity. Calls and failures of the previous
+incarnation don't apply to it, and the end of that incarnation can be reported
+after the new one has started.
+"""
 
 from __future__ import annotations
 
