--- a/tests/edge/test_backoff.py
+++ b/tests/edge/test_backoff.py
@@ -1,4 +1,10 @@
-"""Requests through a relay to upstreams that request a backoff."""
+"""Guards against calls to upstreams that have requested a backoff.
+
+An upstream requests a backoff in a refusal. Later requests can still select it,
+and a call that waits for its connection at that moment can still be sent. If
+all upstreams back off, a request must be refused at once with the time of the
+earliest retry.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_caller_side.py
+++ b/tests/edge/test_caller_side.py
@@ -1,4 +1,10 @@
-"""Malformed, smuggled, oversized and slow requests."""
+"""Guards against requests that two parsers would split differently.
+
+A request with ambiguous framing can hide a second one in its body, which an
+upstream would then run (request smuggling). Heads and bodies that are too large
+or too slow would occupy the entry, and pipelined requests could get each
+other's responses.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_document_distribution.py
+++ b/tests/edge/test_document_distribution.py
@@ -1,16 +1,15 @@
-"""A document that is large for the links of entries.
-
-Guards against a document that takes seconds to reach entries: a confirmed
-change was not in force 2.5 s later, at some entries for 40 s, and most
-responses were late meanwhile. The document had grown to 0.6 MB with many
-routes, and each of five control daemons sent it completely to each entry;
-together they filled the entry's link of 20 Mbit/s, which responses to callers
-share, for 1.24 s. A watch without a complete message for 1.2 s was closed and
-the bytes received so far were dropped, so that the next one began with the
-first byte. The cause: only complete messages counted as a sign of life, and
-partial ones were not kept. Evidence: links were full for 25 s with idle
-processors, `watch_opened` was logged each 1.25 s without `document_in_force`,
-and entries' metrics showed the old document number.
+"""Guards against a document that takes seconds to reach entries.
+
+The document had grown to 0.6 MB with many routes. Each of five control daemons
+sent it completely to each entry; together they filled the entry's link of 20
+Mbit/s, which responses to callers share, for 1.24 s. A watch without a complete
+message for 1.2 s was closed and its bytes were dropped, because only complete
+messages counted as a sign of life. The next watch began with the first byte.
+
+As a result, a confirmed change was not in force 2.5 s later, at some entries
+for 40 s, and most responses were late meanwhile. Evidence: links were full for
+25 s with idle processors, `watch_opened` was logged each 1.25 s without
+`document_in_force`, and entries' metrics showed the old document number.
 """
 
 from __future__ import annotations
--- a/tests/edge/test_document_fetcher.py
+++ b/tests/edge/test_document_fetcher.py
@@ -1,4 +1,9 @@
-"""Document parts that are late, don't continue the document or are damaged."""
+"""A document must be fetched as long as any daemon has it.
+
+The daemon that is asked first can fail to respond, send a damaged document, or
+have an older one than it announced. If the entry keeps asking it, a confirmed
+change does not come into force.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_document_sources.py
+++ b/tests/edge/test_document_sources.py
@@ -1,4 +1,9 @@
-"""The daemon that is asked for a document."""
+"""Guards against document fetches that stay with a failed or removed daemon.
+
+Several daemons announce the same document. A fetch continues at one daemon
+until it fails, and must not return to it at once. If all processes asked the
+same daemon, it would have to send each of them the document.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_early_listener.py
+++ b/tests/edge/test_early_listener.py
@@ -1,4 +1,9 @@
-"""Callers that connect before the entry is loaded."""
+"""Callers must find a listener while an entry starts.
+
+Loading an entry takes 0.45 s. After all entries were killed, callers found no
+listener for that time, retried once and found none again. The socket must be
+opened before any module that takes long to load is imported.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_gossip.py
+++ b/tests/edge/test_gossip.py
@@ -1,4 +1,8 @@
-"""Entries that report their calls to each other."""
+"""Guards against entries that act on missing or outdated reports of others.
+
+Datagrams can be lost, repeated, reordered or invalid, and earlier versions send
+fewer fields. A late copy of a message would replace newer counts of calls.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 
 class TestGossip(unittest.IsolatedAsyncioTestCase):
-    """Over datagrams on loopback, and with single datagrams."""
+    """Entries exchange messages on loopback, or are passed single datagrams."""
 
     async def start(self, name, calls, data_center='dc'):
         cfg = RelaySettings(
--- a/tests/edge/test_leaving.py
+++ b/tests/edge/test_leaving.py
@@ -1,4 +1,9 @@
-"""Requests to upstreams that announce their shutdown in responses."""
+"""An upstream that has announced its shutdown must get no new calls.
+
+The notice can be part of a success, a failure, the head of a stream, or a
+response that arrives after its caller has disconnected. Where it is overlooked,
+the upstream still gets requests. A notice of another incarnation doesn't apply.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_rate_limits.py
+++ b/tests/edge/test_rate_limits.py
@@ -1,4 +1,9 @@
-"""Requests through a relay to upstreams that announce a rate limit."""
+"""Prevents calls, among them retries, that exceed an announced limit.
+
+An upstream announces its limit in a response or a refusal, possibly to another
+entry. Further calls must go to other upstreams; if all are limited, a request
+must be refused at once.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_refusal_causes.py
+++ b/tests/edge/test_refusal_causes.py
@@ -1,4 +1,9 @@
-"""Refusals that name the upstream that caused them."""
+"""Ensures that a group is avoided only if it has lost a rank.
+
+A rank refuses requests when it is full, or when its group has lost another
+rank; the refusal names the upstream at fault. Only in the second case do the
+other ranks of the group refuse as well.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_refusals.py
+++ b/tests/edge/test_refusals.py
@@ -1,4 +1,8 @@
-"""Requests through a relay to upstreams that refuse at once."""
+"""Guards against an upstream that gets most calls because it refuses them.
+
+It responds at once, so it has few calls in progress and seems to be the least
+loaded. It must still be called if no other upstream has capacity.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_relay.py
+++ b/tests/edge/test_relay.py
@@ -1,4 +1,10 @@
-"""Requests through a relay to upstreams that misbehave."""
+"""Guards against responses that are lost, mixed up, incomplete or repeated.
+
+Upstreams refuse requests, close connections before or during a response, or
+send surplus bytes, which would be taken for the next response if the connection
+were reused. Callers disconnect, and the entry shuts down, while requests are in
+progress. A request that may run only once must not be sent again then.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_step_times.py
+++ b/tests/edge/test_step_times.py
@@ -1,4 +1,9 @@
-"""Step times of groups, from streams to control daemons."""
+"""Detects wrong step times of groups at control daemons.
+
+A pause in a stream shows the step time of its group, except when the stream is
+resumed by another call. Reports are datagrams, which can be repeated, reordered
+or invalid.
+"""
 
 from __future__ import annotations
 
@@ -81,7 +86,7 @@
 
 
 class TestReports(unittest.IsolatedAsyncioTestCase):
-    """Over datagrams on loopback, and with single datagrams."""
+    """Reports sent over loopback, and single datagrams."""
 
     async def listen(self):
         registry = Registry(SystemClock(), TaskSupervisor())
