--- a/tests/hosts/test_checks.py
+++ b/tests/hosts/test_checks.py
@@ -1,4 +1,9 @@
-"""Validation of a host table."""
+"""Ensures that a faulty host table is rejected.
+
+A configuration can refer to an unknown service, define a route twice, lack a
+timeout, or give one API key to two workspaces. Such a table must be rejected
+with a message that names the fault but not the key.
+"""
 
 from __future__ import annotations
 
--- a/tests/hosts/test_lookup.py
+++ b/tests/hosts/test_lookup.py
@@ -1,4 +1,9 @@
-"""Look-ups by host, path and API key."""
+"""Detects requests that reach the wrong route, workspace or service.
+
+Prefixes of routes overlap, and the query of a request can contain another
+prefix. If ``/x/y/`` matched ``/x/yy/``, or a shorter prefix were preferred, a
+request would reach another route.
+"""
 
 from __future__ import annotations
 
--- a/tests/hosts/test_parts.py
+++ b/tests/hosts/test_parts.py
@@ -1,4 +1,9 @@
-"""Documents compressed, split into parts and reassembled."""
+"""Guards against documents that are incomplete, or assembled from two versions.
+
+A store receives newer documents while a reader still fetches the parts of an
+older one, and a reader may continue at another daemon, whose bytes differ.
+Parts can also be damaged, repeated, or too large for a slow link.
+"""
 
 from __future__ import annotations
 
