--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,10 @@
-"""Names of the platform occur only in its adapter, which stays small."""
+"""Prevents names of the platform from spreading beyond its adapter.
+
+If other modules used its headers, paths or fields, a change of the platform
+would affect them all. The adapter must also stay small. The platform fills the
+templates, so a renamed setting would only be noticed when a process doesn't
+start.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_declining.py
+++ b/tests/platform/test_declining.py
@@ -1,4 +1,9 @@
-"""An entry process sends no requests to upstreams that decline them."""
+"""Guards against requests to upstreams that have declined further ones.
+
+An upstream declines by ``Retry-After`` or ``Server-Leaving`` in a response. If
+the adapter does not read one of them, the entry process keeps selecting the
+upstream.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -1,4 +1,9 @@
-"""Parsing and building of the platform's headers."""
+"""Guards against platform headers that are misread, forged or leaked.
+
+Callers and upstreams send invalid values and headers that only an entry may
+set. Forwarded unchecked, a forged header would be trusted by the upstream, and
+credentials would reach it.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,9 @@
-"""Conversion of the platform's configuration into a host table."""
+"""Detects a configuration that is converted incorrectly.
+
+The platform uses other units and field names, and earlier releases stored JSON.
+A time that is not converted into seconds makes a timeout wrong. An unknown kind
+of request must be taken for one that may not run twice.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_engine_answers.py
+++ b/tests/platform/test_engine_answers.py
@@ -1,4 +1,9 @@
-"""Responses of engines, including invalid ones."""
+"""Guards against invalid reports of engines that are taken as valid.
+
+Engines can send unknown states, negative numbers, or counts and maps of another
+shape. If such a report were accepted in part, it would show a stopped group or
+a wrong demand.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_explaining.py
+++ b/tests/platform/test_explaining.py
@@ -1,4 +1,9 @@
-"""Logs of real processes explain why a request failed, from its id."""
+"""The cause of each failed request must be found in the logs.
+
+A request fails without a document, without an upstream, after a lost call, or
+at an upstream that was replaced. The log lines of each case must be found by
+the request's id and name the cause.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_heartbeats.py
+++ b/tests/platform/test_heartbeats.py
@@ -1,4 +1,9 @@
-"""Decoding of heartbeats and departures, including invalid messages."""
+"""Guards against invalid heartbeats that add or remove replicas.
+
+A message can lack fields, have wrong types or name an unknown state. If that
+state were taken for leaving, the replica would be removed from the roster,
+which is irreversible.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_metrics.py
+++ b/tests/platform/test_metrics.py
@@ -1,4 +1,8 @@
-"""Metrics that processes export."""
+"""Detects metrics that are missing, renamed or not counted.
+
+The names and labels that operators query are compared with what real processes
+export after a few requests.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -1,4 +1,9 @@
-"""The platform's programs as real processes, under faults."""
+"""Detects faults that only show in the real programs together.
+
+Control daemons are killed all at once, lose their disks or are replaced at
+another address; an entry is reloaded and stopped during a request. Acknowledged
+changes must survive, and no request in progress may be cut off.
+"""
 
 from __future__ import annotations
 
