--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -1,8 +1,9 @@
 """No order of a former holder may run after one of its successor.
 
 Orders are delayed on the way, clocks differ, agents restart, and some engines
-ignore fences. If the next holder sends orders before the previous lease has
-expired, an engine can execute an older order after a newer one.
+ignore fences. Unless the next holder waits until the previous lease, which
+bounds the deadlines of all its orders, has expired by every clock, such an
+engine can execute an older order after a newer one.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class FenceGateTest(unittest.TestCase):
-    """Refuses stale and expired orders, and all until a fence is known."""
+    """Refuses stale or expired orders, and any before a fence is known."""
 
     def test_restart_stale_fence_and_deadline(self) -> None:
         gate = FenceGate()
@@ -41,7 +42,7 @@
 
 
 class IssuerTest(unittest.TestCase):
-    """A holder sends no orders before its predecessor's have expired."""
+    """Orders to engines that ignore fences wait until older ones expired."""
 
     def test_waits_for_engines_that_ignore_fences(self) -> None:
         book = FenceState()
