--- a/src/snipebend/balancing/pass_time_listener.py
+++ b/src/snipebend/balancing/pass_time_listener.py
@@ -1,4 +1,4 @@
-"""Receives the pass durations of groups from entries."""
+"""Receives the pass times of groups from entries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from snipebend.kernel.service import Service
 from snipebend.settings.seeds import split_address
-from snipebend.state.step_times import StepTimesReport
+from snipebend.state.pass_times import PassTimesReport
 
 if TYPE_CHECKING:
     from snipebend.experts.group_pass_times import GroupPassTimes
@@ -25,11 +25,11 @@
     def __init__(
         self, name: str, server: RpcServer, pass_times: GroupPassTimes
     ) -> None:
-        """Create the service; received durations go to ``pass_times``."""
+        """Create the service; received times go to ``pass_times``."""
         super().__init__(name)
         self._server = server
         self._pass_times = pass_times
-        self._decoder = msgpack.Decoder(StepTimesReport)
+        self._decoder = msgpack.Decoder(PassTimesReport)
         #: Start time and number of the last message of each entry.
         self._last_stamps: dict[str, tuple[float, int]] = {}
         self._transport: asyncio.DatagramTransport | None = None
@@ -71,5 +71,5 @@
             return
         self._last_stamps[message.entry] = stamp
         now = self._clock.now()
-        for group, (events, seconds) in message.step_times.items():
+        for group, (events, seconds) in message.pass_times.items():
             self._pass_times.record(group, events, seconds, now)
--- a/src/snipebend/daemons/host_control.py
+++ b/src/snipebend/daemons/host_control.py
@@ -34,15 +34,15 @@
     grpc = RpcServer('grpc', cfg.listen.host, cfg.listen.grpc_port)
     outer = HttpServer('outer', *split_address(cfg.outer))
     host_service = HostService('hosts', grpc)
-    paces = GroupPassTimes()
+    pass_times = GroupPassTimes()
     table = TableReader(host_service, read_table).read
     services = [
         ReplicatedState('state', cfg),
         host_service,
         GroupApi('group-api', grpc),
-        GroupBalancer('balancer', link, table, paces),
+        GroupBalancer('balancer', link, table, pass_times),
         grpc,
-        PassTimeListener('paces', grpc, paces),
+        PassTimeListener('paces', grpc, pass_times),
         outer,
         admin,
     ]
--- a/src/snipebend/daemons/relay_entry.py
+++ b/src/snipebend/daemons/relay_entry.py
@@ -9,7 +9,7 @@
 from snipebend.edge.host_follower import HostFollower, TableParser
 from snipebend.edge.relay_server import RelayServer
 from snipebend.edge.relay_service import RelayService
-from snipebend.edge.step_time_reporter import StepTimeReporter
+from snipebend.edge.pass_time_reporter import PassTimeReporter
 from snipebend.kernel.process import Process
 from snipebend.settings.seeds import split_address
 from snipebend.transport.http_server import HttpServer
@@ -53,8 +53,8 @@
         gossip,
         HostFollower('hosts', cfg, clients, read_table),
         relay_service,
-        StepTimeReporter(
-            'paces', cfg.process.name, relay_service.step_times.drain
+        PassTimeReporter(
+            'paces', cfg.process.name, relay_service.pass_times.drain
         ),
         RelayServer('callers', cfg, listener),
         ready,
--- a/src/snipebend/edge/gossip.py
+++ b/src/snipebend/edge/gossip.py
@@ -2,7 +2,7 @@
 
 Each entry observes its own calls only. Without the others' it would select
 upstreams that are busy with their calls, and in a group of ranks that run in
-lock-step the fullest rank determines the step time of all.
+lock-step the fullest rank determines the pass time of all.
 """
 
 from __future__ import annotations
--- a/src/snipebend/edge/step_time_reporter.py
+++ b/src/snipebend/edge/pass_time_reporter.py
@@ -1,4 +1,4 @@
-"""Reports the step times of groups to control daemons."""
+"""Reports the pass times of groups to control daemons."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from snipebend.edge.gossip import Gossip
 from snipebend.edge.host_follower import HostFollower
 from snipebend.kernel.service import Service
-from snipebend.state.step_times import StepTimesReport
+from snipebend.state.pass_times import PassTimesReport
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from snipebend.kernel.registry import Registry
 
-#: Seconds between two messages: about two steps. A shift in demand shows within
-#: one step; five entries send 12 KB/s in all to three daemons.
+#: Seconds between two messages: about two passes. A shift in demand shows
+#: within one pass; five entries send 12 KB/s in all to three daemons.
 REPORT_INTERVAL_S = 0.1
 
 
-class StepTimeReporter(Service):
-    """Sends the step times measured on streams to all control daemons."""
+class PassTimeReporter(Service):
+    """Sends the pass times measured on streams to all control daemons."""
 
     def __init__(
         self,
@@ -47,12 +47,12 @@
         number = 0
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            step_times = self._drain()
-            if not step_times:
+            pass_times = self._drain()
+            if not pass_times:
                 continue
             number += 1
-            message = StepTimesReport(
-                self._process, self._started_at, number, step_times
+            message = PassTimesReport(
+                self._process, self._started_at, number, pass_times
             )
             self._gossip.send_to(
                 self._follower.control_addresses, msgpack.encode(message)
--- a/src/snipebend/edge/relay_service.py
+++ b/src/snipebend/edge/relay_service.py
@@ -21,7 +21,7 @@
 from snipebend.relay.admission import DEFAULT_TIMEOUT_S, Admitted, admit
 from snipebend.relay.facts import CallerFacts
 from snipebend.relay.retry_after import document_wait_deadline
-from snipebend.relay.step_times import StepTimeMeter
+from snipebend.relay.pass_times import PassTimeMeter
 from snipebend.relay.upstream_selection import (
     CallRequirements,
     NoCapacity,
@@ -59,7 +59,7 @@
         self.dialect = dialect
         self._cfg = cfg
         self._upstreams = UpstreamTable()
-        self.step_times = StepTimeMeter()
+        self.pass_times = PassTimeMeter()
         self._budgets: dict[str, RetryBudget] = {}
         # Only spreads choices of entries; predictable numbers do no harm.
         self._rng = random.Random()
@@ -189,8 +189,8 @@
         self.meters.record_pause(seconds)
         group = upstream.group
         if group is not None and events:
-            group.record_steps(events, seconds, self.now())
-            self.step_times.record(group.name, events, seconds)
+            group.record_passes(events, seconds, self.now())
+            self.pass_times.record(group.name, events, seconds)
 
     def acquire_retry(self, service: str) -> bool:
         """Spend one retry of a service's budget, if there is one left."""
--- a/src/snipebend/edge/stream_relay.py
+++ b/src/snipebend/edge/stream_relay.py
@@ -34,7 +34,7 @@
 
         ``on_pause`` receives the number of events and the seconds before them;
         the number is 0 for the first events of a call, since the pause before
-        them is not a step time of a single group.
+        them is not a pass time of a single group.
         """
         self._now = now
         self._on_pause = on_pause
--- a/src/snipebend/experts/group_monitor.py
+++ b/src/snipebend/experts/group_monitor.py
@@ -46,7 +46,7 @@
     layers: tuple[LayerMap, ...]
     skew_before: float = 0
     skew_after: float = 0
-    #: Saved time relative to the current pass duration.
+    #: Saved time relative to the current pass time.
     saving: float = 0
     #: Experts to fetch over all ranks and layers, and the maximum of one rank.
     fetches: int = 0
@@ -71,7 +71,7 @@
         self.epoch = report.epoch
         self.size = report.size
         self.step = report.step
-        #: Pass duration in seconds reported by entries; None without reports.
+        #: Pass time in seconds reported by entries; None without reports.
         self.reported_pass_s: float | None = None
         self._pass_timing: PassTiming | None = None
         #: Duration of each rank's work relative to its usual duration.
@@ -121,7 +121,7 @@
         )
 
     def reset_pass_timing(self) -> None:
-        """Discard the measured pass duration after a map change."""
+        """Discard the measured pass time after a map change."""
         self._pass_timing = None
 
     def _note_steps(self, read: Mapping[int, RankCounts], now: float) -> None:
--- a/src/snipebend/experts/group_pass_times.py
+++ b/src/snipebend/experts/group_pass_times.py
@@ -1,11 +1,11 @@
-"""Mean pass durations of groups, reported by entries. Performs no I/O."""
+"""Mean pass times of groups, reported by entries. Performs no I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-#: Seconds for which a reported duration is valid: several passes of 50 ms, and
+#: Seconds for which a reported pass time is valid: several passes of 50 ms, and
 #: three messages of each entry.
 SAMPLE_TTL_S = 0.3
 
@@ -17,7 +17,7 @@
 
 
 class GroupPassTimes:
-    """The recently reported pass durations, by group."""
+    """The recently reported pass times, by group."""
 
     def __init__(self) -> None:
         """Start without samples."""
@@ -33,7 +33,7 @@
             self._drop_expired(samples, now)
 
     def mean_pass_s(self, group: str, now: float) -> float | None:
-        """Return the mean pass duration, or None without recent reports."""
+        """Return the mean pass time, or None without recent reports."""
         samples = self._samples.get(group)
         if samples is None:
             return None
--- a/src/snipebend/relay/step_times.py
+++ b/src/snipebend/relay/pass_times.py
@@ -1,4 +1,4 @@
-"""Step times of upstream groups, measured on the streams of one entry.
+"""Pass times of upstream groups, measured on the streams of one entry.
 
 Performs no I/O.
 """
@@ -8,10 +8,10 @@
 from collections import Counter, defaultdict
 
 
-class StepTimeMeter:
+class PassTimeMeter:
     """Adds up events and their intervals by group until they are drained.
 
-    Each step of a group produces one event for each of its streams.
+    Each pass of a group produces one event for each of its streams.
     """
 
     def __init__(self) -> None:
--- a/src/snipebend/relay/upstream_groups.py
+++ b/src/snipebend/relay/upstream_groups.py
@@ -19,14 +19,14 @@
 #: 0.6 s or more.
 LOST_RANK_AVOIDANCE_S = 1.0
 
-#: Seconds after which an event has half its weight: some steps of 50 ms.
-STEP_TIME_HALF_LIFE_S = 0.2
+#: Seconds after which an event has half its weight: some passes of 50 ms.
+PASS_TIME_HALF_LIFE_S = 0.2
 
-#: Seconds for which a step time is valid after the last event, and for which a
+#: Seconds for which a pass time is valid after the last event, and for which a
 #: call to a group without a valid one is awaited as a probe: the group's expert
 #: map may have moved work off the slow rank meanwhile, and without a call no
 #: entry would observe it.
-STEP_TIME_MAX_AGE_S = 3.0
+PASS_TIME_MAX_AGE_S = 3.0
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     has_slow_rank: bool = False
     #: Chosen last until then, after a call of this entry found a rank lost.
     avoided_until: float = 0
-    #: Until then, a call in progress is expected to show the step time.
+    #: Until then, a call in progress is expected to show the pass time.
     probed_until: float = 0
     _events: float = 0
     _seconds: float = 0
@@ -54,16 +54,16 @@
         """Avoid the group: the other ranks are waiting for a lost one."""
         self.avoided_until = now + LOST_RANK_AVOIDANCE_S
 
-    def record_steps(self, events: int, seconds: float, now: float) -> None:
+    def record_passes(self, events: int, seconds: float, now: float) -> None:
         """Record events of a stream and the seconds that preceded them."""
-        kept = math.exp2((self._event_at - now) / STEP_TIME_HALF_LIFE_S)
+        kept = math.exp2((self._event_at - now) / PASS_TIME_HALF_LIFE_S)
         self._events = kept * self._events + events
         self._seconds = kept * self._seconds + seconds
         self._event_at = now
 
-    def step_time_s(self, now: float) -> float | None:
-        """Return seconds per step, or None without recent events."""
-        if not self._events or now > self._event_at + STEP_TIME_MAX_AGE_S:
+    def pass_time_s(self, now: float) -> float | None:
+        """Return seconds per pass, or None without recent events."""
+        if not self._events or now > self._event_at + PASS_TIME_MAX_AGE_S:
             return None
         return self._seconds / self._events
 
@@ -71,21 +71,21 @@
         """Return whether a slow rank makes every stream late.
 
         ``allowed_pause_s`` is the longest pause allowed between two events; 0:
-        any. Steps that are long for another reason, after a shift in demand,
+        any. Passes that are long for another reason, after a shift in demand,
         are so in all groups and only for a short time: avoiding such a group
         overloaded the other one and made the streams of both late in turn (they
         had 0.72 to 1.0 of their value in the 2 s of a shift).
         """
         if not self.has_slow_rank or not allowed_pause_s:
             return False
-        step_time_s = self.step_time_s(now)
-        if step_time_s is None:
+        pass_time_s = self.pass_time_s(now)
+        if pass_time_s is None:
             return now < self.probed_until
-        return step_time_s > allowed_pause_s
+        return pass_time_s > allowed_pause_s
 
     def record_probe(self, now: float) -> None:
-        """Record a call that will show the group's step time."""
-        self.probed_until = now + STEP_TIME_MAX_AGE_S
+        """Record a call that will show the group's pass time."""
+        self.probed_until = now + PASS_TIME_MAX_AGE_S
 
     def is_down(self, now: float) -> bool:
         """Return whether the group is known to have stopped."""
--- a/src/snipebend/state/step_times.py
+++ b/src/snipebend/state/pass_times.py
@@ -1,11 +1,11 @@
-"""Step times of groups, as reported by entries to control daemons."""
+"""Pass times of groups, as reported by entries to control daemons."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
 
-class StepTimesReport(Struct, frozen=True, array_like=True):
+class PassTimesReport(Struct, frozen=True, array_like=True):
     """The sums of an entry since its previous report, by group.
 
     The reports of an entry are numbered.
@@ -16,4 +16,4 @@
     number: int
     #: Per group: the number of stream events, and the total time in seconds
     #: that passed before each of them.
-    step_times: dict[str, tuple[int, float]]
+    pass_times: dict[str, tuple[int, float]]
--- a/tests/balancing/test_group_balancer.py
+++ b/tests/balancing/test_group_balancer.py
@@ -218,7 +218,7 @@
         )
 
     async def test_hold_is_based_on_the_current_pass(self):
-        """Reports are late, and the pass duration may have changed since."""
+        """Reports are late, and the pass time may have changed since."""
         self.engines.lag = 4
         await self.check()
         self.clock.at += SETTLE_S
--- a/tests/balancing/test_steady_demand.py
+++ b/tests/balancing/test_steady_demand.py
@@ -19,7 +19,7 @@
 #: apart, adds an interval of the same size.
 KNOWN_AT_S = 8.0
 END_S = 16.0
-#: Maximum ratio of the pass duration to that under the best map: the aim is to
+#: Maximum ratio of the pass time to that under the best map: the aim is to
 #: be at most a tenth longer.
 MAX_PASS_RATIO = 1.1
 #: Pairs of experts adjacent in popularity that exchange it per layer and second
--- a/tests/edge/test_step_times.py
+++ b/tests/edge/test_pass_times.py
@@ -1,4 +1,4 @@
-"""Step times of groups, from streams to control daemons."""
+"""Pass times of groups, from streams to control daemons."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from snipebend.balancing.pass_time_listener import PassTimeListener
 from snipebend.edge.gossip import Gossip
 from snipebend.edge.host_follower import HostFollower
-from snipebend.edge.step_time_reporter import StepTimeReporter
+from snipebend.edge.pass_time_reporter import PassTimeReporter
 from snipebend.edge.stream_relay import StreamRelay
 from snipebend.experts.group_pass_times import GroupPassTimes
 from snipebend.kernel.clock import SystemClock
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.relay.facts import ResponseHead
-from snipebend.relay.step_times import StepTimeMeter
+from snipebend.relay.pass_times import PassTimeMeter
 from snipebend.settings.model import ProcessSection
 from snipebend.settings.relay import RelaySettings
 from snipebend.settings.seeds import SeedsSection
-from snipebend.state.step_times import StepTimesReport
+from snipebend.state.pass_times import PassTimesReport
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import RpcServer
 from tests.edge.gossip_state import FakeGossipState
@@ -40,11 +40,11 @@
 
 
 class TestStreams(unittest.TestCase):
-    """Pauses within one call are step times, pauses between calls are not."""
+    """Pauses within one call are pass times, pauses between calls are not."""
 
     def setUp(self):
         self.now = 0.0
-        self.meter = StepTimeMeter()
+        self.meter = PassTimeMeter()
         self.stream = StreamRelay(
             FakeResponseWriter(),
             lambda: self.now,
@@ -88,8 +88,8 @@
         server = RpcServer('grpc', '127.0.0.1', 0)
         await server.start(registry)
         self.addAsyncCleanup(server.stop)
-        self.paces = GroupPassTimes()
-        listener = PassTimeListener('paces', server, self.paces)
+        self.pass_times = GroupPassTimes()
+        listener = PassTimeListener('paces', server, self.pass_times)
         await listener.start(registry)
         self.addAsyncCleanup(listener.stop)
         return server, listener
@@ -112,19 +112,19 @@
         registry.register(gossip)
         await gossip.start(registry)
         self.addAsyncCleanup(gossip.stop)
-        reporter = StepTimeReporter('paces', 'e', lambda: {'g': (4, 0.2)})
+        reporter = PassTimeReporter('paces', 'e', lambda: {'g': (4, 0.2)})
         await reporter.start(registry)
         async with asyncio.timeout(10):
-            while self.paces.mean_pass_s('g', SystemClock().now()) is None:
+            while self.pass_times.mean_pass_s('g', SystemClock().now()) is None:
                 await asyncio.sleep(0.01)
-        pace_s = self.paces.mean_pass_s('g', SystemClock().now())
-        self.assertAlmostEqual(pace_s, 0.05)
+        pass_s = self.pass_times.mean_pass_s('g', SystemClock().now())
+        self.assertAlmostEqual(pass_s, 0.05)
 
     async def test_late_copies_and_invalid_datagrams_change_nothing(self):
         _, listener = await self.listen()
 
         def receive(number, seconds):
-            message = StepTimesReport('e', 5.0, number, {'g': (1, seconds)})
+            message = PassTimesReport('e', 5.0, number, {'g': (1, seconds)})
             data = msgpack.encode(message)
             listener.datagram_received(data, ('127.0.0.1', 9))
 
@@ -132,5 +132,5 @@
         receive(2, 0.5)
         receive(1, 0.5)
         listener.datagram_received(b'noise', ('127.0.0.1', 9))
-        pace_s = self.paces.mean_pass_s('g', SystemClock().now())
-        self.assertAlmostEqual(pace_s, 0.1)
+        pass_s = self.pass_times.mean_pass_s('g', SystemClock().now())
+        self.assertAlmostEqual(pass_s, 0.1)
--- a/tests/relay/test_upstream_selection.py
+++ b/tests/relay/test_upstream_selection.py
@@ -9,7 +9,7 @@
 
 from snipebend.relay.upstream_groups import (
     LOST_RANK_AVOIDANCE_S,
-    STEP_TIME_MAX_AGE_S,
+    PASS_TIME_MAX_AGE_S,
     UpstreamGroup,
 )
 from snipebend.relay.upstream_selection import CallRequirements, select_upstream
@@ -89,12 +89,12 @@
         )
 
     def test_group_that_makes_every_stream_late_comes_last(self):
-        """With a slow rank, all ranks of the group wait for it in each step."""
+        """With a slow rank, all ranks of the group wait for it in each pass."""
         slow_group = UpstreamGroup('g', has_slow_rank=True)
         other = UpstreamGroup('h')
         for at in range(20):
-            slow_group.record_steps(1, 0.4, 10.0 + 0.4 * at)
-            other.record_steps(5, 0.3, 10.0 + 0.4 * at)
+            slow_group.record_passes(1, 0.4, 10.0 + 0.4 * at)
+            other.record_passes(5, 0.3, 10.0 + 0.4 * at)
         idle = make_upstream('idle', group=slow_group)
         busy = make_upstream('busy', group=other, own_calls=7)
         requirements = REQUIREMENTS._replace(allowed_pause_s=0.12)
@@ -107,19 +107,19 @@
         self.assertEqual(
             self.select(idle, full, requirements=requirements, now=now), 'idle'
         )
-        # The step time of an unused group is unknown: upstream call probes it.
-        later = now + STEP_TIME_MAX_AGE_S
+        # The pass time of an unused group is unknown: one call probes it.
+        later = now + PASS_TIME_MAX_AGE_S
         self.assertEqual(
             self.select(idle, busy, requirements=requirements, now=later),
             'idle',
         )
         slow_group.record_probe(later)
-        later += STEP_TIME_MAX_AGE_S / 2
+        later += PASS_TIME_MAX_AGE_S / 2
         self.assertEqual(
             self.select(idle, busy, requirements=requirements, now=later),
             'busy',
         )
-        slow_group.record_steps(1, 0.06, later)
+        slow_group.record_passes(1, 0.06, later)
         self.assertEqual(
             self.select(idle, busy, requirements=requirements, now=later),
             'idle',
