--- a/src/snipebend/consensus/storage.py
+++ b/src/snipebend/consensus/storage.py
@@ -98,9 +98,9 @@
     ) -> tuple[LogEntry, ...]:
         """Return the entries after the snapshot.
 
-        A crash between the two steps of ``install`` leaves a log that the
-        snapshot has replaced: the log ends before the snapshot, or has another
-        term at the snapshot's index. Such a log is reset.
+        A crash between the two steps of ``install_snapshot`` leaves a log that
+        the snapshot has replaced: the log ends before the snapshot, or has
+        another term at the snapshot's index. Such a log is reset.
         """
         covered = meta.index if meta else 0
         if entries and entries[0].index > covered + 1:
--- a/tests/consensus/schedule.py
+++ b/tests/consensus/schedule.py
@@ -10,7 +10,7 @@
 from snipebend.consensus.members import find_member, voter_ids
 from snipebend.consensus.records import Member, Members
 from tests.consensus.checker import Violation
-from tests.consensus.world import Disk, Host, World
+from tests.consensus.world import Disk, SimulatedVm, World
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -96,12 +96,12 @@
         # The latest committed members observed so far: those processes that
         # have committed more may be down at the next observation.
         self.observed_index = 0
-        self.observed_members = self.world.hosts[0].disk.founders
+        self.observed_members = self.world.vms[0].disk.founders
         self.committed_before = 0
         self.numbers = iter(range(1, 1 << 30))
-        # Member ids to be removed, and hosts to be added, by the operator.
+        # Member ids to be removed, and VMs to be added, by the operator.
         self.leaving: set[str] = set()
-        self.joining: dict[str, Host] = {}
+        self.joining: dict[str, SimulatedVm] = {}
 
     def run(self) -> World:
         """Run with faults, then without, and check that the group recovers."""
@@ -131,9 +131,9 @@
         if self.world.now > self.plan.duration_s + HEAL_S:
             return
         leaders = self.world.leaders()
-        host = self.rng.choice(leaders or self.world.hosts)
+        vm = self.rng.choice(leaders or self.world.vms)
         for _ in range(self.rng.choice([1, 1, 3])):
-            self.world.propose(host)
+            self.world.propose(vm)
         for reader in leaders:
             self.world.read(reader)
 
@@ -142,7 +142,7 @@
             getattr(self, f'_{self.rng.choice(self.plan.faults)}')()
 
     def _partition(self) -> None:
-        names = [host.name for host in self.world.hosts]
+        names = [vm.name for vm in self.world.vms]
         side = set(self.rng.sample(names, self.rng.randint(0, len(names))))
         self._cut_off(side)
 
@@ -153,8 +153,8 @@
 
     def _cut_from_leaders(self) -> None:
         """Cut one member off from the leaders; others stay connected."""
-        isolated = self.rng.choice(self.world.hosts).name
-        leading = {host.name for host in self.world.leaders()}
+        isolated = self.rng.choice(self.world.vms).name
+        leading = {vm.name for vm in self.world.leaders()}
         self.world.is_cut = lambda source, target: (
             (target == isolated and source in leading)
             or (source == isolated and target in leading)
@@ -172,77 +172,77 @@
         self.world.is_cut = lambda source, target: False
 
     def _crash(self) -> None:
-        self._crash_one(self.world.hosts)
+        self._crash_one(self.world.vms)
 
     def _crash_leader(self) -> None:
         self._crash_one(self.world.leaders())
 
     def _crash_all(self) -> None:
-        for host in tuple(self.world.hosts):
-            self._crash_one([host])
+        for vm in tuple(self.world.vms):
+            self._crash_one([vm])
 
     def _crash_others(self) -> None:
         """Crash all members but a leader, which may hold its lease."""
-        for host in tuple(self.world.hosts):
-            if host not in self.world.leaders():
-                self._crash_one([host])
-
-    def _crash_one(self, hosts: list[Host]) -> None:
-        if hosts:
-            host = self.rng.choice(hosts)
-            self.world.crash(host)
+        for vm in tuple(self.world.vms):
+            if vm not in self.world.leaders():
+                self._crash_one([vm])
+
+    def _crash_one(self, vms: list[SimulatedVm]) -> None:
+        if vms:
+            vm = self.rng.choice(vms)
+            self.world.crash(vm)
             down = self.rng.uniform(0, self.plan.down_s)
-            self.world.call_later(down, lambda: self._start(host))
+            self.world.call_later(down, lambda: self._start(vm))
 
-    def _start(self, host: Host) -> None:
-        if host.core is None:
-            self.world.start(host)
+    def _start(self, vm: SimulatedVm) -> None:
+        if vm.core is None:
+            self.world.start(vm)
 
     def _pause(self) -> None:
-        host = self.rng.choice(self.world.hosts)
-        host.paused_until = self.world.now + self.rng.uniform(0, 2)
+        vm = self.rng.choice(self.world.vms)
+        vm.paused_until = self.world.now + self.rng.uniform(0, 2)
 
     def _stall_disk(self) -> None:
-        """Let no write of one host complete for up to 3 s."""
-        host = self.rng.choice(self.world.leaders() or self.world.hosts)
+        """Let no write of one VM complete for up to 3 s."""
+        vm = self.rng.choice(self.world.leaders() or self.world.vms)
         stalled_until = self.world.now + self.rng.uniform(0, 3)
-        host.sync_done_at = max(host.sync_done_at, stalled_until)
+        vm.sync_done_at = max(vm.sync_done_at, stalled_until)
 
     def _wipe(self) -> None:
         """Wipe a disk, unless another member is still being replaced."""
-        host = self.rng.choice(self.world.hosts)
+        vm = self.rng.choice(self.world.vms)
         repairing = self.leaving or self.joining
         if repairing or len(self._members().voters) < 3:
             return
-        self.world.crash(host)
+        self.world.crash(vm)
         if self.plan.keep_identity:
-            host.disk = Disk(host.disk.founders)
+            vm.disk = Disk(vm.disk.founders)
         else:
-            self._assign_new_identity(host)
-        self._start(host)
+            self._assign_new_identity(vm)
+        self._start(vm)
 
-    def _assign_new_identity(self, host: Host) -> None:
-        old = host.member
+    def _assign_new_identity(self, vm: SimulatedVm) -> None:
+        old = vm.member
         if find_member(self._members(), old.member_id):
             self.leaving.add(old.member_id)
-            self.joining[host.name] = host
+            self.joining[vm.name] = vm
         number = next(self.numbers)
-        host.member = Member(f'{host.name}-{number}', host.name, '')
-        host.disk = Disk(Members())
+        vm.member = Member(f'{vm.name}-{number}', vm.name, '')
+        vm.disk = Disk(Members())
 
     def _snapshot(self) -> None:
-        self.world.take_snapshot(self.rng.choice(self.world.hosts))
+        self.world.take_snapshot(self.rng.choice(self.world.vms))
 
     def _hand_over(self) -> None:
-        for host in self.world.leaders():
-            self.world.feed(host, evt.HandOver())
+        for vm in self.world.leaders():
+            self.world.feed(vm, evt.HandOver())
 
     def _grow(self) -> None:
         idle = self.plan.concurrent_changes or not self.joining
-        if len(self.world.hosts) < 7 and idle:
-            name = f'h{len(self.world.hosts)}'
+        if len(self.world.vms) < 7 and idle:
+            name = f'h{len(self.world.vms)}'
             member = Member(f'{name}-0', name, '')
-            self.joining[name] = self.world.add_host(member, Members())
+            self.joining[name] = self.world.add_vm(member, Members())
 
     def _shrink(self) -> None:
         voters = voter_ids(self._members())
@@ -252,12 +252,12 @@
 
     def _members(self) -> Members:
         """Return the latest committed members observed on any process."""
-        for host in self.world.hosts:
-            if host.core is not None:
-                index = host.core.status().commit_index
+        for vm in self.world.vms:
+            if vm.core is not None:
+                index = vm.core.status().commit_index
                 if index > self.observed_index:
                     self.observed_index = index
-                    self.observed_members = host.core.members_at(index)
+                    self.observed_members = vm.core.members_at(index)
         return self.observed_members
 
     def _run_operator(self) -> None:
@@ -265,23 +265,23 @@
 
         Only one at a time, unless the plan has concurrent changes.
         """
-        for host in self.world.leaders():
-            changes = self._required_changes(host.core.status().members)
+        for vm in self.world.leaders():
+            changes = self._required_changes(vm.core.status().members)
             self.rng.shuffle(changes)
             for change in (
                 changes if self.plan.concurrent_changes else changes[:1]
             ):
                 proposal_id = f'm{next(self.numbers)}'
                 event = evt.MembersProposed(proposal_id, change)
-                self.world.feed(host, event)
+                self.world.feed(vm, event)
         self._discard_completed(self._members())
 
     def _required_changes(self, members: Members) -> list[evt.MembersChange]:
         changes: list[evt.MembersChange] = []
-        for host in self.joining.values():
-            member_id = host.member.member_id
+        for vm in self.joining.values():
+            member_id = vm.member.member_id
             if find_member(members, member_id) is None:
-                changes.append(evt.AddLearner(host.member))
+                changes.append(evt.AddLearner(vm.member))
             else:
                 changes.append(evt.PromoteLearner(member_id))
         changes += [evt.RemoveMember(one) for one in sorted(self.leaving)]
@@ -289,8 +289,8 @@
 
     def _discard_completed(self, members: Members) -> None:
         voters = voter_ids(members)
-        for name, host in tuple(self.joining.items()):
-            if host.member.member_id in voters:
+        for name, vm in tuple(self.joining.items()):
+            if vm.member.member_id in voters:
                 self.joining.pop(name)
         for member_id in tuple(self.leaving):
             if find_member(members, member_id) is None:
@@ -300,9 +300,9 @@
         self._heal()
         self.world.loss = 0
         self.world.delay = (0.001, 0.005)
-        for host in self.world.hosts:
-            host.paused_until = 0
-            self._start(host)
+        for vm in self.world.vms:
+            vm.paused_until = 0
+            self._start(vm)
 
     def _describe_missing(self) -> str:
         """Return what a healed group lacks; empty once it has recovered."""
@@ -313,10 +313,10 @@
         if leader.commit_index <= self.committed_before:
             return 'nothing committed'
         behind = [
-            host.name
-            for host in self.world.hosts
-            if find_member(leader.members, host.member.member_id)
-            and host.applied < leader.commit_index
+            vm.name
+            for vm in self.world.vms
+            if find_member(leader.members, vm.member.member_id)
+            and vm.applied < leader.commit_index
         ]
         return f'{behind} behind' if behind else ''
 
--- a/tests/consensus/test_core.py
+++ b/tests/consensus/test_core.py
@@ -21,7 +21,7 @@
     SnapshotMeta,
 )
 from snipebend.consensus.restored_log import usable_entries
-from tests.consensus.world import Host, World
+from tests.consensus.world import SimulatedVm, World
 
 CFG = CoreConfig(heartbeat_s=0.1, election_timeout_s=1, snapshot_retry_s=1)
 FOUNDERS = Members(tuple(Member(one, one, '') for one in 'abc'))
@@ -224,9 +224,9 @@
         self.world.run_until(4)
         self.leader = _only(self.world.leaders())
 
-    def followers(self) -> list[Host]:
-        """Return the hosts that are not the leader."""
-        return [one for one in self.world.hosts if one is not self.leader]
+    def followers(self) -> list[SimulatedVm]:
+        """Return the VMs that are not the leader."""
+        return [one for one in self.world.vms if one is not self.leader]
 
     def run_for(self, seconds: float) -> None:
         """Advance the virtual time."""
@@ -328,7 +328,7 @@
         self._change('add', evt.AddLearner(learner))
         self.run_for(0.5)
         self._change('early', evt.PromoteLearner('h9-0'))
-        self.world.add_host(learner, Members())
+        self.world.add_vm(learner, Members())
         self.run_for(1)
         self._change('late', evt.PromoteLearner('h9-0'))
         again = self._change('again', evt.RemoveMember('h9-0'))
--- a/tests/consensus/world.py
+++ b/tests/consensus/world.py
@@ -38,7 +38,7 @@
 
 @dataclass
 class Disk:
-    """The synced data of a host, and the writes that a crash may lose."""
+    """The synced data of a VM, and the writes that a crash may lose."""
 
     founders: Members
     hard_state: HardState = HardState()
@@ -91,8 +91,8 @@
 
 
 @dataclass
-class Host:
-    """A host with its clock, its disk and the process running on it, if any."""
+class SimulatedVm:
+    """A VM with its clock, its disk and the process running on it, if any."""
 
     name: str
     clock_rate: float
@@ -115,7 +115,7 @@
 
 
 class World:
-    """Hosts, network and virtual time; the checker verifies every step."""
+    """VMs, network and virtual time; the checker verifies every step."""
 
     #: Planted fault: number of election timeouts by which the start time that
     #: processes assume is too early.
@@ -142,53 +142,53 @@
         self.outcomes: dict[str, act.ProposalCommitted | act.RejectReason] = {}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = iter(range(1 << 60))
-        self.hosts: list[Host] = []
+        self.vms: list[SimulatedVm] = []
         names = [f'h{number}' for number in range(voters)]
         members = [Member(f'{name}-0', name, '') for name in names]
         for member in members:
-            self.add_host(member, Members(tuple(members)))
+            self.add_vm(member, Members(tuple(members)))
 
-    def add_host(self, member: Member, founders: Members) -> Host:
-        """Add a host, whose clock rate is off by up to the allowed drift."""
+    def add_vm(self, member: Member, founders: Members) -> SimulatedVm:
+        """Add a VM, whose clock rate is off by up to the allowed drift."""
         drift = self.cfg.clock_drift
         clock_rate = 1 + drift * self.rng.choice(
             [-1, 1, self.rng.uniform(-1, 1)]
         )
         clock_offset = self.rng.uniform(0, 100)
-        host = Host(
+        vm = SimulatedVm(
             member.name, clock_rate, clock_offset, member, Disk(founders)
         )
-        self.hosts.append(host)
-        self.start(host)
-        return host
+        self.vms.append(vm)
+        self.start(vm)
+        return vm
 
-    def start(self, host: Host) -> None:
+    def start(self, vm: SimulatedVm) -> None:
         """Start a process from the state on disk."""
-        host.incarnation += 1
-        restored = host.disk.restored()
-        host.applied = restored.snapshot.index if restored.snapshot else 0
-        host.reads = {}
+        vm.incarnation += 1
+        restored = vm.disk.restored()
+        vm.applied = restored.snapshot.index if restored.snapshot else 0
+        vm.reads = {}
         process_started_at = self._start_time_rng.uniform(
-            host.crashed_at, self.now
+            vm.crashed_at, self.now
         )
         early_s = self.start_error_timeouts * self.cfg.election_timeout_s
-        host.core = Core(
+        vm.core = Core(
             self.cfg,
-            host.member.member_id,
+            vm.member.member_id,
             restored,
-            host.local_time(self.now),
+            vm.local_time(self.now),
             self.rng,
-            host.local_time(process_started_at - early_s),
+            vm.local_time(process_started_at - early_s),
         )
-        self._tick(host, host.incarnation)
+        self._tick(vm, vm.incarnation)
 
-    def crash(self, host: Host) -> None:
+    def crash(self, vm: SimulatedVm) -> None:
         """Kill the process; a random number of its first writes get synced."""
-        if host.core is not None:
-            host.core = None
-            host.crashed_at = self.now
-            host.disk.sync(self.rng.randint(0, len(host.disk.unsynced)))
-            host.disk.unsynced = []
+        if vm.core is not None:
+            vm.core = None
+            vm.crashed_at = self.now
+            vm.disk.sync(self.rng.randint(0, len(vm.disk.unsynced)))
+            vm.disk.unsynced = []
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule a call after a delay in seconds."""
@@ -203,93 +203,95 @@
             due[2]()
         self.now = deadline
 
-    def feed(self, host: Host, *events: evt.Event) -> None:
+    def feed(self, vm: SimulatedVm, *events: evt.Event) -> None:
         """Pass events to a process, after its pause if it is paused."""
-        if host.core is None:
+        if vm.core is None:
             return
-        if self.now < host.paused_until:
-            self._feed_later(host, host.paused_until - self.now, *events)
+        if self.now < vm.paused_until:
+            self._feed_later(vm, vm.paused_until - self.now, *events)
             return
         self.steps += 1
         if self.steps > MAX_STEPS:
             raise Violation(f'no end after {MAX_STEPS} steps')
-        local = host.local_time(self.now)
-        for action in host.core.step_all(events, local, self.rng):
-            self._execute(host, action)
+        local = vm.local_time(self.now)
+        for action in vm.core.step_all(events, local, self.rng):
+            self._execute(vm, action)
 
-    def read(self, host: Host) -> None:
+    def read(self, vm: SimulatedVm) -> None:
         """Start a read, which must observe what is acknowledged by now."""
         read_id = f'read-{next(self._numbers)}'
-        host.reads[read_id] = self.checker.acknowledged
-        self.feed(host, evt.ReadRequested(read_id))
+        vm.reads[read_id] = self.checker.acknowledged
+        self.feed(vm, evt.ReadRequested(read_id))
 
-    def propose(self, host: Host) -> str:
+    def propose(self, vm: SimulatedVm) -> str:
         """Propose a command whose payload is its proposal id."""
         proposal_id = f'p{next(self._numbers)}'
-        self.feed(host, evt.Proposed(proposal_id, proposal_id.encode()))
+        self.feed(vm, evt.Proposed(proposal_id, proposal_id.encode()))
         return proposal_id
 
-    def leaders(self) -> list[Host]:
-        """Return the hosts that consider themselves leader."""
+    def leaders(self) -> list[SimulatedVm]:
+        """Return the VMs that consider themselves leader."""
         return [
-            host
-            for host in self.hosts
-            if host.core and host.core.status().role is act.Role.LEADER
+            vm
+            for vm in self.vms
+            if vm.core and vm.core.status().role is act.Role.LEADER
         ]
 
-    def take_snapshot(self, host: Host) -> None:
+    def take_snapshot(self, vm: SimulatedVm) -> None:
         """Save the applied state and drop all but a few of its entries."""
-        core = host.core
-        if core is None or host.disk.unsynced or not host.applied:
+        core = vm.core
+        if core is None or vm.disk.unsynced or not vm.applied:
             return
-        last = host.applied
+        last = vm.applied
         if last <= core.status().base_index:
             return
-        disk = host.disk
+        disk = vm.disk
         meta = SnapshotMeta(last, core.term_at(last), core.members_at(last))
         disk.snapshot = meta
         disk.payload = str(last).encode()
         disk.entries = [one for one in disk.entries if one.index > last]
         first = max(core.status().base_index, last - KEPT_ENTRIES)
         term, members = core.term_at(first), core.members_at(first)
-        self.feed(host, evt.SnapshotTaken(first, term, members))
+        self.feed(vm, evt.SnapshotTaken(first, term, members))
 
-    def _tick(self, host: Host, incarnation: int) -> None:
-        if host.incarnation == incarnation and host.core is not None:
-            self.feed(host, evt.Tick())
-            self.call_later(TICK_S, lambda: self._tick(host, incarnation))
+    def _tick(self, vm: SimulatedVm, incarnation: int) -> None:
+        if vm.incarnation == incarnation and vm.core is not None:
+            self.feed(vm, evt.Tick())
+            self.call_later(TICK_S, lambda: self._tick(vm, incarnation))
 
-    def _feed_later(self, host: Host, delay: float, *events: evt.Event) -> None:
-        incarnation = host.incarnation
+    def _feed_later(
+        self, vm: SimulatedVm, delay: float, *events: evt.Event
+    ) -> None:
+        incarnation = vm.incarnation
 
         def deliver() -> None:
-            if host.incarnation == incarnation:
-                self.feed(host, *events)
+            if vm.incarnation == incarnation:
+                self.feed(vm, *events)
 
         self.call_later(delay, deliver)
 
-    def _execute(self, host: Host, action: act.Action) -> None:
+    def _execute(self, vm: SimulatedVm, action: act.Action) -> None:
         match action:
             case act.Send(envelope):
-                self._send(host, envelope)
+                self._send(vm, envelope)
             case act.Persist() | act.InstallSnapshot():
-                host.disk.unsynced.append(action)
-                self._sync_later(host)
+                vm.disk.unsynced.append(action)
+                self._sync_later(vm)
             case act.Commit(entries):
-                term = host.core.status().term
-                assert not host.disk.is_installing, (
+                term = vm.core.status().term
+                assert not vm.disk.is_installing, (
                     'applied entries while a snapshot is being installed'
                 )
                 for entry in entries:
-                    self.checker.on_commit(host.applied, entry, term)
-                    host.applied = entry.index
+                    self.checker.on_commit(vm.applied, entry, term)
+                    vm.applied = entry.index
             case act.NeedSnapshot(target):
-                self._load_snapshot(host, target)
+                self._load_snapshot(vm, target)
             case act.ReadReady(read_id):
-                self.checker.on_read(action, host.reads.pop(read_id))
+                self.checker.on_read(action, vm.reads.pop(read_id))
             case act.RoleChanged(act.Role.LEADER, term):
-                member_id = host.member.member_id
-                self.checker.on_leader(term, member_id, host.core)
+                member_id = vm.member.member_id
+                self.checker.on_leader(term, member_id, vm.core)
             case _:
                 self._record_outcome(action)
 
@@ -302,14 +304,14 @@
                 self.checker.on_rejected(action)
                 self.outcomes[proposal_id] = reason
 
-    def _send(self, host: Host, envelope: Envelope) -> None:
+    def _send(self, vm: SimulatedVm, envelope: Envelope) -> None:
         wire = msgspec.msgpack.encode(envelope)
         self.sent += 1
         self.bytes_sent += len(wire)
         copies = 1 + (self.rng.random() < self.duplication)
         for _ in range(copies):
             if self.rng.random() >= self.loss:
-                self._schedule_delivery(host.name, wire)
+                self._schedule_delivery(vm.name, wire)
 
     def _schedule_delivery(self, source: str, wire: bytes) -> None:
         delay = self.rng.uniform(*self.delay)
@@ -317,54 +319,54 @@
 
     def _deliver(self, source: str, wire: bytes) -> None:
         envelope = _decoder.decode(wire)
-        # Delivery is by address: a host also receives messages for its
+        # Delivery is by address: a VM also receives messages for its
         # previous identity.
         name = envelope.target.split('-')[0]
-        for host in self.hosts:
-            if host.name == name and not self.is_cut(source, name):
-                self._enqueue(host, evt.Received(envelope))
+        for vm in self.vms:
+            if vm.name == name and not self.is_cut(source, name):
+                self._enqueue(vm, evt.Received(envelope))
 
-    def _enqueue(self, host: Host, event: evt.Event) -> None:
+    def _enqueue(self, vm: SimulatedVm, event: evt.Event) -> None:
         """Feed messages that arrive within the inbox delay together."""
         if not self.inbox_delay_s:
-            self.feed(host, event)
+            self.feed(vm, event)
             return
-        host.inbox.append(event)
-        if len(host.inbox) == 1:
-            self.call_later(self.inbox_delay_s, lambda: self._flush_inbox(host))
+        vm.inbox.append(event)
+        if len(vm.inbox) == 1:
+            self.call_later(self.inbox_delay_s, lambda: self._flush_inbox(vm))
 
-    def _flush_inbox(self, host: Host) -> None:
-        events = host.inbox
-        host.inbox = []
-        self.feed(host, *events)
+    def _flush_inbox(self, vm: SimulatedVm) -> None:
+        events = vm.inbox
+        vm.inbox = []
+        self.feed(vm, *events)
 
-    def _sync_later(self, host: Host) -> None:
+    def _sync_later(self, vm: SimulatedVm) -> None:
         wait = self.rng.uniform(*self.sync_delay)
-        host.sync_done_at = max(host.sync_done_at, self.now + wait)
-        incarnation = host.incarnation
+        vm.sync_done_at = max(vm.sync_done_at, self.now + wait)
+        incarnation = vm.incarnation
         self.call_later(
-            host.sync_done_at - self.now, lambda: self._sync(host, incarnation)
+            vm.sync_done_at - self.now, lambda: self._sync(vm, incarnation)
         )
 
-    def _sync(self, host: Host, incarnation: int) -> None:
-        if host.incarnation != incarnation or host.core is None:
+    def _sync(self, vm: SimulatedVm, incarnation: int) -> None:
+        if vm.incarnation != incarnation or vm.core is None:
             return
-        for action in host.disk.sync(1):
+        for action in vm.disk.sync(1):
             if isinstance(action, act.InstallSnapshot):
-                assert action.index >= host.applied, 'applied index decreased'
-                host.applied = action.index
-                self.feed(host, evt.SnapshotInstalled(action.index))
+                assert action.index >= vm.applied, 'applied index decreased'
+                vm.applied = action.index
+                self.feed(vm, evt.SnapshotInstalled(action.index))
             else:
-                self.feed(host, evt.Persisted(action.sequence))
+                self.feed(vm, evt.Persisted(action.sequence))
 
-    def _load_snapshot(self, host: Host, target: str) -> None:
-        snapshot = host.disk.snapshot
+    def _load_snapshot(self, vm: SimulatedVm, target: str) -> None:
+        snapshot = vm.disk.snapshot
         if snapshot is not None:
             loaded = evt.SnapshotLoaded(
                 target,
                 snapshot.index,
                 snapshot.term,
                 snapshot.members,
-                host.disk.payload,
+                vm.disk.payload,
             )
-            self._feed_later(host, 0.01, loaded)
+            self._feed_later(vm, 0.01, loaded)
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -142,22 +142,24 @@
     """Pass times that several entries reported recently."""
 
     def test_entries_are_weighted_by_their_events(self):
-        paces = GroupPassTimes()
-        paces.record('g', 3, 0.3, 1.0)
-        paces.record('g', 1, 0.5, 1.1)
-        paces.record('h', 1, 9.0, 1.1)
-        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1), 0.2)
+        pass_times = GroupPassTimes()
+        pass_times.record('g', 3, 0.3, 1.0)
+        pass_times.record('g', 1, 0.5, 1.1)
+        pass_times.record('h', 1, 9.0, 1.1)
+        self.assertAlmostEqual(pass_times.mean_pass_s('g', 1.1), 0.2)
 
     def test_old_reports_are_ignored(self):
-        paces = GroupPassTimes()
-        paces.record('g', 2, 0.1, 1.0)
-        paces.record('g', 1, 0.2, 1.2)
-        self.assertAlmostEqual(paces.mean_pass_s('g', 1.1 + SAMPLE_TTL_S), 0.2)
-        self.assertIsNone(paces.mean_pass_s('g', 1.3 + SAMPLE_TTL_S))
-        self.assertIsNone(paces.mean_pass_s('unknown', 1.0))
+        pass_times = GroupPassTimes()
+        pass_times.record('g', 2, 0.1, 1.0)
+        pass_times.record('g', 1, 0.2, 1.2)
+        self.assertAlmostEqual(
+            pass_times.mean_pass_s('g', 1.1 + SAMPLE_TTL_S), 0.2
+        )
+        self.assertIsNone(pass_times.mean_pass_s('g', 1.3 + SAMPLE_TTL_S))
+        self.assertIsNone(pass_times.mean_pass_s('unknown', 1.0))
 
     def test_invalid_reports_are_ignored(self):
-        paces = GroupPassTimes()
-        paces.record('g', 0, 1.0, 1.0)
-        paces.record('g', 1, -1.0, 1.0)
-        self.assertIsNone(paces.mean_pass_s('g', 1.0))
+        pass_times = GroupPassTimes()
+        pass_times.record('g', 0, 1.0, 1.0)
+        pass_times.record('g', 1, -1.0, 1.0)
+        self.assertIsNone(pass_times.mean_pass_s('g', 1.0))
