--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -288,7 +288,7 @@
 
     def can_retry(self, now: int) -> bool:
         """Return whether the router's retry budget allows a retry."""
-        return self.router.ask_retry(now * STEP_S)
+        return self.router.request_retry(now * STEP_S)
 
     def update_reports(
         self, engines: Sequence[Engine], reports: Sequence[Snapshot], now: int
--- a/src/snipebend/balancing/group_observer.py
+++ b/src/snipebend/balancing/group_observer.py
@@ -30,7 +30,7 @@
 SNAPSHOT_TTL_S = 1.0
 
 #: Seconds until a replica without a known group is queried again. Each query
-#: has a cost, and a replica that is gone does not respond.
+#: has a cost, and a replica that has exited does not respond.
 QUERY_RETRY_S = 0.5
 
 #: Slowness from which a rank counts as slow. All ranks wait for the slowest one
--- a/src/snipebend/delivery/attempting.py
+++ b/src/snipebend/delivery/attempting.py
@@ -16,7 +16,7 @@
 from snipebend.delivery.outcomes import Outcome
 from snipebend.delivery.stream import ChunkFault
 from snipebend.delivery.transitions import (
-    ask_retry,
+    request_retry,
     continue_after_not_run,
     seal_attempt,
     settle_and_end,
@@ -148,7 +148,7 @@
     can_resume = context.facts.streaming and context.facts.resumable
     if context.caller.head_sent and not can_resume:
         return _abort_response(context, phase)
-    return ask_retry(context, refusals.attempt_broken(Outcome.UNKNOWN))
+    return request_retry(context, refusals.attempt_broken(Outcome.UNKNOWN))
 
 
 def _abort_response(context: RequestContext, phase: Attempting) -> list[Action]:
--- a/src/snipebend/delivery/facts.py
+++ b/src/snipebend/delivery/facts.py
@@ -31,7 +31,7 @@
 class Target(NamedTuple):
     """One incarnation of an upstream's agent, with its two addresses.
 
-    ``alone`` requests that the agent runs nothing else beside the attempt.
+    ``alone`` requests that the agent runs nothing else during the attempt.
     """
 
     upstream: str
--- a/src/snipebend/delivery/guard.py
+++ b/src/snipebend/delivery/guard.py
@@ -13,7 +13,7 @@
 other work, and it is admitted even without room.
 
 A request suspected of killing upstreams is marked ``alone``. It starts only
-while nothing else runs, and nothing starts beside it, whichever entries the
+while nothing else runs, and nothing starts while it runs, whichever entries the
 attempts come from.
 
 The guard relies on two properties. An agent's incarnation grows with each
--- a/src/snipebend/delivery/messages.py
+++ b/src/snipebend/delivery/messages.py
@@ -49,7 +49,7 @@
     not be repeated: the agent runs it to its end, even if the connection
     closes, and stores the response. ``resume_from`` is the number of the first
     chunk requested. ``alone`` is set for a request suspected of killing
-    upstreams: nothing else may run beside it.
+    upstreams: nothing else may run at the same time.
     """
 
     request_id: str
--- a/src/snipebend/delivery/request_machine.py
+++ b/src/snipebend/delivery/request_machine.py
@@ -57,21 +57,23 @@
     def __init__(self, limits: DeliveryLimits) -> None:
         """Create a machine that waits for ``Arrived``."""
         self._limits = limits
-        self._life: RequestContext | None = None
+        self._context: RequestContext | None = None
 
     @property
     def done(self) -> bool:
         """Return whether nothing is awaited and nothing is left to settle."""
-        return self._life is not None and isinstance(self._life.phase, Ended)
+        return self._context is not None and isinstance(
+            self._context.phase, Ended
+        )
 
     def step(self, event: Event, now: float, rng: Random) -> list[Action]:
         """Handle one event at wall time ``now`` in seconds."""
         if isinstance(event, Arrived):
             return self._arrive(event, now, rng)
-        if self._life is None:
+        if self._context is None:
             return []
-        self._life.begin_step(now, rng)
-        return _dispatch(self._life, event)
+        self._context.begin_step(now, rng)
+        return _dispatch(self._context, event)
 
     def _arrive(
         self,
@@ -82,9 +84,9 @@
         cap = now + self._limits.max_deadline_s
         deadline_at = min(event.request.deadline_at, cap)
         facts = event.request._replace(deadline_at=deadline_at)
-        self._life = RequestContext(facts, self._limits)
-        self._life.begin_step(now, rng)
-        return [SetTimer(deadline_at), *choose(self._life)]
+        self._context = RequestContext(facts, self._limits)
+        self._context.begin_step(now, rng)
+        return [SetTimer(deadline_at), *choose(self._context)]
 
 
 def _dispatch(context: RequestContext, event: Event) -> list[Action]:
--- a/src/snipebend/delivery/settling.py
+++ b/src/snipebend/delivery/settling.py
@@ -21,7 +21,7 @@
     Settling,
 )
 from snipebend.delivery.transitions import (
-    ask_retry,
+    request_retry,
     continue_after_not_run,
     refuse,
     settle_and_end,
@@ -112,7 +112,7 @@
 def _on_settled(context: RequestContext, phase: Settling) -> list[Action]:
     match phase.after:
         case RetryAttempt(refusal=refusal):
-            return ask_retry(context, refusal)
+            return request_retry(context, refusal)
         case ClaimAgain(claiming=claiming):
             return claim_again(context, claiming)
         case EndRequest():
--- a/src/snipebend/delivery/transitions.py
+++ b/src/snipebend/delivery/transitions.py
@@ -76,7 +76,7 @@
     return [SendAttempt(target, ticket)]
 
 
-def ask_retry(context: RequestContext, refusal: Refuse) -> list[Action]:
+def request_retry(context: RequestContext, refusal: Refuse) -> list[Action]:
     """Request a retry, unless the caller already has its final response."""
     if context.caller.is_closed:
         context.end()
@@ -102,7 +102,7 @@
     if context.is_claimed:
         request = attempt_settlement(context, attempt, Settlement.NOT_RUN)
         return settle(context, request, RetryAttempt(refusal))
-    return ask_retry(context, refusal)
+    return request_retry(context, refusal)
 
 
 def settle(
--- a/src/snipebend/edge/relay_service.py
+++ b/src/snipebend/edge/relay_service.py
@@ -194,7 +194,7 @@
 
     def acquire_retry(self, service: str) -> bool:
         """Spend one retry of a service's budget, if there is one left."""
-        acquired = self._budget(service).take(self.now())
+        acquired = self._budget(service).try_acquire(self.now())
         if not acquired:
             self.meters.count_refused_retry(service)
             logger.info('event=retry_refused service={}', service)
--- a/src/snipebend/edge/upstream_pool.py
+++ b/src/snipebend/edge/upstream_pool.py
@@ -29,7 +29,7 @@
 FRESH_IDLE_S = 0.2
 
 #: Seconds between two TCP keep-alive probes, and how many may remain
-#: unanswered: a connection whose peer is gone is detected in three seconds.
+#: unanswered: a connection whose peer is lost is detected in three seconds.
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 
--- a/src/snipebend/experts/hold_planner.py
+++ b/src/snipebend/experts/hold_planner.py
@@ -27,7 +27,7 @@
 #: groups were idle in neither case.
 PASSES_AHEAD = 1
 
-#: Seconds lost to missing replies while ranks were told to prepare, above which
+#: Seconds lost to missing replies while ranks were preparing, above which
 #: the hold is planned later: arming the ranks is expected to lose as much
 #: again. With two passes counted for each round of missing replies, whatever
 #: the pass time, the group was held up to ten passes too late, which is 1.2 s
--- a/src/snipebend/experts/reading_plan.py
+++ b/src/snipebend/experts/reading_plan.py
@@ -2,7 +2,7 @@
 
 Each reading is charged for and pauses the group, and each change of its map
 lengthens passes for a while. Entries measure the pass time without extra cost:
-while streams are on time, a better map benefits nobody, and when demand shifts
+while streams are on time, a better map has no benefit, and when demand shifts
 away from the map in force, passes lengthen at once.
 """
 
@@ -147,7 +147,7 @@
         representative of neither demand: another span begins at once.
         """
         if self._is_on_time(pass_s):
-            # Streams are on time, so a better map benefits nobody.
+            # Streams are on time, so a better map has no benefit.
             if now >= end_at:
                 self._end_at = None
             return Reading.NOTHING
--- a/src/snipebend/relay/retry_after.py
+++ b/src/snipebend/relay/retry_after.py
@@ -1,4 +1,4 @@
-"""Computes when a refused caller is told to retry.
+"""Computes when a refused caller should retry.
 
 Performs no I/O. Callers retry once or twice, and wait for at most a third of
 their timeout.
--- a/src/snipebend/routing/limits.py
+++ b/src/snipebend/routing/limits.py
@@ -78,7 +78,7 @@
     def acquire(self, workspace: Workspace) -> None:
         """Count an admitted request."""
         usage = self._usage_of(workspace)
-        usage.bucket.take()
+        usage.bucket.consume()
         usage.in_flight += 1
 
     def release(self, name: str) -> None:
--- a/src/snipebend/routing/rates.py
+++ b/src/snipebend/routing/rates.py
@@ -37,7 +37,7 @@
         missing = 1 - self._tokens
         return missing / self._rate if missing > 0 else 0
 
-    def take(self) -> None:
+    def consume(self) -> None:
         """Consume one token."""
         self._tokens -= 1
 
--- a/src/snipebend/routing/retry_budget.py
+++ b/src/snipebend/routing/retry_budget.py
@@ -71,7 +71,7 @@
         self.requests += 1
         self._balance = min(self._cap(), self._balance + self._ratio)
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take one retry; return whether the budget allowed it."""
         self._refill(now)
         if self._balance < 1:
--- a/src/snipebend/routing/router.py
+++ b/src/snipebend/routing/router.py
@@ -174,9 +174,9 @@
         self.quarantine.release(ticket.number)
         self._admission.close(ticket, now)
 
-    def ask_retry(self, now: float) -> bool:
+    def request_retry(self, now: float) -> bool:
         """Take one retry from the budget; return whether it was allowed."""
-        return self._budget.take(now)
+        return self._budget.try_acquire(now)
 
     def dump(self) -> RouterDump:
         """Return the router's state for the process dump."""
--- a/src/snipebend/transport/delivery_io.py
+++ b/src/snipebend/transport/delivery_io.py
@@ -141,7 +141,7 @@
                 timeout_s = CHOOSE_TIMEOUT_S
                 self._choose(exclude, self._shared.clock.now() + timeout_s)
             case AskRetry():
-                self._inbox.post(self._routed.ask_retry())
+                self._inbox.post(self._routed.request_retry())
             case SendAttempt():
                 self._send(action)
             case CancelAttempt(attempt=attempt):
--- a/src/snipebend/transport/engine_client.py
+++ b/src/snipebend/transport/engine_client.py
@@ -27,7 +27,7 @@
 
 Reply = TypeVar('Reply')
 
-#: Time-out of a read from the engine beside the agent.
+#: Timeout in seconds of a read from the agent's engine.
 READ_TIMEOUT_S = 2.0
 
 _FAILURES = (ClientError, OSError, asyncio.TimeoutError)
@@ -40,7 +40,7 @@
 
 
 class EngineClient:
-    """Calls the engine that runs beside the agent."""
+    """Calls the agent's engine, which runs next to the agent."""
 
     def __init__(self, address: str, http: HttpClient) -> None:
         """Initialize with the ``host:port`` of the engine."""
--- a/src/snipebend/transport/group.py
+++ b/src/snipebend/transport/group.py
@@ -30,7 +30,7 @@
 #: Ticks of the Raft core in one heartbeat interval.
 _TICKS_PER_HEARTBEAT = 4
 
-#: Election timeout of a group with one member, which has nobody to wait for.
+#: Election timeout of a group with one member, which waits for no other.
 _SINGLE_MEMBER_TIMEOUT_S = 0.05
 
 
--- a/src/snipebend/transport/local_crash_counts.py
+++ b/src/snipebend/transport/local_crash_counts.py
@@ -24,8 +24,9 @@
 class LocalCrashCounts:
     """Counts deaths by fingerprint, by the same rule as the shared counts.
 
-    A request is blocked only if it was running alone at one death at least, so
-    that requests that merely ran beside the cause are never blocked.
+    A request is blocked only if it was running alone at one death at least.
+    Thus requests that merely ran at the same time as the cause are never
+    blocked.
     """
 
     def __init__(self) -> None:
--- a/src/snipebend/transport/routed_request.py
+++ b/src/snipebend/transport/routed_request.py
@@ -100,7 +100,7 @@
             return _refusal(Refused(AdmissionRefusalReason.QUARANTINED))
         return self._routing_service.choose(self._ticket, exclude)
 
-    def ask_retry(self) -> RetryGranted | RetryDenied:
+    def request_retry(self) -> RetryGranted | RetryDenied:
         """Request one more attempt.
 
         After a refusal that makes the upstream unavailable, the retry is not
@@ -110,7 +110,7 @@
         if self._free_retry:
             self._free_retry = False
             return RetryGranted()
-        return self._routing_service.ask_retry()
+        return self._routing_service.request_retry()
 
     async def acquire_lease(self) -> NoUpstream | None:
         """Ensure that a suspect runs nowhere else, or return a refusal.
--- a/src/snipebend/transport/routing_service.py
+++ b/src/snipebend/transport/routing_service.py
@@ -130,9 +130,9 @@
         index = self._configuration.index
         return index.fleet.routing.crash_limit if index else 1
 
-    def ask_retry(self) -> RetryGranted | RetryDenied:
+    def request_retry(self) -> RetryGranted | RetryDenied:
         """Take a retry from the budget."""
-        if self.router.ask_retry(self.clock.now()):
+        if self.router.request_retry(self.clock.now()):
             return RetryGranted()
         return RetryDenied(RETRY_AFTER_S)
 
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -95,7 +95,7 @@
     """A switch is finished once ``Go`` is accepted for the armed pass."""
 
     def run_until_go(self, lost_kinds=()):
-        """Send orders; lose the first reply to each kind in ``losing``."""
+        """Send orders; lose the first reply to each kind in ``lost_kinds``."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldPlanner(100, 10.0, 0.05)
         lost = set(lost_kinds)
--- a/tests/relay/test_retry_after.py
+++ b/tests/relay/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When refused callers are told to retry."""
+"""When refused callers should retry."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -94,7 +94,7 @@
                 budget.record_request()
                 continue
             now += pause
-            budget.take(now)
+            budget.try_acquire(now)
             earned = 0.1 * budget.requests + IDLE_RETRIES_PER_S * now
             self.assertLessEqual(budget.granted, RESERVE + earned + 1e-6)
 
@@ -107,7 +107,7 @@
                 budget = budgets[tick % entries]
                 budget.record_request()
                 now = 10 * tick / requests
-                granted += sum(budget.take(now) for _ in range(3))
+                granted += sum(budget.try_acquire(now) for _ in range(3))
             self.assertLessEqual(granted, 0.2 * requests + slack)
             self.assertGreater(granted, 0.2 * requests)
 
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -207,7 +207,7 @@
 
 
 class CrashTest(unittest.TestCase):
-    """Crashing requests are quarantined, those that ran beside them not."""
+    """Crashing requests are quarantined, others that were running are not."""
 
     def test_crashing_request_is_quarantined_and_others_cleared(self) -> None:
         machine = Machine()
--- a/tests/upgrades/addresses.py
+++ b/tests/upgrades/addresses.py
@@ -9,7 +9,7 @@
 
 
 def fresh_host() -> str:
-    """Return a loopback address that nobody else is likely to use.
+    """Return a loopback address that no other test is likely to use.
 
     The members' addresses are in the data: with a host of their own they can
     be taken again when copies of the data are opened later.
--- a/tests/upgrades/check_console.py
+++ b/tests/upgrades/check_console.py
@@ -17,8 +17,8 @@
     from tests.upgrades.builds import Build, Printed
     from tests.upgrades.reporting import Report, Step
 
-#: Where nobody listens.
-_NOBODY = '127.0.0.1:1'
+#: An address without a listener.
+_UNUSED_ADDRESS = '127.0.0.1:1'
 _CODES = (0, 0, 0, 3, 2, 2, 0, 0, 0, 4, 4, 4)
 
 
@@ -82,7 +82,7 @@
     broken.write_text('name = 3\n', 'utf-8')
     first, second = map(str, examples[:2])
     at = ('--control', control.addresses['grpc'])
-    nowhere = ('--control', _NOBODY)
+    nowhere = ('--control', _UNUSED_ADDRESS)
     return [
         ('apply', first, '--json', '--change-id', 'a', *at),
         ('apply', second, '--json', '--change-id', 'b', '--expect', '1', *at),
@@ -96,7 +96,7 @@
         ('dump', control.addresses['admin']),
         ('show', '--json', *nowhere),
         ('status', '--json', *nowhere),
-        ('dump', _NOBODY),
+        ('dump', _UNUSED_ADDRESS),
     ]
 
 
--- a/tests/upgrades/check_platform.py
+++ b/tests/upgrades/check_platform.py
@@ -108,7 +108,7 @@
 
 
 async def _check_limits(mixed: Mixed) -> None:
-    """Let one entry hear of a limit; the other one's dump shows it."""
+    """Let one entry receive a limit; the other one's dump shows it."""
     group = mixed.group
     entries = group.place.entries
     directions = (entries, list(reversed(entries)))
--- a/tests/upgrades/comparing.py
+++ b/tests/upgrades/comparing.py
@@ -30,7 +30,7 @@
         'groups',
         'balancer',
         'tasks',
-        # The administrative port, which is chosen anew at each start.
+        # The administrative port, which is chosen at each start.
         'admin',
         # Open connections, ours among them.
         'connections',
--- a/tests/upgrades/contents.py
+++ b/tests/upgrades/contents.py
@@ -95,7 +95,7 @@
 
 
 def claims_of(part: str) -> list[Request]:
-    """Return claims that stay open, ran, didn't run, or can't be told."""
+    """Return claims that stay open, ran, didn't run or have no known end."""
     named = {end: f'{part}-{end}' for end in ('open', 'ran', 'not', 'unknown')}
     return [
         *(claim(key, f'r-{key}') for key in named.values()),
--- a/tests/upgrades/control_group.py
+++ b/tests/upgrades/control_group.py
@@ -84,7 +84,7 @@
         return await call(self.address(name), paths.DESCRIBE, {})
 
     async def confirmed(self, name: str) -> bool:
-        """Tell whether a daemon has a state that a quorum confirmed."""
+        """Return whether a daemon has a state that a quorum confirmed."""
         view = await self.describe(name)
         voters = view['members']['voters']
         own = view['member']['member_id']
--- a/tests/upgrades/platform_group.py
+++ b/tests/upgrades/platform_group.py
@@ -62,7 +62,7 @@
             await until(f'{host} in its group', look)
 
     async def in_group(self, host: str) -> bool:
-        """Tell whether a control daemon follows a quorum of the group."""
+        """Return whether a control daemon follows a quorum of the group."""
         state = (await self.dump(host))['state']
         whole = len(state.get('voters', ())) == len(self.place.controls)
         return whole and (state['confirmed_ago_s'] is not None)
--- a/tests/upgrades/reading.py
+++ b/tests/upgrades/reading.py
@@ -84,7 +84,7 @@
 
 
 async def _read_announced(address: str, asker: Build) -> dict[str, Any]:
-    """Return the answers that tell of upstreams."""
+    """Return the answers that list upstreams."""
     asked = {'process': 'upgrade', 'revision': 0}
     return {
         'show': await call(address, paths.SHOW, {}),
@@ -114,7 +114,7 @@
 
 
 async def _group_fields(address: str) -> dict[str, list[str]]:
-    """Return the fields that are told of each group."""
+    """Return the fields that are reported for each group."""
     reply = await call(address, paths.GROUP_STATUS, {})
     return {told['group']: sorted(told) for told in reply['groups']}
 
--- a/tests/upgrades/request_path.py
+++ b/tests/upgrades/request_path.py
@@ -81,7 +81,7 @@
         return program
 
     async def _is_whole(self) -> bool:
-        """Tell whether each entry knows all agents, and of the other entry."""
+        """Return whether each entry knows all agents and the other entry."""
         for entry in self.entries.values():
             dump = await read_dump(entry.addresses['admin'])
             known = len(dump['directory'])
