--- a/bench/quick_switch.py
+++ b/bench/quick_switch.py
@@ -31,11 +31,11 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    QueryDecision,
     BarrierEntryReceived,
     EnterBarrier,
     FetchWeights,
     OrderReceived,
+    QueryDecision,
     RunStep,
     SendReport,
     StepFinished,
--- a/bench/routing_runs.py
+++ b/bench/routing_runs.py
@@ -14,8 +14,8 @@
     Workload,
 )
 from bench.routing_policies import (
-    RouterPolicy,
     Policy,
+    RouterPolicy,
     job_fingerprint,
 )
 
--- a/src/snipebend/consensus/log_sender.py
+++ b/src/snipebend/consensus/log_sender.py
@@ -11,7 +11,7 @@
 
 from snipebend.consensus.actions import NeedSnapshot
 from snipebend.consensus.messages import AppendRequest, SnapshotRequest
-from snipebend.consensus.progress import ReplicationMode, Progress
+from snipebend.consensus.progress import Progress, ReplicationMode
 from snipebend.consensus.records import SnapshotMeta
 
 if TYPE_CHECKING:
--- a/src/snipebend/console/status.py
+++ b/src/snipebend/console/status.py
@@ -9,13 +9,13 @@
 
 from snipebend.console.connection import (
     add_control_option,
-    call_control,
     call_all,
+    call_control,
     find_control_addresses,
 )
 from snipebend.console.exit_codes import ExitCode
-from snipebend.console.member_status import MemberStatus, list_member_statuses
 from snipebend.console.map_status import fetch_group_statuses, print_groups
+from snipebend.console.member_status import MemberStatus, list_member_statuses
 from snipebend.console.output import print_error, print_json, print_line
 from snipebend.membership.messages import Directory, DirectoryRequest
 from snipebend.state.messages import ShowReply, ShowRequest
--- a/src/snipebend/daemons/agent.py
+++ b/src/snipebend/daemons/agent.py
@@ -13,10 +13,10 @@
 from snipebend.kernel.process import Process
 from snipebend.settings.model import AgentSettings
 from snipebend.transport.announcer import Announcer
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.control_calls import ControlCalls
 from snipebend.transport.crash_reporter import CrashReporter
 from snipebend.transport.fence_reader import FenceReader
-from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.http_server import HttpServer
 from snipebend.transport.load_reader import LoadReader
--- a/src/snipebend/daemons/relay_entry.py
+++ b/src/snipebend/daemons/relay_entry.py
@@ -7,9 +7,9 @@
 from snipebend.daemons.running import build_admin, connect_admin
 from snipebend.edge.gossip import Gossip
 from snipebend.edge.host_follower import HostFollower, TableParser
+from snipebend.edge.pass_time_reporter import PassTimeReporter
 from snipebend.edge.relay_server import RelayServer
 from snipebend.edge.relay_service import RelayService
-from snipebend.edge.pass_time_reporter import PassTimeReporter
 from snipebend.kernel.process import Process
 from snipebend.settings.seeds import split_address
 from snipebend.transport.http_server import HttpServer
--- a/src/snipebend/delivery/attempting.py
+++ b/src/snipebend/delivery/attempting.py
@@ -16,8 +16,8 @@
 from snipebend.delivery.outcomes import Outcome
 from snipebend.delivery.stream import ChunkFault
 from snipebend.delivery.transitions import (
-    request_retry,
     continue_after_not_run,
+    request_retry,
     seal_attempt,
     settle_and_end,
 )
--- a/src/snipebend/delivery/settling.py
+++ b/src/snipebend/delivery/settling.py
@@ -21,9 +21,9 @@
     Settling,
 )
 from snipebend.delivery.transitions import (
-    request_retry,
     continue_after_not_run,
     refuse,
+    request_retry,
     settle_and_end,
 )
 from snipebend.state.claims import Settlement
--- a/src/snipebend/edge/host_follower.py
+++ b/src/snipebend/edge/host_follower.py
@@ -32,7 +32,7 @@
     from collections.abc import Mapping
 
     from snipebend.kernel.registry import Registry
-    from snipebend.state.host_updates import UpstreamGroupStatus, HostUpdate
+    from snipebend.state.host_updates import HostUpdate, UpstreamGroupStatus
     from snipebend.state.roster import UpstreamRecord
 
 #: Parses the body of a document.
--- a/src/snipebend/experts/switch_coordinator.py
+++ b/src/snipebend/experts/switch_coordinator.py
@@ -27,13 +27,13 @@
     GroupNeed,
     OrderFactory,
     PromiseCheck,
+    awaits_map,
     base_stamp,
     check_promises,
     determine_need,
+    exclude_fetched,
     first_unentered_step,
     is_applicable,
-    awaits_map,
-    exclude_fetched,
     members_without_promise,
 )
 from snipebend.experts.switch_messages import (
--- a/src/snipebend/experts/switch_rank.py
+++ b/src/snipebend/experts/switch_rank.py
@@ -20,11 +20,11 @@
 )
 from snipebend.experts.switch_promise import RankPromise
 from snipebend.experts.switch_rank_events import (
-    QueryDecision,
     BarrierEntryReceived,
     EntryRefused,
     FetchWeights,
     OrderReceived,
+    QueryDecision,
     RankAction,
     RankEvent,
     SendReport,
--- a/src/snipebend/experts/switch_runner.py
+++ b/src/snipebend/experts/switch_runner.py
@@ -7,8 +7,8 @@
 from snipebend.experts.switch_barrier import StepBarrier, Verdict
 from snipebend.experts.switch_messages import MapStamp, SwitchDecision
 from snipebend.experts.switch_rank_events import (
-    QueryDecision,
     EnterBarrier,
+    QueryDecision,
     RankAction,
     RefuseEntry,
     RunStep,
--- a/src/snipebend/standin/app.py
+++ b/src/snipebend/standin/app.py
@@ -6,7 +6,7 @@
 
 from snipebend.standin.completions import CHAT_ROUTE, TEXT_ROUTE
 from snipebend.standin.generation import Generation, RequestById
-from snipebend.standin.http import Healthz, DisconnectAwareApp
+from snipebend.standin.http import DisconnectAwareApp, Healthz
 from snipebend.standin.resources import (
     CacheState,
     Executions,
--- a/src/snipebend/standin/service.py
+++ b/src/snipebend/standin/service.py
@@ -10,8 +10,8 @@
 
 from snipebend.standin.executions import ExecutionLedger
 from snipebend.standin.http import (
-    Healthz,
     DisconnectAwareApp,
+    Healthz,
     read_body,
     send_json,
 )
--- a/src/snipebend/transport/attempt_stream.py
+++ b/src/snipebend/transport/attempt_stream.py
@@ -20,7 +20,7 @@
     ChunkArrived,
 )
 from snipebend.delivery.events import Event
-from snipebend.transport.engine_call import TRANSFER_ERRORS, CONNECT_ERRORS
+from snipebend.transport.engine_call import CONNECT_ERRORS, TRANSFER_ERRORS
 from snipebend.transport.forward import (
     CONNECT_TIMEOUT_S,
     HttpClient,
--- a/src/snipebend/transport/caller_api.py
+++ b/src/snipebend/transport/caller_api.py
@@ -13,9 +13,9 @@
 
 from snipebend.delivery.actions import (
     AbortResponse,
-    SendStoredResponse,
     Refuse,
     RelayHead,
+    SendStoredResponse,
 )
 from snipebend.delivery.outcomes import Outcome
 from snipebend.kernel.service import Service
@@ -30,9 +30,9 @@
     check_request,
     model_names,
 )
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.dispatch import Dispatcher
 from snipebend.transport.events import MEDIA_EVENTS
-from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.forward import end_to_end
 from snipebend.transport.problems import (
     OUTCOME_HEADER,
--- a/src/snipebend/transport/delivery_driver.py
+++ b/src/snipebend/transport/delivery_driver.py
@@ -12,15 +12,15 @@
 from snipebend.delivery.actions import (
     AbortResponse,
     Action,
-    SendStoredResponse,
     FinishResponse,
     Refuse,
     RelayChunk,
     RelayHead,
+    SendStoredResponse,
 )
 from snipebend.delivery.events import Arrived, CallerDisconnected, Event
 from snipebend.delivery.request_machine import RequestMachine
-from snipebend.transport.delivery_io import DeliveryIo, Inbox, DeliveryResources
+from snipebend.transport.delivery_io import DeliveryIo, DeliveryResources, Inbox
 
 if TYPE_CHECKING:
     from snipebend.delivery.facts import RequestFacts
--- a/src/snipebend/transport/dispatch.py
+++ b/src/snipebend/transport/dispatch.py
@@ -16,10 +16,10 @@
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.meters import EntryMeters
 from snipebend.transport.request_facts import (
-    correlation_id,
     build_forwarded_request,
-    gather_facts,
     build_routing_request,
+    correlation_id,
+    gather_facts,
 )
 from snipebend.transport.request_record import RequestLabel, RequestRecord
 from snipebend.transport.routed_request import RoutedRequest
--- a/src/snipebend/transport/expert_service.py
+++ b/src/snipebend/transport/expert_service.py
@@ -15,7 +15,7 @@
 from snipebend.orders.expert_load import GroupStatusQuery, GroupStatusReply
 from snipebend.orders.issuer import IssuerConfig
 from snipebend.transport.group_switch import GroupSwitch
-from snipebend.transport.map_planning import RoundRobinPlanner, MapPlanner
+from snipebend.transport.map_planning import MapPlanner, RoundRobinPlanner
 from snipebend.transport.rank_methods import GROUP_STATUS
 from snipebend.transport.rpc_clients import RpcClients
 from snipebend.transport.rpc_server import Endpoint, RpcServer
--- a/src/snipebend/transport/group.py
+++ b/src/snipebend/transport/group.py
@@ -12,10 +12,10 @@
 from snipebend.consensus.events import HandOver, Tick
 from snipebend.transport.group_messages import GroupReply
 from snipebend.transport.leader_client import LeaderClient
-from snipebend.transport.replica_messages import CoreEvent
-from snipebend.transport.peer_links import PeerLinks
 from snipebend.transport.membership_manager import MembershipManager
+from snipebend.transport.peer_links import PeerLinks
 from snipebend.transport.replica import Replica
+from snipebend.transport.replica_messages import CoreEvent
 
 if TYPE_CHECKING:
     from snipebend.consensus.records import Member
--- a/src/snipebend/transport/group_api.py
+++ b/src/snipebend/transport/group_api.py
@@ -20,7 +20,6 @@
     ReadIndexReply,
 )
 from snipebend.transport.leader_client import HOP_TIMEOUT_S
-from snipebend.transport.replica_messages import CoreEvent
 from snipebend.transport.methods import (
     DELIVER,
     FORWARD,
@@ -29,6 +28,7 @@
     JOIN,
     READ_INDEX,
 )
+from snipebend.transport.replica_messages import CoreEvent
 from snipebend.transport.replicated_state import ReplicatedState
 from snipebend.transport.rpc_server import Endpoint, RpcServer
 
--- a/src/snipebend/transport/group_start.py
+++ b/src/snipebend/transport/group_start.py
@@ -11,8 +11,8 @@
 from snipebend.consensus.folder_lock import FolderLock
 from snipebend.consensus.records import Member, Members
 from snipebend.consensus.storage import Storage
-from snipebend.transport.group_discovery import ROUND_INTERVAL_S, GroupDiscovery
 from snipebend.transport.group import Group
+from snipebend.transport.group_discovery import ROUND_INTERVAL_S, GroupDiscovery
 from snipebend.transport.rpc_clients import RpcClients
 
 if TYPE_CHECKING:
--- a/src/snipebend/transport/leader_client.py
+++ b/src/snipebend/transport/leader_client.py
@@ -28,8 +28,8 @@
     ForwardRequest,
     ReadIndexRequest,
 )
-from snipebend.transport.replica_messages import RequestOutcome, CoreRequest
 from snipebend.transport.methods import FORWARD, READ_INDEX
+from snipebend.transport.replica_messages import CoreRequest, RequestOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
--- a/src/snipebend/transport/load_reader.py
+++ b/src/snipebend/transport/load_reader.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from snipebend.kernel.service import Service
-from snipebend.transport.engine_client import EngineClient
 from snipebend.transport.configuration_follower import ConfigurationFollower
+from snipebend.transport.engine_client import EngineClient
 from snipebend.transport.forward import HttpClient
 
 if TYPE_CHECKING:
--- a/src/snipebend/transport/pending_requests.py
+++ b/src/snipebend/transport/pending_requests.py
@@ -14,7 +14,7 @@
     from asyncio import Future
 
     from snipebend.consensus.records import Member
-    from snipebend.transport.replica_messages import RequestOutcome, CoreRequest
+    from snipebend.transport.replica_messages import CoreRequest, RequestOutcome
 
 _PROPOSE = 'propose'
 _READ = 'read'
--- a/src/snipebend/transport/rank_switch.py
+++ b/src/snipebend/transport/rank_switch.py
@@ -21,9 +21,9 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    QueryDecision,
     FetchWeights,
     OrderReceived,
+    QueryDecision,
     RankAction,
     RankEvent,
     WeightsFetched,
--- a/src/snipebend/transport/replica.py
+++ b/src/snipebend/transport/replica.py
@@ -18,10 +18,12 @@
 )
 from snipebend.errors.hierarchy import CorruptionError
 from snipebend.kernel.mailbox import Mailbox
+from snipebend.transport.action_executor import ActionExecutor
 from snipebend.transport.applier import Applier
 from snipebend.transport.control_meters import ReplicaMeters
-from snipebend.transport.action_executor import ActionExecutor
+from snipebend.transport.pending_requests import PendingRequests
 from snipebend.transport.replica_messages import (
+    CoreEvent,
     CoreRequest,
     ReplicaMessage,
     SnapshotReplaced,
@@ -29,9 +31,7 @@
     StorageBlocked,
     StorageFailed,
     StorageUnblocked,
-    CoreEvent,
 )
-from snipebend.transport.pending_requests import PendingRequests
 from snipebend.transport.storage_writer import StorageWriter
 
 if TYPE_CHECKING:
@@ -39,8 +39,8 @@
     from snipebend.consensus.core import CoreStatus
     from snipebend.consensus.storage import Storage, StoredState
     from snipebend.kernel.clock import Clock
-    from snipebend.transport.replica_messages import RequestOutcome
     from snipebend.transport.peer_links import PeerLinks
+    from snipebend.transport.replica_messages import RequestOutcome
 
 #: Number of waiting messages from which those of peers and callers are dropped.
 MAX_WAITING_MESSAGES = 10_000
--- a/src/snipebend/transport/routing_service.py
+++ b/src/snipebend/transport/routing_service.py
@@ -16,16 +16,16 @@
 from snipebend.kernel.service import Service
 from snipebend.routing.messages import Choice, Queued, RoutingRequest, Ticket
 from snipebend.routing.router import Router, RouterSettings
-from snipebend.transport.local_crash_counts import LocalCrashCounts
-from snipebend.transport.directory_follower import DirectoryFollower
-from snipebend.transport.configuration_follower import ConfigurationFollower
-from snipebend.transport.suspect_leases import SuspectLeases
-from snipebend.transport.upstream_views import UpstreamViews
 from snipebend.transport.admission_waiters import (
     CALLER_DISCONNECTED,
-    Verdict,
     AdmissionWaiters,
+    Verdict,
 )
+from snipebend.transport.configuration_follower import ConfigurationFollower
+from snipebend.transport.directory_follower import DirectoryFollower
+from snipebend.transport.local_crash_counts import LocalCrashCounts
+from snipebend.transport.suspect_leases import SuspectLeases
+from snipebend.transport.upstream_views import UpstreamViews
 
 if TYPE_CHECKING:
     from snipebend.kernel.registry import Registry
--- a/src/snipebend/transport/storage_writer.py
+++ b/src/snipebend/transport/storage_writer.py
@@ -16,13 +16,13 @@
 from snipebend.errors.hierarchy import CorruptionError
 from snipebend.kernel.mailbox import Mailbox
 from snipebend.transport.replica_messages import (
+    CoreEvent,
     ReplicaMessage,
     SnapshotReplaced,
     SnapshotSaved,
     StorageBlocked,
     StorageFailed,
     StorageUnblocked,
-    CoreEvent,
 )
 
 if TYPE_CHECKING:
--- a/tests/balancing/group_model.py
+++ b/tests/balancing/group_model.py
@@ -42,7 +42,7 @@
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.orders.flow import MAX_REPLY_TIMEOUT_S
 from snipebend.state.roster import RecordRequest, UpstreamRecord
-from tests.balancing.fakes import RecordingKeeper, LeadingStore
+from tests.balancing.fakes import LeadingStore, RecordingKeeper
 from tests.virtual_time import LoopClock
 
 EXPERT_SHARE = 0.85
--- a/tests/balancing/test_demand_shifts.py
+++ b/tests/balancing/test_demand_shifts.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from snipebend.experts.group_pass_times import GroupPassTimes
-from tests.balancing.group_model import Leader, ModelGroup, GroupShape
+from tests.balancing.group_model import GroupShape, Leader, ModelGroup
 from tests.virtual_time import LoopClock, run_in_virtual_time
 
 SHAPES = (
--- a/tests/experts/switch_simulation.py
+++ b/tests/experts/switch_simulation.py
@@ -32,12 +32,12 @@
 )
 from snipebend.experts.switch_rank import RankGuard
 from snipebend.experts.switch_rank_events import (
-    QueryDecision,
     BarrierEntryReceived,
     EnterBarrier,
     EntryRefused,
     FetchWeights,
     OrderReceived,
+    QueryDecision,
     RefuseEntry,
     RunStep,
     SendReport,
--- a/tests/experts/test_change_value.py
+++ b/tests/experts/test_change_value.py
@@ -5,9 +5,9 @@
 import unittest
 
 from snipebend.experts.change_value import (
+    MAX_REMAINING_S,
     MAX_REQUIRED_SAVING,
     MIN_REMAINING_S,
-    MAX_REMAINING_S,
     STABLE_AGE_RATIO,
     DemandAge,
     expected_remaining_s,
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -14,8 +14,8 @@
 )
 from snipebend.experts.direct_switch import GO_RETRY_S, DirectSwitch, Phase
 from snipebend.experts.hold_planner import (
-    PASSES_AHEAD,
     LOSS_MARGIN_PASSES,
+    PASSES_AHEAD,
     STEP_VALID_S,
     HoldPlanner,
 )
--- a/tests/experts/test_placement_view.py
+++ b/tests/experts/test_placement_view.py
@@ -8,8 +8,8 @@
 
 from snipebend.experts.model import count_replicas
 from snipebend.experts.placement import place_from_scratch
-from snipebend.experts.skew import rank_loads, relative_loads
 from snipebend.experts.placement_view import view_placement
+from snipebend.experts.skew import rank_loads, relative_loads
 from tests.experts.loads import SHAPE, zipf_shares
 
 
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -6,14 +6,14 @@
 
 from snipebend.experts.group_pass_times import SAMPLE_TTL_S, GroupPassTimes
 from snipebend.experts.reading_plan import (
-    RECHECK_AFTER_S,
+    MAX_SPAN_S,
     NO_REPORT_INTERVAL_S,
     ON_TIME_SHARE,
-    SPOT_CHECK_INTERVAL_S,
-    SHIFT_GROWTH,
-    MAX_SPAN_S,
+    RECHECK_AFTER_S,
     REFINE_AFTER_S,
+    SHIFT_GROWTH,
     SPAN_S,
+    SPOT_CHECK_INTERVAL_S,
     Reading,
     ReadingPlan,
 )
--- a/tests/experts/test_two_groups.py
+++ b/tests/experts/test_two_groups.py
@@ -6,8 +6,8 @@
 
 from tests.experts.direct_simulation import MixedMapsError
 from tests.experts.pair_simulation import (
-    OwnVersionsGroup,
     MisroutingGroup,
+    OwnVersionsGroup,
     PairSimulation,
     UnchangedEpochPair,
 )
--- a/tests/orders/test_flow.py
+++ b/tests/orders/test_flow.py
@@ -5,9 +5,9 @@
 import unittest
 
 from snipebend.orders.flow import (
-    REPLY_TIMEOUT_S,
-    MIN_LINK_RATE,
     MAX_REPLY_TIMEOUT_S,
+    MIN_LINK_RATE,
+    REPLY_TIMEOUT_S,
     SMALL_BYTES,
     WINDOW_BYTES,
     OrderFlow,
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -5,12 +5,12 @@
 import unittest
 
 from snipebend.relay.facts import (
-    ResponseHead,
     AnnouncedLimit,
-    PrefixPart,
-    RequestHead,
     BackoffRequest,
     CallContext,
+    PrefixPart,
+    RequestHead,
+    ResponseHead,
 )
 from snipebend_platform.dialect import PlatformDialect
 
--- a/tests/relay/rate_limit_simulation.py
+++ b/tests/relay/rate_limit_simulation.py
@@ -12,8 +12,8 @@
 from itertools import count
 
 from snipebend.edge.gossip import (
-    REPEAT_INTERVAL_S,
     ENTRY_TIMEOUT_S,
+    REPEAT_INTERVAL_S,
     SEND_INTERVAL_S,
 )
 from snipebend.relay.facts import AnnouncedLimit, ResponseFacts
--- a/tests/state/test_followed_configuration.py
+++ b/tests/state/test_followed_configuration.py
@@ -11,8 +11,8 @@
 from snipebend.console.demo_fleet import FLEET
 from snipebend.fleet.lease import (
     KEEPALIVE_S,
-    MIN_CONFIG_LEASE_S,
     MAX_CONFIRMATION_AGE_S,
+    MIN_CONFIG_LEASE_S,
 )
 from snipebend.fleet.rendering import render_fleet
 from snipebend.membership.confirmations import Confirmations
--- a/tests/transport/switch_environment.py
+++ b/tests/transport/switch_environment.py
@@ -34,7 +34,7 @@
 from snipebend.transport.fence_reader import FenceReader
 from snipebend.transport.forward import HttpClient
 from snipebend.transport.http_server import HttpServer
-from snipebend.transport.map_planning import RoundRobinPlanner, Plan
+from snipebend.transport.map_planning import Plan, RoundRobinPlanner
 from snipebend.transport.methods import READ_FENCE, READ_MAP
 from snipebend.transport.orders_api import OrdersApi
 from snipebend.transport.rank_api import RankApi
--- a/tests/transport/test_cancelled_waits.py
+++ b/tests/transport/test_cancelled_waits.py
@@ -16,9 +16,9 @@
 from snipebend.kernel.registry import Registry
 from snipebend.kernel.tasks import TaskSupervisor
 from snipebend.membership.messages import Announcement, DirectoryRequest
+from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.control_api import ConfigurationApi
 from snipebend.transport.directory_api import DirectoryApi
-from snipebend.transport.configuration_follower import ConfigurationFollower
 from snipebend.transport.pending_requests import PendingRequests
 from snipebend.transport.rpc_server import RpcServer
 
--- a/tests/transport/test_directory_watch.py
+++ b/tests/transport/test_directory_watch.py
@@ -14,7 +14,7 @@
 from snipebend.membership.directory_delta import DirectoryCopy
 from snipebend.membership.messages import Announcement, DirectoryRequest
 from snipebend.transport.directory_api import DirectoryApi
-from tests.transport.test_cancelled_waits import start_keeper, run_loop
+from tests.transport.test_cancelled_waits import run_loop, start_keeper
 
 UPSTREAMS = 400
 
--- a/tests/transport/test_group_discovery.py
+++ b/tests/transport/test_group_discovery.py
@@ -15,8 +15,8 @@
     JoinReply,
     JoinRequest,
 )
-from snipebend.transport.methods import HELLO
 from snipebend.transport.membership_manager import MembershipManager
+from snipebend.transport.methods import HELLO
 
 _ADDRESSES = ('127.0.0.1:1', '127.0.0.1:2', '127.0.0.1:3', '127.0.0.1:4')
 
--- a/tests/transport/test_policy_planner.py
+++ b/tests/transport/test_policy_planner.py
@@ -9,7 +9,7 @@
 from snipebend.experts.switch_cost import fetch_bytes
 from snipebend.fleet.model import Group, Weights
 from snipebend.orders.expert_load import ExpertLoadReply
-from snipebend.transport.map_planning import PlanningContext, Plan
+from snipebend.transport.map_planning import Plan, PlanningContext
 from snipebend.transport.policy_planner import PolicyPlanner
 
 MEMBERS = ('a', 'b', 'c', 'd')
--- a/tests/upgrades/control_group.py
+++ b/tests/upgrades/control_group.py
@@ -11,7 +11,7 @@
 
 from tests.programs import common_toml
 from tests.upgrades import paths
-from tests.upgrades.addresses import fresh_host, free_ports
+from tests.upgrades.addresses import free_ports, fresh_host
 from tests.upgrades.waiting import all_of, until
 from tests.upgrades.wire import call
 
--- a/tests/upgrades/request_path.py
+++ b/tests/upgrades/request_path.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from contextlib import asynccontextmanager, AsyncExitStack
+from contextlib import AsyncExitStack, asynccontextmanager
 from itertools import product
 from typing import TYPE_CHECKING
 
