--- a/src/snipebend/delivery/settling.py
+++ b/src/snipebend/delivery/settling.py
@@ -21,9 +21,9 @@
     Settling,
 )
 from snipebend.delivery.transitions import (
-    ask_retry,
     continue_after_not_run,
     refuse,
+    request_retry,
     settle_and_end,
 )
 from snipebend.state.claims import Settlement
@@ -112,7 +112,7 @@
 def _on_settled(context: RequestContext, phase: Settling) -> list[Action]:
     match phase.after:
         case RetryAttempt(refusal=refusal):
-            return ask_retry(context, refusal)
+            return request_retry(context, refusal)
         case ClaimAgain(claiming=claiming):
             return claim_again(context, claiming)
         case EndRequest():
--- a/src/snipebend/transport/group.py
+++ b/src/snipebend/transport/group.py
@@ -12,10 +12,10 @@
 from snipebend.consensus.events import HandOver, Tick
 from snipebend.transport.group_messages import GroupReply
 from snipebend.transport.leader_client import LeaderClient
-from snipebend.transport.replica_messages import CoreEvent
-from snipebend.transport.peer_links import PeerLinks
 from snipebend.transport.membership_manager import MembershipManager
+from snipebend.transport.peer_links import PeerLinks
 from snipebend.transport.replica import Replica
+from snipebend.transport.replica_messages import CoreEvent
 
 if TYPE_CHECKING:
     from snipebend.consensus.records import Member
@@ -30,7 +30,7 @@
 #: Ticks of the Raft core in one heartbeat interval.
 _TICKS_PER_HEARTBEAT = 4
 
-#: Election timeout of a group with one member, which has nobody to wait for.
+#: Election timeout of a group with one member, which waits for no other.
 _SINGLE_MEMBER_TIMEOUT_S = 0.05
 
 
--- a/src/snipebend/transport/routing_service.py
+++ b/src/snipebend/transport/routing_service.py
@@ -16,16 +16,16 @@
 from snipebend.kernel.service import Service
 from snipebend.routing.messages import Choice, Queued, RoutingRequest, Ticket
 from snipebend.routing.router import Router, RouterSettings
-from snipebend.transport.local_crash_counts import LocalCrashCounts
-from snipebend.transport.directory_follower import DirectoryFollower
-from snipebend.transport.configuration_follower import ConfigurationFollower
-from snipebend.transport.suspect_leases import SuspectLeases
-from snipebend.transport.upstream_views import UpstreamViews
 from snipebend.transport.admission_waiters import (
     CALLER_DISCONNECTED,
-    Verdict,
     AdmissionWaiters,
+    Verdict,
 )
+from snipebend.transport.configuration_follower import ConfigurationFollower
+from snipebend.transport.directory_follower import DirectoryFollower
+from snipebend.transport.local_crash_counts import LocalCrashCounts
+from snipebend.transport.suspect_leases import SuspectLeases
+from snipebend.transport.upstream_views import UpstreamViews
 
 if TYPE_CHECKING:
     from snipebend.kernel.registry import Registry
@@ -130,9 +130,9 @@
         index = self._configuration.index
         return index.fleet.routing.crash_limit if index else 1
 
-    def ask_retry(self) -> RetryGranted | RetryDenied:
+    def request_retry(self) -> RetryGranted | RetryDenied:
         """Take a retry from the budget."""
-        if self.router.ask_retry(self.clock.now()):
+        if self.router.request_retry(self.clock.now()):
             return RetryGranted()
         return RetryDenied(RETRY_AFTER_S)
 
--- a/tests/experts/test_direct_switch.py
+++ b/tests/experts/test_direct_switch.py
@@ -20,8 +20,8 @@
 )
 from snipebend.experts.direct_switch import GO_RETRY_S, DirectSwitch, Phase
 from snipebend.experts.hold_planner import (
-    PASSES_AHEAD,
     LOSS_MARGIN_PASSES,
+    PASSES_AHEAD,
     STEP_VALID_S,
     HoldPlanner,
 )
@@ -101,7 +101,7 @@
     """A switch is finished once ``Go`` is accepted for the armed pass."""
 
     def run_until_go(self, lost_kinds=()):
-        """Send orders; lose the first reply to each kind in ``losing``."""
+        """Send orders; lose the first reply to each kind in ``lost_kinds``."""
         switch = DirectSwitch('g', 1, 1, LAYERS, 2)
         switch.aim = HoldPlanner(100, 10.0, 0.05)
         lost = set(lost_kinds)
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -10,12 +10,12 @@
 import unittest
 
 from snipebend.relay.facts import (
-    ResponseHead,
     AnnouncedLimit,
-    PrefixPart,
-    RequestHead,
     BackoffRequest,
     CallContext,
+    PrefixPart,
+    RequestHead,
+    ResponseHead,
 )
 from snipebend_platform.dialect import PlatformDialect
 
--- a/tests/upgrades/control_group.py
+++ b/tests/upgrades/control_group.py
@@ -11,7 +11,7 @@
 
 from tests.programs import common_toml
 from tests.upgrades import paths
-from tests.upgrades.addresses import fresh_host, free_ports
+from tests.upgrades.addresses import free_ports, fresh_host
 from tests.upgrades.waiting import all_of, until
 from tests.upgrades.wire import call
 
@@ -84,7 +84,7 @@
         return await call(self.address(name), paths.DESCRIBE, {})
 
     async def confirmed(self, name: str) -> bool:
-        """Tell whether a daemon has a state that a quorum confirmed."""
+        """Return whether a daemon has a state that a quorum confirmed."""
         view = await self.describe(name)
         voters = view['members']['voters']
         own = view['member']['member_id']
