--- a/src/snipebend/experts/direct_switch.py
+++ b/src/snipebend/experts/direct_switch.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from snipebend.experts.direct_orders import RankOrder, RankReport
     from snipebend.experts.layer_state import LayerMap
-    from snipebend.experts.rank_states import RankState
+    from snipebend.experts.rank_states import RankProgress
 
 
 class Phase(Enum):
@@ -182,7 +182,7 @@
         if self.hold_step is None and report.rank == 0:
             self.hold_step = report.held
 
-    def _note_armed(self, report: RankReport, rank: RankState) -> None:
+    def _note_armed(self, report: RankReport, rank: RankProgress) -> None:
         """Record ranks that an earlier coordinator armed for a later pass."""
         armed = report.armed
         if armed is None or armed.version != self.version:
--- a/src/snipebend/experts/rank_states.py
+++ b/src/snipebend/experts/rank_states.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class RankState:
+class RankProgress:
     """The progress of one rank."""
 
     sent_at: float = -1
@@ -51,7 +51,7 @@
 
     def __init__(self, size: int) -> None:
         """Create an initial state for each rank."""
-        self._ranks = {rank: RankState() for rank in range(size)}
+        self._ranks = {rank: RankProgress() for rank in range(size)}
         #: Time at which the last rank accepted ``Prepare``, and at which the
         #: last rank did so at its first order.
         self._last_accepted_at: float = 0
@@ -61,7 +61,7 @@
         """Return whether the group has a rank with this number."""
         return rank in self._ranks
 
-    def __getitem__(self, rank: int) -> RankState:
+    def __getitem__(self, rank: int) -> RankProgress:
         """Return the state of one rank."""
         return self._ranks[rank]
 
