--- a/src/snipebend/standin/http.py
+++ b/src/snipebend/standin/http.py
@@ -56,7 +56,7 @@
     try:
         return json.decode(raw, type=kind), raw
     except DecodeError as exc:
-        raise HTTPBadRequest(title='invalid body', description=str(exc))
+        raise HTTPBadRequest(title='bad body', description=str(exc))
 
 
 def send_json(resp: Response, content: object) -> None:
--- a/src/snipebend/transport/membership_manager.py
+++ b/src/snipebend/transport/membership_manager.py
@@ -72,13 +72,9 @@
         """
         joiner = req.member
         if self._names is not None and joiner.name not in self._names:
-            return JoinReply(
-                accepted=False, reason=f'{joiner.name} is not a listed member'
-            )
+            return JoinReply(accepted=False, reason='not in the list')
         if not await self._answers_at_address(joiner):
-            return JoinReply(
-                accepted=False, reason=f'{joiner.address} has another identity'
-            )
+            return JoinReply(accepted=False, reason='another identity answers')
         for old in self._same_name_members(joiner):
             logger.info('event=member_replaced member={}', old.member_id)
             if not await self._propose_change(RemoveMember(old.member_id)):
