--- a/tests/state/test_documents.py
+++ b/tests/state/test_documents.py
@@ -1,4 +1,8 @@
-"""The document with the highest number is in force."""
+"""An outdated document must not replace the one in force.
+
+Operators number their documents. One that is sent late, or sent again with
+other content under the same number, arrives after a higher number is in force.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 
 class TestDocuments(unittest.TestCase):
-    """Commands that put documents in force."""
+    """Commands that put documents in force: only a higher number is stored."""
 
     def setUp(self):
         self.machine = Machine()
--- a/tests/state/test_followed_configuration.py
+++ b/tests/state/test_followed_configuration.py
@@ -1,4 +1,10 @@
-"""Configuration messages applied to a process's copy, and its lease."""
+"""Guards against a process that uses an incomplete or outdated configuration.
+
+A process that misses revisions receives a delta for a base that it does not
+have. A message that is delayed in transit must not extend the lease. A lease
+shorter than the interval of messages plus the age of a confirmation expires
+without any fault.
+"""
 
 from __future__ import annotations
 
@@ -137,7 +143,10 @@
 
 
 class ConfirmationsTest(unittest.TestCase):
-    """Only processes whose lease has not expired are counted."""
+    """Only processes whose lease has not expired are counted.
+
+    Otherwise a process that stopped would keep a revision unconfirmed forever.
+    """
 
     def test_unresponsive_processes_expire_and_are_removed(self) -> None:
         confirmations = Confirmations(0, 5)
--- a/tests/state/test_group_plans.py
+++ b/tests/state/test_group_plans.py
@@ -1,4 +1,10 @@
-"""Each plan of a group must be based on the previous one."""
+"""One group of engines must never get two different expert maps.
+
+A coordinator that does not know yet that it was replaced proposes a plan at the
+same time as its successor. A resend must not count as a second plan. A rank
+that comes from another group rejects versions up to its highest one, so that
+versions must increase across groups.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +16,7 @@
 
 
 class TestPlanBook(unittest.TestCase):
-    """Acceptance of plans."""
+    """Plans are accepted only if they are based on the latest one."""
 
     def setUp(self):
         self.plans = PlanState()
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -1,4 +1,9 @@
-"""The commands of the replicated state machine."""
+"""Guards against decisions that are made twice, or change after a restart.
+
+Operators, entries and coordinators send commands concurrently, resend them
+after a lost reply, and continue with a restored snapshot after a restart. None
+of that may change a decision that was already reported.
+"""
 
 from __future__ import annotations
 
@@ -207,7 +212,11 @@
 
 
 class CrashTest(unittest.TestCase):
-    """Crashing requests are quarantined, those that ran beside them not."""
+    """Crashing requests are quarantined, those that ran beside them not.
+
+    An upstream that dies was usually running several requests; each of them
+    is reported as a possible cause.
+    """
 
     def test_crashing_request_is_quarantined_and_others_cleared(self) -> None:
         machine = Machine()
@@ -318,7 +327,11 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    """A restored snapshot does not change any later reply."""
+    """A restored snapshot does not change any later reply.
+
+    A field that is missing in the encoded state makes a restarted daemon reply
+    differently from the others.
+    """
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(st.lists(_COMMANDS, max_size=20), st.integers(0, 20))
--- a/tests/state/test_roster.py
+++ b/tests/state/test_roster.py
@@ -1,4 +1,10 @@
-"""Phases of upstreams never go back."""
+"""The phase of an upstream must not go back while it leaves or after its end.
+
+Announcements arrive late, repeatedly and out of order, so that an earlier phase
+can follow a later one. An upstream that restarts under its identity must start
+with the first phase nevertheless. If the phase went back, work would be sent
+to an upstream that is shutting down.
+"""
 
 from __future__ import annotations
 
