--- a/tests/delivery/test_guard.py
+++ b/tests/delivery/test_guard.py
@@ -1,4 +1,9 @@
-"""The agent's guard: its refusals, its records and their bounds."""
+"""Guards against an attempt that runs twice, or beside a suspected request.
+
+A copy of an attempt can arrive after the attempt ended, was refused or was
+sealed, and after the guard evicted its record. A seal must then not report that
+the attempt did not run. Memory must stay bounded whatever arrives.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +47,7 @@
 
 
 class GuardTest(unittest.TestCase):
-    """A guard of incarnation 7."""
+    """A guard of incarnation 7 with room for two running attempts."""
 
     def setUp(self) -> None:
         self.guard = AttemptGuard(7, LIMITS)
--- a/tests/delivery/test_request_machine.py
+++ b/tests/delivery/test_request_machine.py
@@ -1,4 +1,9 @@
-"""Paths through the request machine that the search does not check."""
+"""Paths through the request machine that the search does not check.
+
+A caller disconnects while its work runs, a seal or settlement gets no reply, a
+chunk is missing, or a stream breaks and is resumed. The caller must not get a
+wrong outcome, and non-repeatable work must not run again.
+"""
 
 from __future__ import annotations
 
--- a/tests/delivery/test_search.py
+++ b/tests/delivery/test_search.py
@@ -1,4 +1,9 @@
-"""A seeded search over schedules, which must detect injected faults."""
+"""Searches for work that runs twice and for wrongly reported outcomes.
+
+Such faults need a rare combination of lost, delayed and duplicated messages,
+crashes and resends by the caller, so seeded random schedules search for them.
+The search must also detect each injected fault and reach every outcome.
+"""
 
 from __future__ import annotations
 
--- a/tests/delivery/test_stream.py
+++ b/tests/delivery/test_stream.py
@@ -1,4 +1,9 @@
-"""Chunks are released in order and once each, within bounds."""
+"""A caller must receive each chunk of a response once and in order.
+
+Chunks arrive out of order and in copies, and a stream is resumed by an engine
+that repeats the chunks already sent. Chunks that wait for a missing one must
+not fill the memory.
+"""
 
 from __future__ import annotations
 
--- a/tests/delivery/test_suspect_lease.py
+++ b/tests/delivery/test_suspect_lease.py
@@ -1,4 +1,9 @@
-"""A suspect's lease together with the fence book that grants it."""
+"""A suspected request must not run at two upstreams at the same time.
+
+Two entries request the lease for the same fingerprint. If it is released while
+an attempt may still run, or right after a death, the second entry can crash
+another upstream before the first death is counted.
+"""
 
 from __future__ import annotations
 
