--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,10 @@
-"""Admission refuses early, with a useful ``Retry-After``."""
+"""Guards against requests that wait in vain, and overfilled upstreams.
+
+Under overload the queue grows beyond what can be served before the deadlines,
+one workspace fills it, or several entries each use the full capacity of the
+same old load reports. Such requests must be refused early, with a
+``Retry-After`` that spreads the resends.
+"""
 
 from __future__ import annotations
 
--- a/tests/routing/test_fair_queue.py
+++ b/tests/routing/test_fair_queue.py
@@ -1,4 +1,9 @@
-"""The fair queue under overload: shares, starvation and order."""
+"""No flow may starve, or get more than its share, under overload.
+
+If requests were served in order of arrival, a workspace that fills the queue
+would make all later ones wait. Tickets are removed while they wait; the others
+must keep their order and leave the queue once.
+"""
 
 from __future__ import annotations
 
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -1,4 +1,9 @@
-"""Ejection, retry budget and adaptive limit keep their bounds."""
+"""Reactions to failing upstreams must not make an outage worse.
+
+When many upstreams fail or slow down at once, ejecting all of them leaves none,
+and unlimited retries multiply the load. A limit that does not follow latency
+lets too many requests run on slow upstreams.
+"""
 
 from __future__ import annotations
 
--- a/tests/routing/test_prefix_index.py
+++ b/tests/routing/test_prefix_index.py
@@ -1,4 +1,9 @@
-"""The prefix index with late events, event gaps and a small capacity."""
+"""Prefix hints must follow the engine's cache, or be marked as stale.
+
+Cache events arrive late, in copies and with gaps, and an engine that restarts
+begins with an empty cache. A gap must be reported until a resync repairs it,
+and the index must not exceed its capacity.
+"""
 
 from __future__ import annotations
 
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -1,4 +1,9 @@
-"""Isolation of a request that crashes upstreams from all others."""
+"""Guards against one request that crashes upstream after upstream.
+
+Each resend of such a request crashes another upstream. The requests that ran
+beside it are suspects as well, until one of them is served. Entries decide
+independently and must all isolate a suspect on the same upstream.
+"""
 
 from __future__ import annotations
 
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -1,4 +1,9 @@
-"""Selection: load bound, exclusions, and this entry's own attempts."""
+"""Guards against choosing an upstream that is overloaded or unusable.
+
+A prefix hint can favour an upstream that is already loaded, leaving, excluded
+or crashed. Load reports are seconds old: they lack the attempts that this entry
+has sent since, and include some that it must not count twice.
+"""
 
 from __future__ import annotations
 
@@ -149,7 +154,10 @@
 
 
 class OutstandingCountTest(TestCase):
-    """The count returns its past values from a bounded history."""
+    """The count returns its past values from a bounded history.
+
+    The value at the time of a load report shows which attempts it includes.
+    """
 
     @settings(derandomize=True, deadline=None)
     @given(
