--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -1,4 +1,9 @@
-"""The directory with late, repeated and reordered announcements."""
+"""Upstreams that left or expired must not be listed again.
+
+Announcements arrive late, repeatedly and out of order: one from before the
+upstream left, or a copy received after its lease expired, must not list it
+again. The timing wheel must expire leases on time at a constant cost.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +56,7 @@
 
 
 class DirectoryTest(TestCase):
-    """Leases, leaving and incarnations."""
+    """Leases, the leaving phase and incarnations of one upstream."""
 
     @settings(derandomize=True, deadline=None)
     @given(DELIVERIES)
--- a/tests/membership/test_directory_delta.py
+++ b/tests/membership/test_directory_delta.py
@@ -1,4 +1,9 @@
-"""A watcher's copy follows the directory through any changes."""
+"""A watcher's copy must equal the directory after any changes.
+
+A watcher receives the full list once and then only deltas, so that a single
+wrong delta, or a reconnect, would leave its copy wrong. Frequent changes of
+load must be sent as small deltas with a bounded error.
+"""
 
 from __future__ import annotations
 
--- a/tests/membership/test_subset.py
+++ b/tests/membership/test_subset.py
@@ -1,4 +1,9 @@
-"""Subsets of upstreams that entries watch."""
+"""Guards against upstreams that few entries use, and against churn.
+
+Each entry chooses its subset independently. An uneven choice overloads some
+upstreams and leaves others idle, and a choice that depends on the complete list
+would change every subset when one upstream is removed.
+"""
 
 from __future__ import annotations
 
--- a/tests/membership/test_upstream_health.py
+++ b/tests/membership/test_upstream_health.py
@@ -1,4 +1,9 @@
-"""Detection of a failed upstream."""
+"""An agent must recognize a failed upstream, and its recovery, in time.
+
+An upstream that hangs does not respond and is down only after the timeout. One
+that has stopped refuses connections and must be down at once. Its next response
+must mark it as up again.
+"""
 
 from __future__ import annotations
 
--- a/tests/membership/test_watcher_subset.py
+++ b/tests/membership/test_watcher_subset.py
@@ -1,4 +1,9 @@
-"""A watcher's subset is bounded, complete for small pools, and stable."""
+"""Subsets must respect their bound, cover all upstreams and cost little.
+
+Control selects a subset for each watcher as entries and upstreams join and
+leave. An upstream that is leaving must be replaced but still be sent. Selecting
+from every pool at each change, or at each load report, would cost too much.
+"""
 
 from __future__ import annotations
 
