--- a/tests/fleet/test_diff.py
+++ b/tests/fleet/test_diff.py
@@ -1,4 +1,9 @@
-"""Human-readable differences, and deltas for distribution."""
+"""A distributed change must give every process the same fleet.
+
+A process applies a delta to the fleet that it has. A delta that omits a change,
+or the order of entries, leaves it with another fleet. A difference printed for
+operators must name fields, not values such as API keys.
+"""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_lookup.py
+++ b/tests/fleet/test_lookup.py
@@ -1,4 +1,9 @@
-"""Look-ups in an example fleet; ambiguous calls are never repeatable."""
+"""Guards against look-ups that find the wrong entry or repeat an unsafe call.
+
+A caller can write one path in many ways, with empty or dot segments, escapes or
+a query. No spelling may reach another service, or make a call repeatable that a
+rule declares not to be. Ambiguous calls are never repeatable.
+"""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_parsing.py
+++ b/tests/fleet/test_parsing.py
@@ -1,4 +1,9 @@
-"""Invalid fleet files: all problems are reported at once, with their keys."""
+"""Invalid fleet files must be rejected with all their problems.
+
+Operators make mistakes in keys, types, values and references, several at once,
+or apply a file that is too large or exhausts the parser. All problems must be
+reported at once, with their keys and without API keys.
+"""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_rendering.py
+++ b/tests/fleet/test_rendering.py
@@ -1,4 +1,8 @@
-"""Rendered text parses to the same fleet, for any fleet and the examples."""
+"""A rendered fleet file must parse to the same fleet.
+
+Rendered text is applied again. If a value were lost or escaped wrongly, that
+would change the fleet or be rejected.
+"""
 
 from __future__ import annotations
 
