--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -1,4 +1,8 @@
-"""All problems of a settings file are reported, with file and key."""
+"""All faults of a settings file must be reported, with file and key.
+
+A settings file is missing, has a syntax error, or has several invalid keys at
+once. A daemon must report all of them, with the file, and exit with code 2.
+"""
 
 from __future__ import annotations
 
