--- a/tests/kernel/test_process.py
+++ b/tests/kernel/test_process.py
@@ -1,4 +1,9 @@
-"""Life cycle of a process, task supervision and mailboxes."""
+"""Guards against services that stop in the wrong order, and lost tasks.
+
+A service that stops before the services that use it breaks requests that still
+run. A task that fails must run again, a full mailbox must reject messages
+instead of growing, and two services must not have the same name.
+"""
 
 from __future__ import annotations
 
