--- a/tests/telemetry/test_log_writer.py
+++ b/tests/telemetry/test_log_writer.py
@@ -1,4 +1,9 @@
-"""Log lines: rate limits, non-blocking writes and parsing."""
+"""Logging must neither block a process nor lose lines silently.
+
+The reader of standard output stops reading, or one event floods the log. Lines
+are then dropped and counted. The lines that are written must be parsed to the
+same pairs in both formats, so that a request's history is complete.
+"""
 
 from __future__ import annotations
 
