--- a/tests/console/test_application.py
+++ b/tests/console/test_application.py
@@ -1,4 +1,9 @@
-"""Tests of the exit codes and messages of the command line."""
+"""Commands must fail with the right exit code and error message.
+
+A process is unreachable, a fleet file is missing, invalid or too large, its
+lease is too short to renew, or another change was accepted first. The JSON
+output must be a single document in that case too.
+"""
 
 from __future__ import annotations
 
@@ -98,7 +103,7 @@
 
 
 class ApplyReportTest(unittest.TestCase):
-    """Output of ``apply`` for a reply."""
+    """The output of ``apply`` for a change that lost against another one."""
 
     def test_json_output_of_a_conflict_is_a_single_document(self) -> None:
         reply = ApplyReply(ApplyOutcome.CONFLICT, 7, 'too late', 'name = "x"')
--- a/tests/console/test_explain.py
+++ b/tests/console/test_explain.py
@@ -1,4 +1,8 @@
-"""Tests of ``snipebend explain`` on log files."""
+"""``snipebend explain`` must not fail without an error.
+
+The request is not in the logs, or a log file is missing; no output with exit
+code 0 would look like a request without events.
+"""
 
 from __future__ import annotations
 
