--- a/tests/standin/test_batcher.py
+++ b/tests/standin/test_batcher.py
@@ -1,4 +1,9 @@
-"""Tests of the batcher and the prefix cache."""
+"""Guards against a stand-in engine that schedules or caches wrongly.
+
+Other tests rely on its behavior: a stream that is resumed must continue with
+the same tokens, a cancelled request must free its slot, and the reported
+changes of its cache must lead to the contents of the cache.
+"""
 
 from __future__ import annotations
 
@@ -29,6 +34,8 @@
 
 
 class BatcherTest(unittest.TestCase):
+    """Admission, prefill, cancellation and resumption of sequences."""
+
     def test_admits_by_priority_then_arrival(self) -> None:
         batcher = make_batcher(batch_size=1)
         for request_id, priority in (('a', 0), ('b', 5), ('c', 5), ('d', 9)):
@@ -87,6 +94,8 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
+    """Contents of the cache, and the changes that it reports."""
+
     def test_equal_block_after_a_different_prefix_is_a_miss(self) -> None:
         cache = PrefixCache(8)
         cache.store(hash_chain(f'{"y" * 64}{BLOCK}'))
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -1,4 +1,8 @@
-"""Test of a crash of an engine within the current process."""
+"""A simulated crash must not leave requests of the engine running.
+
+A request with the crash marker stops the engine within the current process,
+where no exit of the process ends the other streams.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +16,8 @@
 
 
 class EngineTest(unittest.IsolatedAsyncioTestCase):
+    """A crash calls the callback and stops the engine's requests."""
+
     async def test_crash_calls_the_callback_and_stops_all_requests(
         self,
     ) -> None:
--- a/tests/standin/test_main.py
+++ b/tests/standin/test_main.py
@@ -1,4 +1,9 @@
-"""Tests of the stand-ins as processes over TCP."""
+"""The stand-ins must not hide faults of the daemons that tests run on them.
+
+Other tests read from them how often a request ran, so that every execution must
+be counted and a refused request must not run. Disconnects must cancel a
+request, SIGTERM must let it finish, and the crash marker must end the process.
+"""
 
 from __future__ import annotations
 
@@ -38,6 +43,8 @@
 
 
 class EngineProcessTest(unittest.IsolatedAsyncioTestCase):
+    """The engine over TCP: responses, cancellation, stops and orders."""
+
     async def test_streamed_resumed_and_complete_responses_agree(self) -> None:
         expected = [(seq, render_token('hello', seq)) for seq in range(6)]
         async with StandinProcess('--step-ms', '1') as engine:
@@ -130,6 +137,8 @@
 
 
 class ServiceProcessTest(unittest.IsolatedAsyncioTestCase):
+    """The plain service as a process over TCP counts every execution."""
+
     async def test_counts_every_execution(self) -> None:
         async with StandinProcess('--service', '--delay-ms', '5') as service:
             for number in (1, 2):
--- a/tests/standin/test_orders.py
+++ b/tests/standin/test_orders.py
@@ -1,4 +1,9 @@
-"""Tests of orders, delayed reports and expert loads."""
+"""A stand-in engine must refuse wrong orders and report late and with gaps.
+
+An order with a stale fence arrives after a newer one, or an order activates a
+map that was not prepared. If the reports were always current and complete, no
+test would show how their readers handle delays and gaps.
+"""
 
 from __future__ import annotations
 
@@ -21,6 +26,8 @@
 
 
 class OrderExecutorTest(unittest.TestCase):
+    """Fences, and the switch of an expert map at its step."""
+
     def test_stale_fence_is_refused_only_if_checked(self) -> None:
         for check_fence in (True, False):
             with self.subTest(check_fence=check_fence):
@@ -72,6 +79,8 @@
 
 
 class ReportsTest(unittest.TestCase):
+    """Delayed load reports, and cache events with a delay and gaps."""
+
     def test_load_is_reported_after_the_lag(self) -> None:
         reports = [LoadReport(n, 0, 0, 8, n, float(n)) for n in range(5)]
         history = LoadHistory(reports[0], lag_s=2)
@@ -96,6 +105,8 @@
 
 
 class ExpertLoadCounterTest(unittest.TestCase):
+    """Counts of tokens per expert, equal for equal steps."""
+
     def test_counts_are_complete_seeded_and_drift(self) -> None:
         cfg = EngineConfig(layers=3, experts=8)
         loads = []
