--- a/tests/transport/test_caller_checks.py
+++ b/tests/transport/test_caller_checks.py
@@ -1,7 +1,7 @@
-"""Invalid requests of callers over sockets: each gets a problem document.
+"""Invalid requests must be refused, with the right problem document.
 
-Guards against an invalid request that is accepted, crashes the entry, or gets
-a problem with the wrong status, field or outcome.
+Guards against an invalid request, sent over a socket, that is accepted, crashes
+the entry, or gets a problem with the wrong status, field or outcome.
 """
 
 from __future__ import annotations
--- a/tests/transport/test_cancelled_waits.py
+++ b/tests/transport/test_cancelled_waits.py
@@ -1,7 +1,7 @@
-"""A wait ends when its task is cancelled at the time of its wake-up.
+"""Guards against a wait that swallows its cancellation and never ends.
 
-Guards against a wait that swallows the cancellation because the event arrives
-a few iterations of the event loop before it, so that the task never ends.
+This happens if the event that is waited for arrives a few iterations of the
+event loop before the task is cancelled.
 """
 
 from __future__ import annotations
--- a/tests/transport/test_directory_watch.py
+++ b/tests/transport/test_directory_watch.py
@@ -1,7 +1,8 @@
-"""Watches of the directory that are limited to a subset of upstreams.
+"""A watch limited to a subset must follow the entries and the upstreams.
 
-Guards against a subset that does not follow the number of entries with open
-confirmation feeds, or that does not change with the directory.
+Entries open and close their confirmation feeds while watches are open; the size
+of a subset depends on their number. Upstreams that join must reach a watch that
+is already open.
 """
 
 from __future__ import annotations
--- a/tests/transport/test_engine_call.py
+++ b/tests/transport/test_engine_call.py
@@ -1,7 +1,8 @@
-"""Outcomes of engine calls over sockets, by the way the response ends.
+"""Guards against taking an incomplete engine response for a complete one.
 
-Guards against an incomplete response that is taken for a complete one, and
-against a complete one that is reported as broken.
+An engine stops in the middle of an event or the body, sends an error event, or
+closes the connection before the stream's end marker. A complete response must
+not be reported as broken, and a quiet engine must not end the heartbeats.
 """
 
 from __future__ import annotations
@@ -59,6 +60,8 @@
 
 
 class EngineCallTest(unittest.IsolatedAsyncioTestCase):
+    """Each way in which a response ends gives the right last frame."""
+
     async def test_ends(self) -> None:
         for case in CASES:
             with self.subTest(case=case):
--- a/tests/transport/test_expert_switch.py
+++ b/tests/transport/test_expert_switch.py
@@ -1,6 +1,8 @@
-"""Failures of the control leader during an expert map switch.
+"""A failed control leader must not leave ranks with different expert maps.
 
-The leader dies at each stage, or is isolated and continues to send orders.
+The control leader dies at each stage of an expert map switch, or is isolated
+and continues to send orders while its successor switches the same ranks. No
+rank may then execute a stale order.
 """
 
 from __future__ import annotations
@@ -30,7 +32,10 @@
 
 
 class LeaderDeathTest(unittest.IsolatedAsyncioTestCase):
-    """The next leader completes the switch of the previous one."""
+    """The next leader completes the switch of the previous one.
+
+    A switch without a decision is abandoned, a decided one must be activated.
+    """
 
     async def test_death_before_the_decision(self) -> None:
         async with SwitchEnvironment(_FLEET) as env:
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -1,7 +1,7 @@
-"""Frames and events are decoded however the bytes are split.
+"""Guards against frames or events that are lost or corrupted when decoded.
 
-Guards against frames or events that are lost or corrupted at the boundaries of
-reads, and against corrupt frames that go undetected.
+Reads end anywhere, also inside a frame or an event. A corrupt frame must raise
+an error, and an end marker inside a text must not end the stream.
 """
 
 from __future__ import annotations
@@ -36,6 +36,8 @@
 
 
 class FrameBufferTest(unittest.TestCase):
+    """Frames between entry and agent, split at any byte or corrupted."""
+
     def test_any_split_gives_the_same_frames(self) -> None:
         wire = b''.join(map(encode_frame, _FRAMES))
         for size in (1, 2, 3, 7, 64, len(wire)):
@@ -53,6 +55,8 @@
 
 
 class EventBufferTest(unittest.TestCase):
+    """Server-sent events of an engine, split at any byte."""
+
     def test_any_split_gives_the_same_events(self) -> None:
         events = [
             b'data: a\n\n',
--- a/tests/transport/test_group_discovery.py
+++ b/tests/transport/test_group_discovery.py
@@ -1,4 +1,10 @@
-"""Which daemons found a control group, join it, or are refused by it."""
+"""A lost disk must neither cause a second group nor prevent a join.
+
+A daemon whose disk was lost starts with an empty data folder and does not know
+of the group. It must not found another one, and must find the leader even if
+the leader is not in its list. A join request of an earlier incarnation can
+arrive late and must not replace the current member.
+"""
 
 from __future__ import annotations
 
--- a/tests/transport/test_host_service.py
+++ b/tests/transport/test_host_service.py
@@ -1,4 +1,9 @@
-"""Tests of the host updates that a control daemon sends to watchers."""
+"""Guards against entries that miss records or are removed while they run.
+
+An entry opens a new watch before its old one ends, or loses a watch before it
+has the complete roster. Updates must stay small, and entries of an earlier
+version must still receive the document and the groups in them.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +20,7 @@
 
 
 class TestWatch(unittest.IsolatedAsyncioTestCase):
-    """Watches at one control daemon."""
+    """The updates that watches at one control daemon receive."""
 
     async def asyncSetUp(self):
         stack = await self.enterAsyncContext(AsyncExitStack())
--- a/tests/transport/test_load_reader.py
+++ b/tests/transport/test_load_reader.py
@@ -1,7 +1,7 @@
-"""An agent reads the KV cache use that its engine reports.
+"""An agent must read the right KV cache use from its engine.
 
-Guards against a wrong share for unusual or invalid responses, and against
-reads from plain services.
+An engine reports no cache, more blocks in use than it has, or an invalid
+response. Plain services have no load to report and must not be asked.
 """
 
 from __future__ import annotations
--- a/tests/transport/test_policy_planner.py
+++ b/tests/transport/test_policy_planner.py
@@ -1,4 +1,9 @@
-"""Plans of ``PolicyPlanner`` from the load reports of agents."""
+"""Guards against needless expert map switches, and against missing ones.
+
+Agents report the load of each expert. An even load must not change the map, one
+hot expert must. Too few members, or reports of another size than the group's,
+must give a reason instead of a map.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +22,8 @@
 
 
 class PolicyPlannerTest(unittest.TestCase):
+    """A planner for a group of four members that report equal loads."""
+
     def test_map_changes_for_a_hot_expert_but_not_for_even_load(self) -> None:
         planner = PolicyPlanner(GROUP, Weights(0.7, 0.3))
         first = planner.place(MEMBERS, 1).placed
--- a/tests/transport/test_rpc.py
+++ b/tests/transport/test_rpc.py
@@ -1,4 +1,9 @@
-"""gRPC calls between processes: all kinds of streaming, and failures."""
+"""Guards against calls that hang, leak memory or hide which peer failed.
+
+A caller disconnects during a long reply, a reader stops reading, a peer is lost
+or drops the packets of a new connection. The tests make gRPC calls with all
+kinds of streaming over sockets.
+"""
 
 from __future__ import annotations
 
--- a/tests/transport/test_upstream_api.py
+++ b/tests/transport/test_upstream_api.py
@@ -1,6 +1,7 @@
-"""The agent's relay reports attempts to its guard.
+"""A response that is never read must not hold a slot of the upstream.
 
-Guards against a response that is never read and holds a slot of the upstream.
+If the agent's relay admitted an attempt before its response is read, an attempt
+whose response is never read would stay in the guard as running.
 """
 
 from __future__ import annotations
--- a/tests/transport/test_upstream_views.py
+++ b/tests/transport/test_upstream_views.py
@@ -1,7 +1,8 @@
-"""The age of the loads in the router's views.
+"""Loads must not seem outdated after control has confirmed them.
 
-Guards against loads that seem outdated although control confirmed them with an
-empty difference.
+While the directory is unchanged, control sends empty differences, which confirm
+every load. If they were not sent, or did not renew the time of the loads, the
+loads of an unchanged directory would seem outdated.
 """
 
 from __future__ import annotations
