--- a/tests/consensus/test_core.py
+++ b/tests/consensus/test_core.py
@@ -1,4 +1,10 @@
-"""Tests of single rules of the Raft core."""
+"""Guards against lost commits, early replies and needless waits in Raft.
+
+A wrong rule shows only in certain sequences of events: a vote that is sent
+before it is synced, a message for an earlier identity, an election while a
+lease may still be held, a stalled disk, or a leader that is cut off or hands
+over. Each test feeds one such sequence to one member or to a group of three.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +67,11 @@
 
 
 class RestartTest(unittest.TestCase):
-    """After a restart of all voters an election need not wait for a lease."""
+    """After a restart of all voters an election need not wait for a lease.
+
+    It must wait if a single voter did not restart, or has received a heartbeat
+    since: that voter may still support the lease of a leader.
+    """
 
     def _assert_restart_probe(self, core: Core) -> None:
         """Check that the member asks whether the other voters restarted."""
@@ -111,7 +121,10 @@
 
 
 class EarlierProcessStartTest(unittest.TestCase):
-    """The lease granted by the previous process expired during startup."""
+    """The lease granted by the previous process expired during startup.
+
+    Waiting for it again would leave the group without a leader for longer.
+    """
 
     def test_a_majority_suffices_for_an_election(self) -> None:
         """Two of five members lost their disks and cannot report a restart."""
@@ -146,7 +159,11 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """The replies of a single member."""
+    """The replies of a single member.
+
+    A reply that is too early or from the wrong identity can give a term two
+    leaders, or make a leader count an entry that the member does not hold.
+    """
 
     def test_a_vote_waits_for_its_write(self) -> None:
         """The reply is sent only after term and vote are synced."""
@@ -216,7 +233,7 @@
 
 
 class GroupTest(unittest.TestCase):
-    """A group of three members."""
+    """A group of three members under cuts, crashes, stalls and hand-overs."""
 
     def setUp(self) -> None:
         """Wait until the group has elected a leader."""
--- a/tests/consensus/test_member_removal.py
+++ b/tests/consensus/test_member_removal.py
@@ -1,4 +1,10 @@
-"""Selection of the failed member that the leader removes."""
+"""A leader must neither keep a replaced member nor remove one too early.
+
+A failed voter that stays after its replacement was added makes the majority
+larger, so that the next failure stops the group. A voter that is removed too
+early, such as during a restart, leaves the group with fewer voters instead. A
+learner that lost contact must not stay either.
+"""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_schedules.py
+++ b/tests/consensus/test_schedules.py
@@ -1,4 +1,9 @@
-"""Randomized search over fault schedules; it must detect planted faults."""
+"""Searches for violations of Raft's safety that only rare schedules provoke.
+
+Seeded random schedules combine message loss and delay, crashes, slow and
+stalled disks, wiped disks, partitions and member changes. The search is useful
+only if it finds faults, so it must also detect each planted one.
+"""
 
 from __future__ import annotations
 
@@ -143,7 +148,10 @@
 
 
 class SearchTest(unittest.TestCase):
-    """Random schedules of faults; the checker verifies every step."""
+    """Random schedules of faults; the checker verifies every step.
+
+    Most plans use the faults that make one kind of violation likely.
+    """
 
     def test_no_schedule_violates_safety(self) -> None:
         """No property is violated, and each group recovers after the faults."""
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,10 @@
-"""The data folder with torn writes, damaged files and a full disk."""
+"""A member must not start with wrong or missing data after a fault.
+
+A crash or a full disk tears the last write, a disk changes bytes of earlier
+ones, and a crash can separate the two steps of installing a snapshot. Only a
+torn last write, or a log that a snapshot replaced, may be dropped; any other
+damage must be reported.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +48,10 @@
 
 
 class StorageTest(unittest.TestCase):
-    """Synced writes survive; damage is reported with file and offset."""
+    """Synced writes survive; damage is reported with file and offset.
+
+    Each test writes to a data folder, damages or interrupts it, and reopens it.
+    """
 
     def setUp(self) -> None:
         name = tempfile.TemporaryDirectory()
