--- a/tests/daemons/test_expert_maps.py
+++ b/tests/daemons/test_expert_maps.py
@@ -1,4 +1,8 @@
-"""Expert map switches of real processes while the leader is killed."""
+"""All ranks must activate the same expert maps when processes are killed.
+
+In a group of real processes a rank is lost, the others switch to a new map, and
+the control leader is killed during that switch. The lost rank then rejoins.
+"""
 
 from __future__ import annotations
 
--- a/tests/daemons/test_in_force.py
+++ b/tests/daemons/test_in_force.py
@@ -1,4 +1,9 @@
-"""``apply --wait`` and ``status`` with faulty processes."""
+"""``apply --wait`` and ``status`` must report the state of faulty processes.
+
+An entry is stopped, a quorum of control is lost, or the daemon that an entry
+follows is isolated. A revision must not count as in force while an entry with a
+valid lease lacks it, and an entry must not be ready after its lease expired.
+"""
 
 from __future__ import annotations
 
--- a/tests/daemons/test_relay_entry.py
+++ b/tests/daemons/test_relay_entry.py
@@ -1,4 +1,8 @@
-"""Start order of an entry's services."""
+"""Guards against an entry whose address the other entries don't learn.
+
+The first watch sends the entry's gossip address to control, so that the gossip
+service must have an address before the watch starts.
+"""
 
 from __future__ import annotations
 
--- a/tests/daemons/test_replicated_control.py
+++ b/tests/daemons/test_replicated_control.py
@@ -1,4 +1,10 @@
-"""Three control daemons with real files and sockets, and with faults."""
+"""Guards against accepted changes that are lost, and against stale reads.
+
+Three control daemons with real files and sockets lose their leader during
+changes, all restart at once, or one is stopped, isolated, or left with a wiped,
+full or damaged disk. Connections go silent without being closed, and operators
+apply different files with the same expected revision.
+"""
 
 from __future__ import annotations
 
--- a/tests/daemons/test_requests_under_faults.py
+++ b/tests/daemons/test_requests_under_faults.py
@@ -1,6 +1,8 @@
-"""Requests through real processes while engines, agents and links fail.
+"""Callers must get complete responses, or an error, whatever fails.
 
-Streams are resumed on another upstream; other requests run at most once.
+Engines, agents, entries and links of real processes are killed, stopped or
+stalled while they serve a request. Streams are resumed on another upstream;
+other requests run at most once.
 """
 
 from __future__ import annotations
@@ -94,6 +96,11 @@
 
 
 class EngineFaultsTest(unittest.IsolatedAsyncioTestCase):
+    """Streams of killed engines, and of concurrent callers.
+
+    A response must hold the tokens of its prompt only, or end with an error.
+    """
+
     async def test_stream_of_a_killed_engine_resumes_on_another(
         self,
     ) -> None:
@@ -145,6 +152,8 @@
 
 
 class SilenceTest(unittest.IsolatedAsyncioTestCase):
+    """A link, agent or engine stops sending without closing its connection."""
+
     async def test_silent_connection_is_replaced(self) -> None:
         async with LoopbackDeployment() as path:
             engine = await path.start_engine('engine', *_STEP)
@@ -196,6 +205,12 @@
 
 
 class AtMostOnceTest(unittest.IsolatedAsyncioTestCase):
+    """A booking is confirmed at most once, whatever is sent again.
+
+    The agent is killed during the call, the entry is killed after it sent the
+    attempt, or the attempt arrives only after it was sealed.
+    """
+
     async def test_agent_killed_during_the_call(self) -> None:
         async with LoopbackDeployment() as path:
             services, agents, entries = await _serving(path, _service, 2)
@@ -251,6 +266,11 @@
 
 
 class PoisonTest(unittest.IsolatedAsyncioTestCase):
+    """A request that crashes engines is quarantined in all entries.
+
+    At most three of five engines crash; harmless requests complete.
+    """
+
     async def test_request_that_kills_engines_is_quarantined(self) -> None:
         async with LoopbackDeployment() as path:
             upstreams = await asyncio.gather(
@@ -297,6 +317,8 @@
 
 
 class DrainTest(unittest.IsolatedAsyncioTestCase):
+    """An entry and an agent receive SIGTERM while streams run through them."""
+
     async def test_sigterm_to_entry_and_agent_interrupts_no_stream(
         self,
     ) -> None:
--- a/tests/daemons/test_settings_watch.py
+++ b/tests/daemons/test_settings_watch.py
@@ -1,4 +1,8 @@
-"""Settings changes while a process runs."""
+"""A changed settings file must take effect, an invalid one must not.
+
+An operator changes the file of a running process, with or without SIGHUP, and
+may save an invalid version before a valid one.
+"""
 
 from __future__ import annotations
 
--- a/tests/daemons/test_slow_and_gone_callers.py
+++ b/tests/daemons/test_slow_and_gone_callers.py
@@ -1,4 +1,8 @@
-"""Callers that disconnect, and callers that read slowly or not at all."""
+"""Guards against work for callers that left, and memory filled by slow ones.
+
+A caller disconnects while an engine generates its response, or reads a response
+of 100 MiB more slowly than the engine sends it.
+"""
 
 from __future__ import annotations
 
@@ -67,6 +71,8 @@
 
 
 class DisconnectedCallerTest(unittest.IsolatedAsyncioTestCase):
+    """A disconnect must reach the engine, with and without streaming."""
+
     async def test_disconnect_cancels_the_request_in_the_engine(self) -> None:
         async with LoopbackDeployment() as path:
             engine = await path.start_engine('engine')
@@ -103,6 +109,8 @@
 
 
 class SlowCallerTest(unittest.IsolatedAsyncioTestCase):
+    """The response waits in the engine, not in the daemons' memory."""
+
     async def test_response_waits_for_a_slow_reader(self) -> None:
         async with LoopbackDeployment() as path, _UnthrottledEngine() as engine:
             entry, agent = await asyncio.gather(
--- a/tests/daemons/test_suspects_alone.py
+++ b/tests/daemons/test_suspects_alone.py
@@ -1,4 +1,8 @@
-"""A request that crashes engines, sent through two entries concurrently."""
+"""One poison request must not crash several upstreams at the same time.
+
+Two entries send the request concurrently. If each of them tried it on another
+upstream, every attempt would crash one before the crashes are counted.
+"""
 
 from __future__ import annotations
 
--- a/tests/daemons/test_whole_path.py
+++ b/tests/daemons/test_whole_path.py
@@ -1,4 +1,8 @@
-"""A request through all daemons as separate processes."""
+"""Guards against daemons that work alone but not together.
+
+All daemons run as separate processes: a fleet is applied, a caller streams a
+response through entry, agent and engine, and all processes are terminated.
+"""
 
 from __future__ import annotations
 
