--- a/src/snipebend/balancing/count_reader.py
+++ b/src/snipebend/balancing/count_reader.py
@@ -17,8 +17,9 @@
 
 #: Number of ranks whose counts are read. Each reading has a cost and pauses the
 #: group, while the few requests of a single rank estimate the demand with an
-#: error of one fifth. On two days with low load, nine of 72 ranks gave a
-#: benefit of 0.890 and 0.911, three gave 0.894 and 0.914.
+#: error of one fifth. On two simulated days with low load, responses had
+#: 0.890 and 0.911 of their full value with nine of 72 ranks, and 0.894 and
+#: 0.914 with three.
 SAMPLE_SIZE = 3
 
 #: Number of ranks whose counts are read while a group's demand is unknown. Each
@@ -31,7 +32,7 @@
     """Reads the counts of a small sample of ranks."""
 
     def __init__(self, link: EngineLink, clock: Clock) -> None:
-        """Read counts over ``link``."""
+        """Create a reader that calls the engines over ``link``."""
         self._link = link
         self._clock = clock
 
--- a/src/snipebend/balancing/engine_backoffs.py
+++ b/src/snipebend/balancing/engine_backoffs.py
@@ -7,7 +7,7 @@
     """The times until which engines must receive neither reads nor orders."""
 
     def __init__(self) -> None:
-        """Start without backoffs."""
+        """Create an empty table; all engines may be called."""
         #: Monotonic time in seconds, by engine identity.
         self._until: dict[str, float] = {}
 
--- a/src/snipebend/balancing/group_observer.py
+++ b/src/snipebend/balancing/group_observer.py
@@ -136,7 +136,7 @@
     """
 
     def __init__(self, link: EngineLink, clock: Clock) -> None:
-        """Start without snapshots."""
+        """Create an observer with an empty cache."""
         self._link = link
         self._clock = clock
         self._snapshots: dict[GroupKey, GroupSnapshot] = {}
--- a/src/snipebend/balancing/last_switch.py
+++ b/src/snipebend/balancing/last_switch.py
@@ -1,4 +1,8 @@
-"""Outcome of a group's last switch, compared with later reports."""
+"""Outcome of a group's last switch, compared with later reports.
+
+A switch puts the group on hold before a pass, arms all ranks for that pass and
+sends ``Go``, the order to start it. The new map is in force from that pass.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +19,12 @@
     """The outcome of the last switch that this daemon ran."""
 
     def __init__(self) -> None:
-        """Start without a previous switch."""
+        """Create the record; orders are allowed at once."""
         #: Time from which orders can be sent again; monotonic seconds, like
         #: all times of this class.
         self.orders_allowed_at: float = 0
-        #: Time from which reports show a switch whose ``Go`` was accepted.
+        #: Time from which reports show the map of the last switch whose ``Go``
+        #: was accepted.
         self.visible_at: float = 0
         #: The version of the last plan that a rank refused.
         self._refused = 0
--- a/src/snipebend/balancing/order_dispatcher.py
+++ b/src/snipebend/balancing/order_dispatcher.py
@@ -29,7 +29,7 @@
     """Dispatches the orders of one leader over one link."""
 
     def __init__(self) -> None:
-        """Start without orders in flight."""
+        """Create a dispatcher without orders in flight."""
         self._flow = OrderFlow()
         self._waiting: deque[_QueuedOrder] = deque()
 
--- a/src/snipebend/consensus/data_folder.py
+++ b/src/snipebend/consensus/data_folder.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from snipebend.consensus.frames import (
-    damage_error,
     encode_frame,
     read_intact_frames,
 )
@@ -58,11 +57,17 @@
     """
     payloads = read_intact_frames(path)
     if len(payloads) != 1:
-        raise damage_error(path, 0)
+        raise CorruptionError(
+            f'{path}: contains {len(payloads)} frames instead of 1',
+            step='read data folder',
+        )
     try:
         return msgspec.msgpack.decode(payloads[0], type=kind)
     except msgspec.DecodeError as exc:
-        raise damage_error(path, 0) from exc
+        raise CorruptionError(
+            f'{path}: frame is not a valid {kind.__name__}: {exc}',
+            step='read data folder',
+        ) from exc
 
 
 def open_identity(folder: Path, new_id: str) -> Identity:
--- a/src/snipebend/consensus/log_sender.py
+++ b/src/snipebend/consensus/log_sender.py
@@ -72,7 +72,7 @@
     sent = False
     while _has_entries_due(node, progress):
         if progress.next_index <= node.log.base_index:
-            _request_snapshot(node, progress, target)
+            _request_snapshot_load(node, progress, target)
             break
         _send_batch(node, leadership, target)
         sent = True
@@ -90,7 +90,7 @@
     return behind and progress.can_send(node.cfg.max_in_flight)
 
 
-def _request_snapshot(node: Node, progress: Progress, target: str) -> None:
+def _request_snapshot_load(node: Node, progress: Progress, target: str) -> None:
     progress.await_snapshot(node.now + node.cfg.snapshot_retry_s)
     node.emit(NeedSnapshot(target))
 
--- a/src/snipebend/consensus/rounds.py
+++ b/src/snipebend/consensus/rounds.py
@@ -1,4 +1,8 @@
-"""Numbered rounds of messages, to date the replies of followers."""
+"""Numbered rounds of messages from a leader to its followers.
+
+A reply repeats the number of its round. The leader uses the start time of that
+round as a lower bound of the time at which the follower replied.
+"""
 
 from __future__ import annotations
 
--- a/src/snipebend/console/in_force.py
+++ b/src/snipebend/console/in_force.py
@@ -36,7 +36,10 @@
 
     @property
     def is_everywhere(self) -> bool:
-        """Return whether no process may still use an older revision."""
+        """Return whether all processes use this revision or a newer one.
+
+        Processes whose configuration lease has expired are not counted.
+        """
         return self.is_complete and not self.outdated
 
 
--- a/src/snipebend/daemons/host_control.py
+++ b/src/snipebend/daemons/host_control.py
@@ -1,4 +1,4 @@
-"""The control daemon for entries that route by host and path."""
+"""The control daemon for entries that route by HTTP host name and path."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def build_host_control(
     cfg: ControlSettings, link: EngineLink, read_table: TableParser
 ) -> tuple[Process, HostService, HttpServer]:
-    """Build the process; return it, its host keeper and its outer HTTP server.
+    """Build the process; return it, its host service and its outer HTTP server.
 
     The outer server gets its routes from the caller.
     """
@@ -56,14 +56,17 @@
     def __init__(
         self, host_service: HostService, read_table: TableParser
     ) -> None:
-        """Start without a document."""
+        """Create a reader that decodes documents with ``read_table``."""
         self._host_service = host_service
         self._read_table = read_table
         self._number = 0
         self._table: HostTable | None = None
 
     def read(self) -> HostTable | None:
-        """Return the active document's table; ``None`` before the first."""
+        """Return the table of the active document; ``None`` before the first.
+
+        If a document can't be decoded, the previous table stays in use.
+        """
         book = self._host_service.documents
         if book.number > self._number:
             self._number = book.number
--- a/src/snipebend/delivery/attempt_records.py
+++ b/src/snipebend/delivery/attempt_records.py
@@ -20,11 +20,13 @@
 
 
 class AttemptPhase(Enum):
-    """The phase of an attempt at the agent."""
+    """How far an attempt has come; all phases but ``RUNNING`` are final."""
 
     #: Refused or sealed before it started; it will never start.
     BARRED = 'barred'
+    #: Admitted; its upstream call has not ended.
     RUNNING = 'running'
+    #: The upstream call completed.
     FINISHED = 'finished'
     #: The upstream failed in the middle: whether the call took effect is
     #: unknown.
--- a/src/snipebend/edge/caller_timer.py
+++ b/src/snipebend/edge/caller_timer.py
@@ -49,7 +49,7 @@
             case AwaitedInput.HEAD:
                 timeout_s = limits.header_timeout_s
             case AwaitedInput.BODY | AwaitedInput.REQUEST:
-                timeout_s = limits.idle_timeout_s
+                timeout_s = limits.input_timeout_s
         self._timer_handle = self._loop.call_later(
             timeout_s, self._on_timeout, awaited
         )
--- a/src/snipebend/edge/outage_wait.py
+++ b/src/snipebend/edge/outage_wait.py
@@ -17,7 +17,7 @@
     """Wakes the held requests whenever the outage may have ended."""
 
     def __init__(self, now: Callable[[], float]) -> None:
-        """Start without held requests."""
+        """Create a wait that holds no requests yet."""
         self._now = now
         self._event = asyncio.Event()
         self._closed = False
--- a/src/snipebend/edge/rate_limit_tracker.py
+++ b/src/snipebend/edge/rate_limit_tracker.py
@@ -21,7 +21,7 @@
     """The rate limits known to one entry."""
 
     def __init__(self, now: Callable[[], float], meters: RelayMeters) -> None:
-        """Start without limits."""
+        """Create an empty tracker."""
         self.table = RateLimitTable()
         self._now = now
         self._meters = meters
--- a/src/snipebend/edge/response_channel.py
+++ b/src/snipebend/edge/response_channel.py
@@ -40,7 +40,7 @@
     """The events of one response, in order."""
 
     def __init__(self, request_id: str) -> None:
-        """Start before the first event."""
+        """Create an empty channel; ``request_id`` names the request."""
         self.request_id = request_id
         self._messages: asyncio.Queue[ResponseEvent] = asyncio.Queue()
 
--- a/src/snipebend/edge/upstream_pool.py
+++ b/src/snipebend/edge/upstream_pool.py
@@ -40,7 +40,7 @@
     def __init__(
         self, cfg: RelaySection, dialect: Dialect, clock: Clock
     ) -> None:
-        """Start without connections."""
+        """Create an empty pool."""
         self._cfg = cfg
         self._dialect = dialect
         self._clock = clock
--- a/src/snipebend/errors/hierarchy.py
+++ b/src/snipebend/errors/hierarchy.py
@@ -19,22 +19,29 @@
         self.peer = peer
 
     def __str__(self) -> str:
-        """Render as one line of key=value pairs."""
+        """Render as ``message (step=... peer=...)``."""
         peer = f' peer={self.peer}' if self.peer else ''
         return f'{self.message} (step={self.step}{peer})'
 
 
 class InvalidInputError(SnipebendError):
-    """A file, a setting or a request is invalid."""
+    """An argument, a file, a setting, a message or a request is invalid.
+
+    For example, two services are registered under the same name.
+    """
 
 
 class UnavailableError(SnipebendError):
-    """A peer did not respond or is temporarily unable to serve."""
+    """A peer did not respond, or it or this process cannot serve for now."""
 
 
 class ConflictError(SnipebendError):
-    """Another writer's change came first; the message names it."""
+    """The state rules out the operation, for example after a newer fence."""
 
 
 class CorruptionError(SnipebendError):
-    """Stored bytes fail their checksum, and a torn write can't be the cause."""
+    """Stored or received data are damaged or break an invariant.
+
+    For example, a checksum fails and a torn write can't be the cause, a log
+    segment is missing, or committed entries would be truncated.
+    """
--- a/src/snipebend/experts/demand.py
+++ b/src/snipebend/experts/demand.py
@@ -27,11 +27,11 @@
 
 #: Smallest difference between two spans that counts as a shift of demand, as a
 #: share of the choices, in addition to the difference that chance explains. On
-#: two days of a group of 192 ranks, 16 spans after a shift differed by 0.13 to
-#: 0.19, and 13 others by up to 0.085, since requests of one period are alike;
-#: on other deployments a shift moved half or a fifth of all choices. With a
-#: threshold of 1.5 times the difference by chance, one shift was missed where
-#: choices were few, and five other spans were taken for shifts where choices
+#: two simulated days of a group of 192 ranks, 16 spans after a shift differed
+#: by 0.13 to 0.19, and 13 other spans by up to 0.085, since requests of one
+#: period are alike. On other deployments a shift moved half or a fifth of all
+#: choices. A threshold of 1.5 times the difference by chance missed one shift
+#: where choices were few, and took five other spans for shifts where choices
 #: were many.
 MIN_SHIFT = 0.1
 
@@ -43,7 +43,7 @@
     """Estimate of the share of choices of each expert, by layer."""
 
     def __init__(self, layers: int, experts: int) -> None:
-        """Start without an estimate."""
+        """Create an estimate of unknown demand, for maps of this size."""
         self._shape = (layers, experts)
         #: Counts at the start of the current span, by rank.
         self._baseline: dict[int, RankCounts] = {}
--- a/src/snipebend/experts/group_monitor.py
+++ b/src/snipebend/experts/group_monitor.py
@@ -10,7 +10,7 @@
 from snipebend.experts.hold_planner import MIN_PASS_S
 from snipebend.experts.layer_state import LayerMap
 from snipebend.experts.map_search import ChangeLimits, MapSearch
-from snipebend.experts.reading_plan import ON_TIME_SHARE
+from snipebend.experts.reading_plan import ON_TIME_PAUSE_SHARE
 from snipebend.experts.uncertain_skew import expected_skew
 
 if TYPE_CHECKING:
@@ -19,15 +19,16 @@
     from snipebend.experts.direct_orders import RankCounts, RankReport
     from snipebend.experts.sizes import ExpertSizes
 
-#: A map change that saves less is deferred while passes are short: during the
-#: second that it takes, it would block the response to the next demand shift.
-#: Changes after a demand shift save 0.5 or more.
+#: Share of the pass time that a map change must save, or it is deferred while
+#: passes are short: during the second that it takes, it would block the
+#: response to the next demand shift. Changes after a demand shift save 0.5 or
+#: more.
 URGENT_SAVING = 0.4
 
 #: Limit in seconds for a rank's fetches in one map change, because passes take
-#: longer meanwhile. Over six days with a demand shift every 3 s and 0.11 s per
-#: expert, three experts per rank gave a benefit of 0.722, four or more 0.698
-#: and two 0.677.
+#: longer meanwhile. On six simulated days with a demand shift every 3 s and
+#: 0.11 s per expert, responses had 0.722 of their full value with three experts
+#: per rank, 0.698 with four or more, and 0.677 with two.
 MAX_FETCH_S = 0.35
 
 
@@ -178,7 +179,8 @@
         if pass_s is None and self._pass_timing is not None:
             pass_s = self._pass_timing.pass_s
         return (
-            pass_s is None or pass_s < ON_TIME_SHARE * self._sizes.max_pause_s
+            pass_s is None
+            or pass_s < ON_TIME_PAUSE_SHARE * self._sizes.max_pause_s
         )
 
     def _search(
--- a/src/snipebend/experts/group_pass_times.py
+++ b/src/snipebend/experts/group_pass_times.py
@@ -20,7 +20,7 @@
     """The recently reported pass durations, by group."""
 
     def __init__(self) -> None:
-        """Start without samples."""
+        """Create an empty collection of samples."""
         self._samples: dict[str, deque[_Sample]] = {}
 
     def record(
--- a/src/snipebend/experts/hold_planner.py
+++ b/src/snipebend/experts/hold_planner.py
@@ -22,9 +22,9 @@
 
 #: Number of passes from the one that should be in progress to the one to hold
 #: before. A pass takes 50 ms and more, an order a few milliseconds; a hold that
-#: comes too late is refused, and a later pass is chosen at once. On six days
-#: with shifts of demand every 3 s, the score was 0.698 with 1 and 0.658 with 2;
-#: groups were idle in neither case.
+#: comes too late is refused, and a later pass is chosen at once. On six
+#: simulated days with shifts of demand every 3 s, responses had 0.698 of their
+#: full value with 1 and 0.658 with 2; groups were idle in neither case.
 PASSES_AHEAD = 1
 
 #: Seconds lost to missing replies while ranks were told to prepare, above which
--- a/src/snipebend/experts/rank_group_index.py
+++ b/src/snipebend/experts/rank_group_index.py
@@ -14,7 +14,7 @@
     """The group last reported by each rank of one service."""
 
     def __init__(self) -> None:
-        """Start without reports."""
+        """Create an empty index."""
         self._groups: dict[str, str] = {}
 
     @property
--- a/src/snipebend/experts/reading_plan.py
+++ b/src/snipebend/experts/reading_plan.py
@@ -11,9 +11,10 @@
 import math
 from enum import Enum
 
-#: Share of the pause that a stream may make, below which the mean pass time
-#: leaves streams on time: single passes take twice the mean.
-ON_TIME_SHARE = 0.5
+#: Streams count as on time while the mean pass time is below this share of the
+#: longest pause allowed between two events, since single passes take twice the
+#: mean.
+ON_TIME_PAUSE_SHARE = 0.5
 
 #: Factor by which passes must have lengthened, since a check that kept the map
 #: or since a change of the map, to indicate a shift of demand.
@@ -29,9 +30,9 @@
 #: Seconds after a check that kept the map until the next full check, while
 #: passes stay long, whatever spot checks find. This bounds how long an outdated
 #: map stays in force. One rank of 72 has two or three streams, and shows a
-#: shift only after seconds or not at all: on a calm day maps were outdated for
-#: 6 s and half of the streams were late. The additional checks reduced the
-#: day's score by 0.0013.
+#: shift only after seconds or not at all: on a calm simulated day, maps were
+#: outdated for 6 s and half of the streams were late. The additional checks
+#: cost 0.0013 of the full value of that day's responses.
 RECHECK_AFTER_S = 1.0
 
 #: Seconds between two checks while no entry reports pass times.
@@ -158,7 +159,10 @@
         return Reading.END if now >= end_at else Reading.NOTHING
 
     def _is_on_time(self, pass_s: float | None) -> bool:
-        return pass_s is not None and pass_s < ON_TIME_SHARE * self._max_pause_s
+        return (
+            pass_s is not None
+            and pass_s < ON_TIME_PAUSE_SHARE * self._max_pause_s
+        )
 
     def _next_check(self, now: float, pass_s: float | None) -> Reading:
         if pass_s is None or not self._max_pause_s:
--- a/src/snipebend/fleet/schema.py
+++ b/src/snipebend/fleet/schema.py
@@ -123,7 +123,11 @@
     def check_timeouts(cls, timeout_s: float, info: ValidationInfo) -> float:
         """Reject an attempt timeout longer than the request timeout."""
         if timeout_s > info.data.get('request_timeout_s', timeout_s):
-            raise ValueError('must not exceed request_timeout_s')
+            limit = info.data['request_timeout_s']
+            raise ValueError(
+                f'{timeout_s:g} s must not exceed request_timeout_s, '
+                + f'which is {limit:g} s'
+            )
         return timeout_s
 
     def record(self) -> RoutingPolicy:
@@ -173,7 +177,7 @@
         if kind == 'engine' and not model:
             raise ValueError('an engine needs a model')
         if kind == 'service' and model:
-            raise ValueError('a service has no model')
+            raise ValueError(f'a service has no model, got {model!r}')
         return model
 
     def record(self) -> UpstreamPolicy:
--- a/src/snipebend/hosts/lookup.py
+++ b/src/snipebend/hosts/lookup.py
@@ -33,7 +33,10 @@
 
     @property
     def requires_keys(self) -> bool:
-        """Return whether requests need an API key in general."""
+        """Return whether requests to routes that are not anonymous need a key.
+
+        They do if the table contains a workspace.
+        """
         return bool(self.table.workspaces)
 
     def find_route(self, host: str, path: str) -> HostRoute | None:
--- a/src/snipebend/hosts/model.py
+++ b/src/snipebend/hosts/model.py
@@ -32,7 +32,8 @@
     prefix: str
     kind: RequestKind
     timeout_s: float
-    #: A response within this time has its full value.
+    #: The platform's target for the response time, which credits a response
+    #: within this time in full. Routing does not use it.
     target_s: float
     #: 0 is the most urgent.
     priority: int
@@ -104,8 +105,10 @@
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
+    #: Limit of the time to receive a complete request header.
     header_timeout_s: float = 3.0
-    idle_timeout_s: float = 15.0
+    #: Limit of each wait for the next request or for more bytes of a body.
+    input_timeout_s: float = 15.0
 
 
 class HostTable(NamedTuple):
--- a/src/snipebend/hosts/parts.py
+++ b/src/snipebend/hosts/parts.py
@@ -77,7 +77,7 @@
     """The newest documents, each compressed once."""
 
     def __init__(self) -> None:
-        """Start without documents."""
+        """Create an empty store."""
         self._packed: dict[int, PackedDocument] = {}
 
     @property
@@ -116,7 +116,7 @@
     """The received parts of a document."""
 
     def __init__(self) -> None:
-        """Start without parts."""
+        """Create an empty assembly; the first part determines its document."""
         self.number = 0
         self.parts = 0
         self._digest = 0
@@ -161,10 +161,12 @@
     def unpack(self) -> Result[bytes, InvalidInputError]:
         """Decompress the document, which must be complete."""
         data = bytes(self._data)
-        if zlib.crc32(data) != self._digest:
+        digest = zlib.crc32(data)
+        if digest != self._digest:
             return Err(
                 InvalidInputError(
-                    'the CRC-32 of the packed document does not match',
+                    f'packed document {self.number} has CRC-32 {digest:08x}, '
+                    + f'expected {self._digest:08x}',
                     step=_STEP,
                 )
             )
--- a/src/snipebend/membership/directory.py
+++ b/src/snipebend/membership/directory.py
@@ -1,8 +1,11 @@
 """The directory of upstreams, built from their announcements.
 
 An upstream is listed while its lease is valid, and suspected when it has missed
-an announcement. Late announcements never restore an incarnation that has left,
-that was replaced, or whose lease expired long ago. Performs no I/O.
+an announcement. An announcement is ignored unless its incarnation and sequence
+are newer than those of the last one from its upstream, which is kept for
+``TOMBSTONE_S`` after the lease has expired. A copy that arrives later than that
+lists the upstream again. While the last announcement is kept, an incarnation
+that was leaving remains so. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -24,7 +27,7 @@
 #: new requests only if no other upstream can take them.
 SUSPICION_S = 2.5
 #: Seconds for which the last announcement of a removed upstream is kept, so
-#: that a late copy cannot restore it.
+#: that a copy that arrives within them cannot restore it.
 TOMBSTONE_S = 60.0
 _TICK_S = 0.25
 
@@ -40,8 +43,8 @@
     received_at: float
     joined_at: float
 
-    def is_suspected(self, now: float) -> bool:
-        """Return whether an announcement is overdue."""
+    def is_overdue(self, now: float) -> bool:
+        """Return whether the next announcement is overdue."""
         return now >= self.received_at + SUSPICION_S
 
 
--- a/src/snipebend/membership/directory_delta.py
+++ b/src/snipebend/membership/directory_delta.py
@@ -22,16 +22,19 @@
 
 
 class Joined(Struct, frozen=True, array_like=True):
-    """A new or changed upstream; ``number`` identifies it in this watch."""
+    """A new or changed upstream.
 
-    number: int
+    Later deltas of the same watch refer to it by ``upstream_number``.
+    """
+
+    upstream_number: int
     announcement: Announcement
 
 
 class LoadChange(Struct, frozen=True, array_like=True):
     """The latest reported load of an upstream."""
 
-    number: int
+    upstream_number: int
     running: int
     queued: int
 
@@ -39,12 +42,15 @@
 class KvChange(Struct, frozen=True, array_like=True):
     """The latest reported KV cache use of an upstream, in whole percent."""
 
-    number: int
+    upstream_number: int
     percent: int
 
 
 class DirectoryDelta(Struct, frozen=True):
-    """One delta; ``reset`` marks the first one of a watch."""
+    """One delta; ``reset`` marks the first one of a watch.
+
+    ``left`` and the changes of loads refer to upstreams by number.
+    """
 
     revision: int
     reset: bool = False
@@ -62,7 +68,7 @@
 
 
 class _SentUpstream(NamedTuple):
-    number: int
+    upstream_number: int
     announcement: Announcement
 
 
@@ -113,16 +119,16 @@
         """Add the loads that changed enough; others keep their sent value."""
         sent = known.announcement
         if not _is_same_load(sent, current):
-            changes.loads.append(_load_change(known.number, current))
+            changes.loads.append(_load_change(known.upstream_number, current))
             sent = structs.replace(
                 sent, running=current.running, queued=current.queued
             )
         if not _is_same_kv_use(sent, current):
             percent = round(current.kv_use * _PERCENT)
-            changes.kv_uses.append(KvChange(known.number, percent))
+            changes.kv_uses.append(KvChange(known.upstream_number, percent))
             sent = structs.replace(sent, kv_use=percent / _PERCENT)
         if sent is not known.announcement:
-            self._record_sent(known.number, sent)
+            self._record_sent(known.upstream_number, sent)
 
     def _add_joined(
         self,
@@ -133,7 +139,7 @@
         if known is None:
             self._next_number += 1
         else:
-            number = known.number
+            number = known.upstream_number
         self._record_sent(number, announcement)
         return Joined(number, announcement)
 
@@ -145,7 +151,9 @@
     ) -> tuple[int, ...]:
         names = {announcement.upstream for announcement in fresh}
         removed = self._sent.keys() - names
-        return tuple(sorted(self._sent.pop(name).number for name in removed))
+        return tuple(
+            sorted(self._sent.pop(name).upstream_number for name in removed)
+        )
 
 
 class DirectoryCopy:
@@ -162,7 +170,7 @@
         if delta.reset:
             self._by_number.clear()
         for joined in delta.joined:
-            self._by_number[joined.number] = joined.announcement
+            self._by_number[joined.upstream_number] = joined.announcement
         for number in delta.left:
             self._by_number.pop(number, None)
         for load in delta.loads:
@@ -184,24 +192,27 @@
         )
 
     def _apply_load(self, load: LoadChange) -> None:
-        known = self._by_number.get(load.number)
+        known = self._by_number.get(load.upstream_number)
         if known is not None:
-            self._by_number[load.number] = structs.replace(
+            self._by_number[load.upstream_number] = structs.replace(
                 known,
                 running=load.running,
                 queued=load.queued,
             )
 
     def _apply_kv_use(self, use: KvChange) -> None:
-        known = self._by_number.get(use.number)
+        known = self._by_number.get(use.upstream_number)
         if known is not None:
-            self._by_number[use.number] = structs.replace(
+            self._by_number[use.upstream_number] = structs.replace(
                 known, kv_use=use.percent / _PERCENT
             )
 
 
 def is_same_member(one: Announcement, other: Announcement) -> bool:
-    """Return whether announcements differ at most in load and sequence."""
+    """Return whether two announcements describe the same state of a member.
+
+    The sequence, the revision, the load and the use of the KV cache may differ.
+    """
     return _membership_of(one) == _membership_of(other)
 
 
--- a/src/snipebend/membership/wheel.py
+++ b/src/snipebend/membership/wheel.py
@@ -9,7 +9,10 @@
 
 
 class DeadlineWheel:
-    """Deadlines of named items, in ticks of a fixed duration."""
+    """Deadlines of named items.
+
+    Deadlines are in seconds; each slot of the wheel covers one tick.
+    """
 
     def __init__(self, tick_s: float) -> None:
         """Create an empty wheel; items expire at most one tick late."""
--- a/src/snipebend/orders/flow.py
+++ b/src/snipebend/orders/flow.py
@@ -47,7 +47,7 @@
     """The orders in flight, in the sequence in which they were sent."""
 
     def __init__(self) -> None:
-        """Start without orders in flight."""
+        """Create an empty record; order numbers are never reused."""
         self._numbers = count()
         self._sent: dict[int, _SentOrder] = {}
         #: Time of the first reply to a later order, by order number. The reply
--- a/src/snipebend/orders/issuer.py
+++ b/src/snipebend/orders/issuer.py
@@ -46,7 +46,11 @@
 
     @property
     def fence(self) -> int:
-        """Return the last held fence, or 0."""
+        """Return the fence of the last reply.
+
+        It is 0 before the first reply and after a refusal, also that of a
+        renewal.
+        """
         return self._held.fence if self._held else 0
 
     def has_valid_lease(self, now: float) -> bool:
@@ -68,13 +72,15 @@
         )
 
     def apply_reply(self, reply: FenceReply) -> bool:
-        """Apply a reply; return whether it granted a new fence."""
+        """Apply a reply; return whether it granted a fence not held before."""
         before = self.fence
         self._held = reply if reply.granted else None
         return reply.granted and reply.fence != before
 
-    def ready_at(self, fencing: Fencing) -> float:
-        """Return the time from which an engine can receive orders.
+    def orders_allowed_at(self, fencing: Fencing) -> float:
+        """Return the time from which orders to an engine are allowed.
+
+        It is infinite without a fence, and 0 if the engine checks fences.
 
         An engine that ignores fences may execute the previous holder's last
         order until that holder's lease, which bounds all its deadlines, has
@@ -96,7 +102,7 @@
         held = self._held
         if held is None or not self.has_valid_lease(now):
             return Err(UnavailableError('no fence is held', step=_STEP))
-        if now < self.ready_at(fencing):
+        if now < self.orders_allowed_at(fencing):
             text = f'the previous lease is valid until {held.not_before}'
             return Err(UnavailableError(text, step=_STEP))
         latest = min(now + self._cfg.order_s, self._trusted_until(held))
--- a/src/snipebend/relay/admission.py
+++ b/src/snipebend/relay/admission.py
@@ -28,7 +28,8 @@
     facts: CallerFacts
     route: HostRoute
     service: str
-    #: Empty when the route admits requests without a key.
+    #: Empty if the request has no known API key, which is possible on an
+    #: anonymous route or if the table contains no workspaces.
     workspace: str
     #: 0 is the most urgent.
     priority: int
--- a/src/snipebend/relay/entry_directory.py
+++ b/src/snipebend/relay/entry_directory.py
@@ -19,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without entries."""
+        """Create an empty directory."""
         self._by_daemon: dict[str, dict[str, str]] = {}
 
     def update(
--- a/src/snipebend/relay/rate_limit_table.py
+++ b/src/snipebend/relay/rate_limit_table.py
@@ -46,7 +46,7 @@
     """The token buckets of upstreams that have announced a limit."""
 
     def __init__(self) -> None:
-        """Start without limits."""
+        """Create an empty table; unlisted upstreams are not limited."""
         #: Share of entries whose messages are received here, this one included.
         self.share = 1.0
         self._limits: dict[str, RateLimit] = {}
--- a/src/snipebend/relay/step_times.py
+++ b/src/snipebend/relay/step_times.py
@@ -15,7 +15,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without measurements."""
+        """Create empty sums."""
         self._events: Counter[str] = Counter()
         self._seconds: defaultdict[str, float] = defaultdict(float)
 
--- a/src/snipebend/relay/upstream_groups.py
+++ b/src/snipebend/relay/upstream_groups.py
@@ -70,11 +70,11 @@
     def is_too_slow(self, now: float, allowed_pause_s: float) -> bool:
         """Return whether a slow rank makes every stream late.
 
-        ``allowed_pause_s`` is the longest pause allowed between two events; 0:
-        any. Steps that are long for another reason, after a shift in demand,
-        are so in all groups and only for a short time: avoiding such a group
-        overloaded the other one and made the streams of both late in turn (they
-        had 0.72 to 1.0 of their value in the 2 s of a shift).
+        ``allowed_pause_s`` is the longest pause allowed between two events; 0
+        means no limit. Steps that are long for another reason, after a shift
+        in demand, are so in all groups and only for a short time. Avoiding such
+        a group overloaded the other one and made the streams of both late in
+        turn: in the 2 s of a shift they had 0.72 to 1.0 of their full value.
         """
         if not self.has_slow_rank or not allowed_pause_s:
             return False
--- a/src/snipebend/relay/upstreams.py
+++ b/src/snipebend/relay/upstreams.py
@@ -114,7 +114,7 @@
     """All upstreams by identity and by service."""
 
     def __init__(self) -> None:
-        """Start without upstreams."""
+        """Create an empty table."""
         self._by_identity: dict[str, Upstream] = {}
         self._by_service: dict[str, dict[str, Upstream]] = {}
         self._groups: dict[str, UpstreamGroup] = {}
--- a/src/snipebend/routing/admission.py
+++ b/src/snipebend/routing/admission.py
@@ -92,7 +92,7 @@
         """Close a ticket; return whether it was open."""
         admitted_at = self._admitted.pop(number, None)
         if admitted_at is not None:
-            self.drain_rate.record(now - admitted_at, now)
+            self.drain_rate.record_completion(now - admitted_at, now)
             return True
         return self.queue.remove(number) is not None
 
--- a/src/snipebend/routing/quarantine.py
+++ b/src/snipebend/routing/quarantine.py
@@ -26,8 +26,9 @@
 LANE_DIVISOR = 8
 #: Time after a death for which all entries keep other requests off the lanes.
 LANE_HOLD_S = 5.0
-#: Time that a suspect waits for the requests of other entries to leave its
-#: upstream; after that only the agent, which runs it alone, can isolate it.
+#: Maximum time for which a suspect waits until its lane runs no requests of
+#: other entries. After that it is sent anyway, and the agent refuses it while
+#: the upstream runs another attempt.
 LANE_IDLE_TIMEOUT_S = 0.5
 _LANES = 'suspect-lanes'
 
--- a/src/snipebend/routing/rates.py
+++ b/src/snipebend/routing/rates.py
@@ -58,7 +58,7 @@
         self._counted_at: float = 0
         self.hold_s: float = 0
 
-    def record(self, held_s: float, now: float) -> None:
+    def record_completion(self, held_s: float, now: float) -> None:
         """Record a completed request and how long it was held."""
         self._rate = self._decayed(now) + 1 / DRAIN_WINDOW_S
         self._counted_at = now
@@ -66,7 +66,7 @@
         self.hold_s += weight * (held_s - self.hold_s)
 
     def requests_per_s(self, in_flight: int, now: float) -> float:
-        """Return requests per second; zero if not measured yet."""
+        """Return the larger measurement; zero until a request has completed."""
         if not self.hold_s:
             return 0
         return max(self._decayed(now), in_flight / self.hold_s)
--- a/src/snipebend/settings/model.py
+++ b/src/snipebend/settings/model.py
@@ -96,7 +96,8 @@
     address: Address
     #: Seconds between announcements, and between load reports.
     report_every_s: Seconds = 1.0
-    #: Seconds between heartbeats while the upstream sends nothing.
+    #: Seconds between heartbeats from the agent to the entry that forwarded a
+    #: request, while the upstream sends nothing.
     beat_s: Seconds = 0.5
     #: Seconds without a probe response after which the upstream is down.
     silent_after_s: Seconds = 6.0
@@ -166,10 +167,19 @@
         Members and seeds must not be combined.
         """
         if self.members and self.seeds:
-            raise ValueError('members and seeds must not both be set')
+            raise ValueError(
+                'members and seeds must not both be set: '
+                + f'got {len(self.members)} members and seeds at '
+                + ', '.join(self.seeds.addresses)
+            )
         names = [member.name for member in self.members]
         addresses = {member.address for member in self.members}
         if len(set(names)) < len(names) or len(addresses) < len(names):
-            raise ValueError('members must have distinct names and addresses')
+            listed = ', '.join(
+                f'{one.name}={one.address}' for one in self.members
+            )
+            raise ValueError(
+                f'members must have distinct names and addresses: got {listed}'
+            )
         if names and self.process.name not in names:
             raise ValueError(f'members must include {self.process.name!r}')
--- a/src/snipebend/state/expert_maps.py
+++ b/src/snipebend/state/expert_maps.py
@@ -36,7 +36,7 @@
 
 
 class MapState(Struct):
-    """The record of each group."""
+    """Replicated state: the committed record of each group, by group name."""
 
     records: dict[str, GroupRecord] = {}
 
--- a/src/snipebend/state/host_updates.py
+++ b/src/snipebend/state/host_updates.py
@@ -1,4 +1,8 @@
-"""Messages from control daemons to entries: documents and upstreams."""
+"""Messages from control daemons to entries that route by HTTP host name.
+
+They carry documents, which assign HTTP hosts and paths to services, and the
+upstreams of these services.
+"""
 
 from __future__ import annotations
 
--- a/src/snipebend/telemetry/log_lines.py
+++ b/src/snipebend/telemetry/log_lines.py
@@ -15,8 +15,10 @@
 #: A name with a word or a quoted string in the format of ``repr``.
 _PAIR = re.compile(r"(\w+)=('(?:[^'\\]|\\.)*'|\"(?:[^\"\\]|\\.)*\"|\S+)")
 
-#: Events that set the state by which a process decides, until the next event
-#: of the same kind.
+#: Events that report a change in what a process bases its decisions on: the
+#: active document, the connection to a control daemon, the record of an
+#: upstream, or another entry. What an event reports is valid until the next
+#: event with the same name about the same upstream or peer.
 STATE_EVENTS = frozenset(
     (
         'document_in_force',
@@ -58,7 +60,7 @@
 
 
 def explain(request_id: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return a request's lines by time, with the state that they depend on.
+    """Return a request's lines by time, with the state events behind them.
 
     These are the latest state events of each process before the first line
     about the request, and the later ones until the request's last line.
--- a/src/snipebend/transport/group_switch.py
+++ b/src/snipebend/transport/group_switch.py
@@ -167,7 +167,7 @@
             self.coordinator = None
         elif (
             self.coordinator is None
-            and self.issuer.ready_at(self._fencing) <= now
+            and self.issuer.orders_allowed_at(self._fencing) <= now
         ):
             await self._start_coordinator()
 
--- a/src/snipebend/transport/peer_links.py
+++ b/src/snipebend/transport/peer_links.py
@@ -81,7 +81,7 @@
     """
 
     def __init__(self, local_member: Member, tasks: TaskSupervisor) -> None:
-        """Start without peers."""
+        """Create an empty collection of links."""
         self._local_member = local_member
         self._tasks = tasks
         self._clients = RpcClients(PING_S, PING_S)
--- a/src/snipebend/transport/pending_requests.py
+++ b/src/snipebend/transport/pending_requests.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without requests."""
+        """Create an empty collection."""
         self._futures: dict[str, Future[RequestOutcome]] = {}
         self._waiting_reads: list[_WaitingRead] = []
 
@@ -58,7 +58,8 @@
                 error = UnavailableError(reason, step=_PROPOSE, peer=hint)
                 self._fail(proposal_id, error)
             case ReadRejected(read_id):
-                error = UnavailableError('no leader', step=_READ, peer=hint)
+                text = f'read {read_id} was sent to a member that is not leader'
+                error = UnavailableError(text, step=_READ, peer=hint)
                 self._fail(read_id, error)
 
     def wait_for_index(self, read_id: str, index: int) -> None:
@@ -81,7 +82,8 @@
         except TimeoutError:
             return Err(
                 UnavailableError(
-                    f'index {index} not applied within {timeout:g} s',
+                    f'index {index} not applied within {timeout:g} s, '
+                    + f'applied up to {applied_index} before',
                     step=_READ,
                 )
             )
--- a/src/snipebend/transport/rank_switch.py
+++ b/src/snipebend/transport/rank_switch.py
@@ -66,7 +66,15 @@
         self._start_guard()
 
     async def handle_order(self, order: RankOrder) -> RankReport:
-        """Let the guard handle an order; return its report."""
+        """Apply an order to guard and engine; return the guard's report.
+
+        The engine's state is read first. ``Prepare`` also clears the record of
+        the weights that the engine has fetched.
+
+        Raises:
+            GRPCError: if the state could not be read, or the engine did not
+                execute the resulting decision.
+        """
         await self._observe_engine()
         if isinstance(order, Prepare):
             # The engine must receive each hold step, even if it already holds
@@ -77,7 +85,7 @@
         return self.guard.report(refused=self.guard.is_stale(order.fence))
 
     def handle_event(self, event: RankEvent) -> None:
-        """Let the guard handle an event and start the resulting actions."""
+        """Pass an event to the guard and start the actions that it requests."""
         now = self._maps.clock.now()
         for action in self.guard.step(event, now, self._rng):
             self._execute(action)
--- a/src/snipebend/transport/suspect_follower.py
+++ b/src/snipebend/transport/suspect_follower.py
@@ -18,10 +18,12 @@
 #: Seconds between two polls of the shared list.
 POLL_INTERVAL_S = 0.5
 
-#: Seconds between two polls while a request waits for a death to be counted.
+#: Seconds between two polls while a request whose upstream died waits until the
+#: control daemons have counted this death.
 DEATH_POLL_INTERVAL_S = 0.02
 
-#: Seconds that a request waits for a death to be counted.
+#: Maximum duration of this wait in seconds. After that, the next attempt is
+#: refused with the advice to retry once the request's lease has expired.
 DEATH_TIMEOUT_S = 2.0
 
 
--- a/tests/experts/test_reading_plan.py
+++ b/tests/experts/test_reading_plan.py
@@ -8,7 +8,7 @@
 from snipebend.experts.reading_plan import (
     RECHECK_AFTER_S,
     NO_REPORT_INTERVAL_S,
-    ON_TIME_SHARE,
+    ON_TIME_PAUSE_SHARE,
     SPOT_CHECK_INTERVAL_S,
     SHIFT_GROWTH,
     MAX_SPAN_S,
@@ -19,8 +19,8 @@
 )
 
 MAX_PAUSE_S = 0.12
-ON_TIME_S = 0.9 * ON_TIME_SHARE * MAX_PAUSE_S
-LONG_S = 1.5 * ON_TIME_SHARE * MAX_PAUSE_S
+ON_TIME_S = 0.9 * ON_TIME_PAUSE_SHARE * MAX_PAUSE_S
+LONG_S = 1.5 * ON_TIME_PAUSE_SHARE * MAX_PAUSE_S
 
 
 class TestReadingPlan(unittest.TestCase):
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -93,10 +93,10 @@
         directory = UpstreamDirectory()
         directory.record(announce(1), 0)
         member = directory.members(SUSPICION_S)[0]
-        self.assertTrue(member.is_suspected(SUSPICION_S))
+        self.assertTrue(member.is_overdue(SUSPICION_S))
         directory.record(announce(2), SUSPICION_S)
         member = directory.members(SUSPICION_S)[0]
-        self.assertFalse(member.is_suspected(SUSPICION_S + 1))
+        self.assertFalse(member.is_overdue(SUSPICION_S + 1))
         self.assertEqual(member.joined_at, 0)
 
 
--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -69,7 +69,7 @@
 class NonWaitingIssuer(OrderIssuer):
     """Fault: does not wait until the previous lease has expired."""
 
-    def ready_at(self, fencing: str) -> float:
+    def orders_allowed_at(self, fencing: str) -> float:
         return 0
 
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -100,7 +100,7 @@
         self.assertEqual((engine.layers, engine.experts), (4, 64))
         self.assertAlmostEqual(engine.fetch_s, 0.1111, 4)
         self.assertIsNone(table.services[1].engine)
-        self.assertEqual(table.limits.idle_timeout_s, 15.0)
+        self.assertEqual(table.limits.input_timeout_s, 15.0)
         self.assertEqual(table.workspaces[0].keys, ('k1', 'k2'))
 
     def test_unknown_kind_must_not_run_twice(self):
