--- a/src/snipebend/edge/response_parser.py
+++ b/src/snipebend/edge/response_parser.py
@@ -36,7 +36,7 @@
     """Parses the responses on one connection, one request at a time."""
 
     def __init__(self, dialect: Dialect) -> None:
-        """Start before the first request."""
+        """Create a parser for a new connection."""
         #: Receives the response; None while no response is expected.
         self.channel: ResponseChannel | None = None
         #: Whether the connection can't be used for another request.
--- a/src/snipebend/transport/pending_requests.py
+++ b/src/snipebend/transport/pending_requests.py
@@ -58,7 +58,7 @@
                 error = UnavailableError(reason, step=_PROPOSE, peer=hint)
                 self._fail(proposal_id, error)
             case ReadRejected(read_id):
-                text = f'read {read_id} was sent to a member that is not leader'
+                text = f'read {read_id} rejected: this member is not the leader'
                 error = UnavailableError(text, step=_READ, peer=hint)
                 self._fail(read_id, error)
 
--- a/src/snipebend/transport/policy_planner.py
+++ b/src/snipebend/transport/policy_planner.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, group: Group, weights: Weights) -> None:
-        """Start without load reports."""
+        """Create a planner that has received no load reports."""
         self._group = group
         self._weights = weights
         self._reset(group.ranks)
