--- a/src/snipebend/balancing/demand_follower.py
+++ b/src/snipebend/balancing/demand_follower.py
@@ -40,7 +40,7 @@
         clock: Clock,
         meters: BalancerMeters,
     ) -> None:
-        """Start without data about the group."""
+        """Create a follower that has read no counts or pass times yet."""
         self.plan = ReadingPlan(0)
         self._group = group
         self._counts = counts
--- a/src/snipebend/balancing/group_controller.py
+++ b/src/snipebend/balancing/group_controller.py
@@ -80,7 +80,7 @@
     """Monitors the demand of one group and runs its map switches."""
 
     def __init__(self, key: GroupKey, context: ControllerContext) -> None:
-        """Start without a snapshot of the group."""
+        """Create a controller; the first snapshot creates its monitor."""
         self.key = key
         self.monitor: GroupMonitor | None = None
         self._context = context
--- a/src/snipebend/balancing/leadership.py
+++ b/src/snipebend/balancing/leadership.py
@@ -13,7 +13,7 @@
     """The leader lease of the control group and the start of its term."""
 
     def __init__(self, store: ReplicatedState, clock: Clock) -> None:
-        """Start without a known term."""
+        """Create a record without a term; ``update_term`` sets it."""
         self._store = store
         self._clock = clock
         self._term = 0
--- a/src/snipebend/consensus/log.py
+++ b/src/snipebend/consensus/log.py
@@ -51,7 +51,10 @@
     def batch(
         self, first: int, max_entries: int, max_bytes: int
     ) -> tuple[LogEntry, ...]:
-        """Return entries from ``first`` on within both limits, at least one."""
+        """Return entries from ``first`` on, within both limits.
+
+        The first one is returned even if it exceeds ``max_bytes``.
+        """
         found = self.between(first, first + max_entries - 1)
         size = 0
         for count, entry in enumerate(found):
--- a/src/snipebend/console/connection.py
+++ b/src/snipebend/console/connection.py
@@ -52,7 +52,11 @@
 def find_control_addresses(
     args: Namespace,
 ) -> Result[list[str], SnipebendError]:
-    """Return the addresses of the flag, the environment or the settings."""
+    """Return the control addresses.
+
+    They are those of the flag, else of the environment variable, else of
+    the settings file.
+    """
     given: str = args.control or os.environ.get(CONTROL_VARIABLE, '')
     if given:
         return Ok([part.strip() for part in given.split(',')])
--- a/src/snipebend/delivery/request_context.py
+++ b/src/snipebend/delivery/request_context.py
@@ -22,7 +22,11 @@
     """Tracks whether it is proved that the request has not run."""
 
     def __init__(self, *, needs_claim: bool) -> None:
-        """Start without proof for a key that was not looked up."""
+        """Create the state of a request without attempts.
+
+        With ``needs_claim``, the request has a key that was not looked up yet,
+        so an earlier request with that key may have run.
+        """
         #: An earlier request with the same key may have run.
         self.key_may_have_run = needs_claim
         #: An attempt of this request may have run.
--- a/src/snipebend/edge/stream_relay.py
+++ b/src/snipebend/edge/stream_relay.py
@@ -30,7 +30,7 @@
         now: Callable[[], float],
         on_pause: Callable[[int, float], None],
     ) -> None:
-        """Start before the first call.
+        """Create a relay to ``response``; ``begin`` starts the first call.
 
         ``on_pause`` receives the number of events and the seconds before them;
         the number is 0 for the first events of a call, since the pause before
--- a/src/snipebend/experts/change_value.py
+++ b/src/snipebend/experts/change_value.py
@@ -43,7 +43,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without a known demand."""
+        """Create the state before any demand is determined."""
         self._since: float | None = None
         #: Lifetime of the previous demand in seconds; 0 if there was none.
         self.previous_lifetime_s: float = 0
--- a/src/snipebend/experts/direct_orders.py
+++ b/src/snipebend/experts/direct_orders.py
@@ -1,4 +1,9 @@
-"""Orders sent directly to engines, and the reports that engines return."""
+"""Orders to engines without agents, and the reports that these engines return.
+
+The control leader sends the orders directly. A ``step`` is the number of a
+pass. ``switch_messages`` has types of the same names (``Prepare``,
+``RankReport``, ``RankOrder``) for groups with agents.
+"""
 
 from __future__ import annotations
 
--- a/src/snipebend/experts/drift.py
+++ b/src/snipebend/experts/drift.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, limit: float) -> None:
-        """Start without a reference."""
+        """Create a detector; the first estimate becomes its reference."""
         self._limit = limit
         self._shares: NDArray[np.float64] | None = None
         self._variances: NDArray[np.float64] | None = None
--- a/src/snipebend/experts/estimate.py
+++ b/src/snipebend/experts/estimate.py
@@ -73,7 +73,10 @@
     """Collects the reports of one incarnation of a group."""
 
     def __init__(self, shape: GroupShape, half_life_steps: float) -> None:
-        """Start without reports; weights halve every ``half_life_steps``."""
+        """Create an estimator without reports.
+
+        The weight of a report halves every ``half_life_steps`` steps.
+        """
         self._shape = shape
         self._max_age = _MAX_AGE_HALF_LIVES * half_life_steps
         self._slow = _DecayedSums(shape, half_life_steps)
--- a/src/snipebend/experts/group_pass_times.py
+++ b/src/snipebend/experts/group_pass_times.py
@@ -26,7 +26,13 @@
     def record(
         self, group: str, events: int, seconds: float, now: float
     ) -> None:
-        """Record the passes that one entry observed since its last message."""
+        """Record the stream events that one entry reports for a group.
+
+        ``events`` is their number since the entry's last message, ``seconds``
+        the sum of the times that passed before each of them on its stream. A
+        pass produces one event per stream, so the quotient is the mean pass
+        time.
+        """
         if events > 0 and seconds > 0:
             samples = self._samples.setdefault(group, deque())
             samples.append(_Sample(now, events, seconds))
--- a/src/snipebend/experts/planner.py
+++ b/src/snipebend/experts/planner.py
@@ -77,7 +77,7 @@
     """Makes plans for one kind of load estimate."""
 
     def __init__(self, ranks: int, settings: PolicySettings) -> None:
-        """Start without scored predictions."""
+        """Create a planner for a group of the given number of ranks."""
         self._ranks = ranks
         self._settings = settings
         self._tracker = PredictionTracker(settings.horizon_steps)
--- a/src/snipebend/experts/policy.py
+++ b/src/snipebend/experts/policy.py
@@ -1,11 +1,15 @@
 """Decision whether and how far to change a group's expert map.
 
-The objective uses the two weights of the fleet file, in steps of the group:
-``skew * (skew gained * steps it lasts) - cost * (steps that loading takes)``. A
-change is made only if the objective gains, and only in layers where the gain is
-significant given the noise of the load estimate. Plans follow the current load;
-while gains for the current load turn out not to last, a plan for the long-run
-load is made as well, and the better one is used.
+The net gain uses the two weights of the fleet file. In steps of the group, it
+is::
+
+    weights.skew * (reduction of the skew * steps it lasts)
+    - weights.cost * (steps that loading and the switch itself take)
+
+A change is made only if its net gain is positive, and only in layers where the
+reduction of the skew is significant given the noise of the load estimate. Plans
+follow the current load; while gains for the current load turn out not to last,
+a plan for the long-run load is made as well, and the better one is used.
 """
 
 from __future__ import annotations
@@ -83,7 +87,10 @@
         hold_steps: int = 0,
         settings: PolicySettings | None = None,
     ) -> None:
-        """Start without scored predictions."""
+        """Create a policy for one incarnation of a group.
+
+        ``hold_steps`` is the minimum number of steps between two changes.
+        """
         self._shape = shape
         self._weights = weights
         self._costs = costs
@@ -175,7 +182,7 @@
         return PlanLimits(relative_cost * steps, self._max_loads(context, now))
 
     def _net_gain(self, plan: Plan, context: DecisionContext) -> float:
-        """Return the objective's gain, in steps."""
+        """Return the net gain of a plan, in steps of the group."""
         load_bytes = plan.loads * self._shape.expert_bytes
         cost_steps = self._costs.change_steps(
             load_bytes, context.store.bytes_per_s
--- a/src/snipebend/experts/prediction_tracker.py
+++ b/src/snipebend/experts/prediction_tracker.py
@@ -36,7 +36,11 @@
         predicted: float,
         end_step: int,
     ) -> None:
-        """Start without an observed gain."""
+        """Create a prediction for the change of ``before`` into ``after``.
+
+        ``predicted`` is the gain in step skew; it is observed until
+        ``end_step``.
+        """
         self.predicted = predicted
         self.end_step = end_step
         self._before = before
@@ -57,7 +61,10 @@
     """Open predictions of one planner, and the trust derived from them."""
 
     def __init__(self, horizon_steps: int) -> None:
-        """Start at the initial trust; predictions last ``horizon_steps``."""
+        """Create an empty tracker, which returns the initial trust.
+
+        A prediction is finished after ``horizon_steps``.
+        """
         self._horizon = horizon_steps
         self._open: list[_Prediction] = []
         self._scored_step = -1
--- a/src/snipebend/experts/rank_states.py
+++ b/src/snipebend/experts/rank_states.py
@@ -7,10 +7,12 @@
 
 from snipebend.experts.hold_planner import RETRY_S
 
-#: Initial and maximum delay in seconds before ``Arm`` is sent again to a rank
-#: that refused it. The first one is short because the group may be on hold
-#: meanwhile. The delay doubles with each refusal, because each order has a cost
-#: and a rank with a slow fetch refused a hundred of them.
+#: Initial and maximum delay in seconds from the last ``Prepare`` or ``Arm`` for
+#: a rank until the next ``Arm``. The initial delay applies until the rank has
+#: refused an ``Arm``, so also after an unanswered one; it is short because the
+#: group may be on hold meanwhile. Each refusal doubles the delay up to the
+#: maximum, because each order has a cost and a rank with a slow fetch refused
+#: a hundred of them.
 ARM_RETRY_S = 0.015
 MAX_ARM_RETRY_S = 0.12
 
--- a/src/snipebend/experts/switch_messages.py
+++ b/src/snipebend/experts/switch_messages.py
@@ -1,4 +1,8 @@
-"""Messages and records of the expert map switch.
+"""Messages and records of the expert map switch of groups with agents.
+
+The groups are those of the fleet file, and the agent of each rank receives the
+orders. ``direct_orders`` has types of the same names (``Prepare``,
+``RankReport``, ``RankOrder``) for engines without agents.
 
 Steps are counted from 0 in each group. Map versions increase by one with every
 proposal of a group, whether it is decided or aborted.
--- a/src/snipebend/experts/switch_promise.py
+++ b/src/snipebend/experts/switch_promise.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without map, promise or weights, like a restarted rank."""
+        """Create the state of a restarted rank: no map, promise or weights."""
         self.installed = MapStamp()
         self.pending: SwitchDecision | None = None
         self.promised: SwitchDecision | None = None
--- a/src/snipebend/experts/switch_rank.py
+++ b/src/snipebend/experts/switch_rank.py
@@ -52,7 +52,7 @@
         fence: int,
         runner: type[StepRunner] = StepRunner,
     ) -> None:
-        """Start without a map; ``fence`` was read from a quorum."""
+        """Create a guard without a map; ``fence`` was read from a quorum."""
         self.rank = rank
         self.life = life
         self.fence = fence
--- a/src/snipebend/experts/switch_roster.py
+++ b/src/snipebend/experts/switch_roster.py
@@ -16,7 +16,7 @@
     """The ranks considered alive, with the newest report of each."""
 
     def __init__(self, fence: int) -> None:
-        """Start without ranks; only reports with ``fence`` are accepted.
+        """Create an empty roster that accepts only reports with ``fence``.
 
         A rank sends a report with a lower fence before it receives an order of
         this coordinator, so such a report can be arbitrarily late.
--- a/src/snipebend/experts/switch_runner.py
+++ b/src/snipebend/experts/switch_runner.py
@@ -24,7 +24,7 @@
     """Runs a rank's steps in sequence, each under one map."""
 
     def __init__(self, rank: str, promise: RankPromise) -> None:
-        """Start without a map in force."""
+        """Create a runner before step 0 without a map in force."""
         self.next_step = 0
         self.in_force: SwitchDecision | None = None
         self.running: RunStep | None = None
--- a/src/snipebend/membership/confirmations.py
+++ b/src/snipebend/membership/confirmations.py
@@ -28,7 +28,10 @@
     """
 
     def __init__(self, now: float, lease_s: float) -> None:
-        """Start without confirmations; they are complete after one lease."""
+        """Create an empty collection at the start of the control daemon.
+
+        It is complete ``lease_s`` seconds after ``now``.
+        """
         self._complete_at = now + lease_s
         self._latest: dict[str, Confirmation] = {}
 
@@ -63,5 +66,9 @@
         return tuple(sorted(unresponsive))
 
     def is_complete(self, now: float) -> bool:
-        """Return whether all processes with a valid lease have reported."""
+        """Return whether all processes with a valid lease have reported.
+
+        That is so once one lease has passed since the start: each process has
+        reported by then, or its lease has expired.
+        """
         return now >= self._complete_at
--- a/src/snipebend/membership/directory_delta.py
+++ b/src/snipebend/membership/directory_delta.py
@@ -62,7 +62,10 @@
     entries: int = 0
 
     def is_empty(self) -> bool:
-        """Return whether the delta changes nothing."""
+        """Return whether the delta changes no upstream and is not a reset.
+
+        ``entries`` is ignored, since it is set only when the delta is sent.
+        """
         changes = (self.joined, self.left, self.loads, self.kv_uses)
         return not self.reset and not any(changes)
 
--- a/src/snipebend/orders/fencing.py
+++ b/src/snipebend/orders/fencing.py
@@ -29,7 +29,10 @@
     """Stores the highest fence of each group; a restart loses all of them."""
 
     def __init__(self) -> None:
-        """Start without fences; all orders are refused until one is known."""
+        """Create a gate without fences.
+
+        All orders of a group are refused until its fence is known.
+        """
         self._fences: dict[str, int] = {}
 
     def has_fence(self, group: str) -> bool:
--- a/src/snipebend/orders/flow.py
+++ b/src/snipebend/orders/flow.py
@@ -82,7 +82,7 @@
         self.end(number)
 
     def end(self, number: int) -> None:
-        """Remove an order."""
+        """Stop tracking an order that was answered or given up."""
         self._sent.pop(number, None)
         self._delivered_at.pop(number, None)
 
--- a/src/snipebend/orders/issuer.py
+++ b/src/snipebend/orders/issuer.py
@@ -38,7 +38,10 @@
     """A holder of one group's fence; all times are wall times."""
 
     def __init__(self, cfg: IssuerConfig, group: str, holder: str) -> None:
-        """Start without a fence; ``holder`` is unique per process run."""
+        """Create an issuer that holds no fence.
+
+        ``holder`` is unique for each run of a process.
+        """
         self._cfg = cfg
         self._group = group
         self._holder = holder
@@ -63,7 +66,10 @@
         return held is None or held.lease_until - now <= self._cfg.renew_s
 
     def request(self, now: float) -> FenceRequest:
-        """Return a request to acquire the fence or extend its lease."""
+        """Build a request to acquire the fence or renew its lease.
+
+        The caller sends it.
+        """
         return FenceRequest(
             self._group,
             self._holder,
--- a/src/snipebend/standin/batcher.py
+++ b/src/snipebend/standin/batcher.py
@@ -91,7 +91,7 @@
         batch_size: int,
         prefill_s_per_block: float,
     ) -> None:
-        """Start without sequences.
+        """Create a batcher without sequences.
 
         Prefill takes ``prefill_s_per_block`` for each prompt block that is not
         in the cache.
--- a/src/snipebend/standin/expert_load.py
+++ b/src/snipebend/standin/expert_load.py
@@ -27,7 +27,7 @@
     """Counts tokens and distributes them over the experts when collected."""
 
     def __init__(self, cfg: EngineConfig) -> None:
-        """Start without tokens; equal seeds give equal popularity."""
+        """Create a counter at zero; equal seeds give equal popularity."""
         self._cfg = cfg
         self._rng = np.random.default_rng(cfg.seed)
         self._tokens = 0
--- a/src/snipebend/standin/orders.py
+++ b/src/snipebend/standin/orders.py
@@ -51,7 +51,7 @@
     """Executes orders in memory and records their bodies as sent."""
 
     def __init__(self, *, check_fence: bool) -> None:
-        """Start with expert map version 0 and without any fence."""
+        """Create an executor with expert map version 0 and no fences."""
         self._check_fence = check_fence
         self._fences: dict[str, int] = {}
         self._prepared: set[_MapId] = set()
--- a/src/snipebend/standin/reports.py
+++ b/src/snipebend/standin/reports.py
@@ -48,7 +48,7 @@
     """Load reports that are published after a fixed lag."""
 
     def __init__(self, first: LoadReport, lag_s: float) -> None:
-        """Start with the report that is published until the next one is."""
+        """Create a history; ``first`` is published until the next one is."""
         self._lag_s = lag_s
         self._reports = deque([first])
 
@@ -81,7 +81,7 @@
     """
 
     def __init__(self, rng: Random, *, lag_s: float, gap_rate: float) -> None:
-        """Start without events; the first change gets number 1."""
+        """Create a feed without events; the first change gets number 1."""
         self._rng = rng
         self._lag_s = lag_s
         self._gap_rate = gap_rate
--- a/src/snipebend/state/followed_configuration.py
+++ b/src/snipebend/state/followed_configuration.py
@@ -35,7 +35,7 @@
     """The newest configuration received; its revision never decreases."""
 
     def __init__(self) -> None:
-        """Start without a configuration."""
+        """Create a copy that has not received a configuration."""
         self.revision = 0
         self.index: FleetIndex | None = None
         self.lease_until = -math.inf
--- a/src/snipebend/transport/group_switch.py
+++ b/src/snipebend/transport/group_switch.py
@@ -73,7 +73,7 @@
         planner: MapPlanner,
         lease: IssuerConfig,
     ) -> None:
-        """Start without a fence."""
+        """Create a switch that holds no fence and has no coordinator."""
         self.group = group
         self.coordinator: SwitchCoordinator | None = None
         self.issuer = OrderIssuer(lease, group.name, links.holder)
--- a/src/snipebend/transport/rpc_clients.py
+++ b/src/snipebend/transport/rpc_clients.py
@@ -54,7 +54,11 @@
         ping_interval_s: float = PING_INTERVAL_S,
         ping_timeout_s: float = PING_TIMEOUT_S,
     ) -> None:
-        """Start without channels; both durations are in seconds."""
+        """Create the clients without channels.
+
+        ``ping_interval_s`` and ``ping_timeout_s`` are the interval and the
+        timeout in seconds of the keep-alive pings of each channel.
+        """
         self._channels: dict[str, Channel] = {}
         #: Timeout of the next attempt, by peer whose last attempt timed out.
         self._connect_timeouts_s: dict[str, float] = {}
--- a/src/snipebend/transport/switch_log.py
+++ b/src/snipebend/transport/switch_log.py
@@ -18,7 +18,7 @@
     """The last decision and its reason, the skew and the bytes moved."""
 
     def __init__(self, group: str) -> None:
-        """Start without a decision."""
+        """Create the log of a group without a decision."""
         self.skew: float = 0
         self.moved_bytes = 0
         self.last_decision = 'none'
--- a/tests/delivery/test_suspect_lease.py
+++ b/tests/delivery/test_suspect_lease.py
@@ -1,8 +1,9 @@
-"""A suspected request must not run at two upstreams at the same time.
+"""A request suspected of crashing upstreams must run at one at a time.
 
-Two entries request the lease for the same fingerprint. If it is released while
-an attempt may still run, or right after a death, the second entry can crash
-another upstream before the first death is counted.
+The lease is on the fingerprint of the request, and two entries ask for it. If
+it is released while an attempt may still run, or right after the upstream of an
+attempt died, the second entry can crash another upstream before the first death
+is counted.
 """
 
 from __future__ import annotations
--- a/tests/transport/test_upstream_api.py
+++ b/tests/transport/test_upstream_api.py
@@ -1,7 +1,9 @@
 """A response that is never read must not hold a slot of the upstream.
 
-If the agent's relay admitted an attempt before its response is read, an attempt
-whose response is never read would stay in the guard as running.
+The agent's ``AttemptGuard`` admits attempts and counts the running ones. If the
+relay had an attempt admitted before its response stream is read, an attempt
+whose stream is never read would count as running for ever. The test serves a
+request and does not iterate over the stream.
 """
 
 from __future__ import annotations
