--- a/src/snipebend/experts/estimate.py
+++ b/src/snipebend/experts/estimate.py
@@ -75,7 +75,8 @@
     def __init__(self, shape: GroupShape, half_life_steps: float) -> None:
         """Create an estimator without reports.
 
-        The weight of a report halves every ``half_life_steps`` steps.
+        The weight of a report halves every ``half_life_steps`` steps. For the
+        recent shares it halves sooner, for the long-run shares later.
         """
         self._shape = shape
         self._max_age = _MAX_AGE_HALF_LIVES * half_life_steps
