--- a/tests/upgrades/platform_reading.py
+++ b/tests/platform/upgrade_reading.py
@@ -9,12 +9,12 @@
 
 from tests.upgrades import contents, paths
 from tests.upgrades.comparing import still
-from tests.upgrades.platform_group import GET, PUT, config
+from tests.platform.upgrade_group import GET, PUT, config
 from tests.upgrades.waiting import until
 from tests.upgrades.wire import call, first
 
 if TYPE_CHECKING:
-    from tests.upgrades.platform_group import PlatformGroup
+    from tests.platform.upgrade_group import PlatformGroup
 
 _WATCHES = MappingProxyType(
     {
--- a/tests/upgrades/check_data.py
+++ b/tests/upgrades/check_data.py
@@ -8,8 +8,8 @@
 
 from tests.upgrades.control_group import NAMES, control_group
 from tests.upgrades.data_folder import PART, DataFolder
-from tests.upgrades.platform_group import platform_group
-from tests.upgrades.platform_reading import read_platform
+from tests.platform.upgrade_group import platform_group
+from tests.platform.upgrade_reading import read_platform
 from tests.upgrades.reading import read_group
 
 if TYPE_CHECKING:
--- a/tests/upgrades/check_platform.py
+++ b/tests/upgrades/check_platform.py
@@ -6,23 +6,23 @@
 from itertools import product
 from typing import TYPE_CHECKING, NamedTuple
 
-from tests.upgrades.platform_group import (
+from tests.platform.upgrade_group import (
     GET,
     OK,
     PUT,
     config,
     platform_group,
 )
-from tests.upgrades.upstream import BODY, upstream
+from tests.platform.upgrade_upstream import BODY, upstream
 from tests.upgrades.waiting import all_of, until
 
 if TYPE_CHECKING:
     from pathlib import Path
 
     from tests.upgrades.builds import Build
-    from tests.upgrades.platform_group import PlatformGroup
+    from tests.platform.upgrade_group import PlatformGroup
     from tests.upgrades.reporting import Report, Step
-    from tests.upgrades.upstream import Upstream
+    from tests.platform.upgrade_upstream import Upstream
 
 #: A service, an upstream and a limit for each direction between two entries.
 _SERVICES = ('s-1', 's-2')
--- a/tests/upgrades/write_data.py
+++ b/tests/upgrades/write_data.py
@@ -7,8 +7,8 @@
 
 from tests.upgrades.control_group import NAMES, SNAPSHOT_EVERY, control_group
 from tests.upgrades.data_folder import PART, DataFolder
-from tests.upgrades.platform_group import platform_group
-from tests.upgrades.platform_reading import (
+from tests.platform.upgrade_group import platform_group
+from tests.platform.upgrade_reading import (
     read_platform,
     write_platform_part,
 )
