--- a/bench/entry_load.py
+++ b/bench/entry_load.py
@@ -113,7 +113,7 @@
     """An engine with its running and queued streams."""
 
     def __init__(self) -> None:
-        """Start without streams."""
+        """Create a rank without streams."""
         self.active: list[Stream] = []
         self.waiting: deque[Stream] = deque()
 
@@ -144,7 +144,7 @@
     """A seeded simulation of a policy at a load."""
 
     def __init__(self, policy: Policy, load: float, seed: int) -> None:
-        """Start with idle ranks and no requests."""
+        """Create a simulation with idle ranks and no requests."""
         self.outcome_counts: Counter[str] = Counter()
         self._policy = policy
         self._rate = REQUESTS_PER_S * load
--- a/bench/queueing.py
+++ b/bench/queueing.py
@@ -190,7 +190,7 @@
     """
 
     def __init__(self, rng: Random, rate: float, entries: int) -> None:
-        """Start with new sessions; ``rate`` is in requests per step."""
+        """Create new sessions; ``rate`` is in requests per step."""
         self._rng = rng
         self._rate = rate
         self._entries = entries
--- a/bench/quick_switch.py
+++ b/bench/quick_switch.py
@@ -69,7 +69,7 @@
     """One seeded run; ``loss`` is the share of messages that are lost."""
 
     def __init__(self, loss: float) -> None:
-        """Start with all ranks announced and no map."""
+        """Create a group with all ranks announced and no map."""
         self.rng = Random(1)
         self.names = tuple(f'r{number}' for number in range(RANKS))
         self.record = GroupRecord()
--- a/bench/routing_policies.py
+++ b/bench/routing_policies.py
@@ -80,7 +80,7 @@
     """Base of the policies; admits every job and lets subclasses choose."""
 
     def __init__(self, rng: Random, engines: int) -> None:
-        """Start with all engines alive and no outstanding requests."""
+        """Create a policy; all engines are alive and have no requests."""
         self.rng = rng
         self.alive = list(range(engines))
         self.outstanding: Counter[int] = Counter()
@@ -190,7 +190,7 @@
     """Chooses the last engine with the longest prefix, whatever its load."""
 
     def __init__(self, rng: Random, engines: int) -> None:
-        """Start without known prefixes."""
+        """Create a policy that knows no prefix of any engine."""
         super().__init__(rng, engines)
         self._holders: dict[int, int] = {}
 
--- a/bench/subset_cost.py
+++ b/bench/subset_cost.py
@@ -73,7 +73,7 @@
     """The directory with one watcher, without a network."""
 
     def __init__(self, layout: Layout) -> None:
-        """Start with all upstreams serving and no difference sent."""
+        """Announce all upstreams as serving; no difference is sent yet."""
         self._layout = layout
         self._sequence = 0
         self.directory = UpstreamDirectory()
--- a/src/snipebend/balancing/pass_time_listener.py
+++ b/src/snipebend/balancing/pass_time_listener.py
@@ -20,7 +20,11 @@
 
 
 class PassTimeListener(Service, asyncio.DatagramProtocol):
-    """Receives datagrams at the address of the gRPC server."""
+    """Records the pass times that entries send in UDP datagrams.
+
+    The UDP socket has the address of the gRPC server. Messages that arrive
+    twice, or after a later one of the same entry, are ignored.
+    """
 
     def __init__(
         self, name: str, server: RpcServer, pass_times: GroupPassTimes
--- a/src/snipebend/balancing/switch_driver.py
+++ b/src/snipebend/balancing/switch_driver.py
@@ -43,7 +43,10 @@
         fetch_s: float = 0,
         pass_timing: PassTiming | None = None,
     ) -> None:
-        """Start from a snapshot; ``pass_timing`` is derived if missing."""
+        """Prepare a switch from the state in a snapshot of the group.
+
+        ``pass_timing`` is derived if missing.
+        """
         self._link = link
         self._clock = clock
         self._snapshot = snapshot
--- a/src/snipebend/consensus/core.py
+++ b/src/snipebend/consensus/core.py
@@ -58,7 +58,7 @@
         rng: random.Random,
         process_started_at: float | None = None,
     ) -> None:
-        """Start as a follower from the state read from disk.
+        """Create a follower with the state read from disk.
 
         ``process_started_at`` is the start of this process on the same clock;
         the default is ``now``.
--- a/src/snipebend/consensus/durability.py
+++ b/src/snipebend/consensus/durability.py
@@ -31,7 +31,7 @@
     """Numbers the writes and holds back the messages that depend on them."""
 
     def __init__(self, last_index: int) -> None:
-        """Start with a log that is synced up to ``last_index``."""
+        """Track a log that is already synced up to ``last_index``."""
         self.persisted_index = last_index
         self._issued = 0
         self._confirmed = 0
--- a/src/snipebend/consensus/log_file.py
+++ b/src/snipebend/consensus/log_file.py
@@ -97,7 +97,11 @@
         return content
 
     def append(self, write: LogWrite) -> None:
-        """Append and sync a write; after an ``OSError`` the file is unchanged.
+        """Append and sync a write.
+
+        After an ``OSError``, none of its entries is stored and no entry is
+        truncated, but its hard state may be stored: a write that needs a new
+        segment first stores the hard state there. The write must be repeated.
 
         Raises ``CorruptionError`` if a partial write cannot be undone: the file
         must not be written to again.
--- a/src/snipebend/consensus/members.py
+++ b/src/snipebend/consensus/members.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, index: int, members: Members) -> None:
-        """Start with the members as of ``index``."""
+        """Create a history that begins with the members as of ``index``."""
         self._versions = [MembersVersion(index, members)]
 
     @property
--- a/src/snipebend/consensus/storage.py
+++ b/src/snipebend/consensus/storage.py
@@ -34,7 +34,10 @@
     """Reads the data folder once, then writes to it; not thread-safe.
 
     Each method returns after everything is synced. After an ``OSError`` the
-    write has had no effect and can be retried.
+    call must be repeated, as ``transport/storage_writer.py`` does with its
+    jobs: ``persist`` has stored none of the entries, but may have stored the
+    hard state, and the methods that save a snapshot may have saved it without
+    all changes of the log.
     """
 
     def __init__(self, folder: Path) -> None:
--- a/src/snipebend/console/connection.py
+++ b/src/snipebend/console/connection.py
@@ -76,7 +76,7 @@
     method: Method[Request, Reply],
     req: Request,
 ) -> Result[Reply, SnipebendError]:
-    """Call the control daemons in turn until one responds."""
+    """Call the control daemons in turn until a call succeeds."""
     found = find_control_addresses(args)
     if found.is_err():
         return Err(found.unwrap_err())
@@ -88,9 +88,11 @@
     method: Method[Request, Reply],
     req: Request,
 ) -> Result[Reply, SnipebendError]:
-    """Call the addresses in turn until one responds.
+    """Call the addresses in turn until a call succeeds.
 
-    If none does, the error of the last call is returned.
+    After a failed call or an error reply, the next address is called. If no
+    call succeeds, the error of the last one is returned; without addresses, an
+    ``InvalidInputError``.
     """
     clients = RpcClients()
     error: SnipebendError = InvalidInputError(
--- a/src/snipebend/delivery/guard.py
+++ b/src/snipebend/delivery/guard.py
@@ -12,11 +12,11 @@
 Repeatable work is recorded separately: a flood of it cannot use up the room for
 other work, and it is admitted even without room.
 
-A request suspected of killing upstreams is marked ``alone``. It starts only
+A request suspected of crashing upstreams is marked ``alone``. It starts only
 while nothing else runs, and nothing starts while it runs, whichever entries the
 attempts come from.
 
-The guard relies on two properties. An agent's incarnation grows with each
+The guard relies on two properties. An agent's incarnation increases with each
 start, so that no record has to survive a restart. A sender sends each attempt
 once, so that a refusal answers the only delivery; copies that arrive later find
 the record.
@@ -88,10 +88,13 @@
 
 
 class AttemptGuard:
-    """Admits attempts to the agent's upstream and answers seals."""
+    """Admits attempts to the agent's upstream and replies to seal requests."""
 
     def __init__(self, incarnation: int, limits: GuardLimits) -> None:
-        """Create a guard without records; ``incarnation`` grows per start."""
+        """Create a guard without records.
+
+        ``incarnation`` increases with each start of the agent.
+        """
         self.incarnation = incarnation
         self.leaving = False
         self._limits = limits
@@ -112,7 +115,7 @@
         return sum(records.running for records in self._records.values())
 
     def leave(self) -> None:
-        """Refuse new attempts from now on; seals are still answered."""
+        """Refuse new attempts from now on; seal requests are still answered."""
         self.leaving = True
 
     def admit(self, ticket: AttemptTicket, now: float) -> Admission:
--- a/src/snipebend/delivery/stream.py
+++ b/src/snipebend/delivery/stream.py
@@ -83,7 +83,7 @@
     """
 
     def __init__(self, first: int, *, engine_resumes: bool) -> None:
-        """Start at ``first``, the ticket's ``resume_from``."""
+        """Create a numberer; ``first`` is the ticket's ``resume_from``."""
         self._first = first
         self._next_seq = first if engine_resumes else 0
 
--- a/src/snipebend/experts/__init__.py
+++ b/src/snipebend/experts/__init__.py
@@ -1,1 +1,1 @@
-"""Expert load estimation, placement, cost and switch protocol (pure)."""
+"""Expert load estimation, placement, cost and switch protocol; no I/O."""
--- a/src/snipebend/experts/change_value.py
+++ b/src/snipebend/experts/change_value.py
@@ -1,4 +1,4 @@
-"""Relative saving that a change of the expert map must bring (pure).
+"""Relative saving that a change of the expert map must bring; no I/O.
 
 Right after a shift of demand, a map is planned from few counts, and passes stay
 10 to 20% longer than with the best map. If the same demand lasts, a later
--- a/src/snipebend/experts/demand.py
+++ b/src/snipebend/experts/demand.py
@@ -1,4 +1,4 @@
-"""Estimation of the demand for experts from growing counts (pure).
+"""Estimation of the demand for experts from growing counts; no I/O.
 
 Each rank counts how often its requests chose each expert. The choices between
 two readings of the counts form a span. A span that differs from the earlier
--- a/src/snipebend/experts/group_monitor.py
+++ b/src/snipebend/experts/group_monitor.py
@@ -67,7 +67,7 @@
     """Tracks the demand and the pass times of a group during one epoch."""
 
     def __init__(self, sizes: ExpertSizes, report: RankReport) -> None:
-        """Start from the first report of an epoch."""
+        """Create a monitor from the first report of an epoch."""
         self.group = report.group
         self.epoch = report.epoch
         self.size = report.size
--- a/src/snipebend/experts/hold_planner.py
+++ b/src/snipebend/experts/hold_planner.py
@@ -1,4 +1,4 @@
-"""Choice of the pass before which a group is held for a switch (pure).
+"""Choice of the pass before which a group is held for a switch; no I/O.
 
 The later the pass, the longer a group works with an outdated map. A pass that
 has begun can't be held, and a hold before a pass that comes before all ranks
--- a/src/snipebend/experts/layer_state.py
+++ b/src/snipebend/experts/layer_state.py
@@ -1,4 +1,4 @@
-"""Map of one layer, and the skew of its load (pure)."""
+"""Map of one layer, and the skew of its load; no I/O."""
 
 from __future__ import annotations
 
--- a/src/snipebend/experts/layer_steps.py
+++ b/src/snipebend/experts/layer_steps.py
@@ -1,4 +1,4 @@
-"""Single steps of the map search on one layer, evaluated together (pure).
+"""Single steps of the map search on one layer, evaluated together; no I/O.
 
 The heat of a rank is its load, multiplied by its slowness.
 """
@@ -72,7 +72,12 @@
         slowness: Sequence[float],
         slots: int,
     ) -> None:
-        """Start with a map, the loads of experts and the slowness of ranks."""
+        """Evaluate the map ``layer``.
+
+        ``loads`` has the load of each expert, ``slowness`` how many times as
+        long each rank takes for its work, and ``slots`` the largest number of
+        experts of this layer on a rank.
+        """
         self._loads: Floats = np.asarray(loads, dtype=float)
         self._slowness: Floats = np.asarray(slowness, dtype=float)
         self._slots = slots
--- a/src/snipebend/experts/map_search.py
+++ b/src/snipebend/experts/map_search.py
@@ -1,4 +1,4 @@
-"""Search for a better map within the limits of one change (pure).
+"""Search for a better map within the limits of one change; no I/O.
 
 Engines limit how many experts of a layer may be new to a rank in one change,
 and a change takes as long as the rank with the most fetches. The search starts
@@ -67,7 +67,7 @@
         limits: ChangeLimits,
         slowness: Sequence[float] = (),
     ) -> None:
-        """Start from the map in force; loads are by layer and expert.
+        """Create a search from the map in force; loads are by layer and expert.
 
         The mean load of a rank is 1. ``slowness`` gives how many times as long
         each rank takes for its work.
--- a/src/snipebend/experts/placement.py
+++ b/src/snipebend/experts/placement.py
@@ -98,7 +98,7 @@
     """Packs the ranks of all layers, one replica per layer at a time."""
 
     def __init__(self, shape: GroupShape) -> None:
-        """Start with empty slots."""
+        """Create a placement whose slots are all empty."""
         self.placement = np.full(shape.placement_shape, _EMPTY, dtype=np.int16)
         self._slots = shape.slots
         self._layers = np.arange(shape.layers)
--- a/src/snipebend/experts/reading_plan.py
+++ b/src/snipebend/experts/reading_plan.py
@@ -1,4 +1,4 @@
-"""Schedule of the readings of a group's expert counts (pure).
+"""Schedule of the readings of a group's expert counts; no I/O.
 
 Each reading is charged for and pauses the group, and each change of its map
 lengthens passes for a while. Entries measure the pass time without extra cost:
@@ -68,7 +68,11 @@
     """Schedules the readings of one group."""
 
     def __init__(self, max_pause_s: float) -> None:
-        """Start with the longest pause of a stream in seconds; 0: unknown."""
+        """Create a plan without readings.
+
+        ``max_pause_s`` is the longest pause allowed between two events of a
+        stream that is on time; 0: unknown.
+        """
         self._max_pause_s = max_pause_s
         self._end_at: float | None = None
         self._span_s = SPAN_S
--- a/src/snipebend/experts/search.py
+++ b/src/snipebend/experts/search.py
@@ -119,7 +119,7 @@
     """Chooses the change of each layer and limits its detours."""
 
     def __init__(self, view: PlacementView) -> None:
-        """Start with all detours left."""
+        """Allow each layer its maximum number of detours."""
         self._best = view.hot.load
         self._detours_left = np.full(len(view.rows), _MAX_DETOURS)
         self._detour_slots = np.zeros(view.flat.shape, dtype=np.bool_)
--- a/src/snipebend/experts/uncertain_skew.py
+++ b/src/snipebend/experts/uncertain_skew.py
@@ -1,4 +1,4 @@
-"""Expected skew of a map when demand is known from counts only (pure).
+"""Expected skew of a map when demand is known from counts only; no I/O.
 
 The skew under the counted shares is too optimistic for a map that was made from
 them. So the skew is averaged over random samples of demand that are consistent
--- a/src/snipebend/hosts/model.py
+++ b/src/snipebend/hosts/model.py
@@ -32,8 +32,9 @@
     prefix: str
     kind: RequestKind
     timeout_s: float
-    #: The platform's target for the response time, which credits a response
-    #: within this time in full. Routing does not use it.
+    #: Target latency of a response, or of a stream's first event. The platform
+    #: rates a response within it at its full value. Kept from the document;
+    #: not read here.
     target_s: float
     #: 0 is the most urgent.
     priority: int
--- a/src/snipebend/membership/upstream_health.py
+++ b/src/snipebend/membership/upstream_health.py
@@ -11,7 +11,10 @@
     """
 
     def __init__(self, silent_after_s: float, now: float) -> None:
-        """Start as up; ``silent_after_s`` is the timeout in seconds."""
+        """Create the health of an upstream that counts as up at ``now``.
+
+        ``silent_after_s`` is the timeout in seconds.
+        """
         self._silent_after_s = silent_after_s
         self._up_until = now + silent_after_s
 
--- a/src/snipebend/routing/concurrency.py
+++ b/src/snipebend/routing/concurrency.py
@@ -28,7 +28,10 @@
     __slots__ = ('_baseline', '_recent', 'ceiling', 'limit')
 
     def __init__(self, ceiling: int) -> None:
-        """Start at the ceiling; slow start protects a new upstream."""
+        """Create a limit that is equal to its ceiling.
+
+        It need not be lower for a new upstream, which slow start protects.
+        """
         self.ceiling = float(ceiling)
         self.limit = float(ceiling)
         self._recent: float = 0
--- a/src/snipebend/routing/outstanding.py
+++ b/src/snipebend/routing/outstanding.py
@@ -18,7 +18,7 @@
     __slots__ = ('_changes', '_oldest', 'current')
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Create a count of zero without a history."""
         self.current = 0
         self._oldest = 0
         self._changes: deque[tuple[float, int]] = deque()
--- a/src/snipebend/routing/router.py
+++ b/src/snipebend/routing/router.py
@@ -57,6 +57,7 @@
     data_center: str
     entries: int = 1
     rules: ScoringRules = ScoringRules()
+    #: Maximum number of pairs of prefix and upstream in the prefix index.
     prefix_capacity: int = DEFAULT_CAPACITY
 
 
--- a/src/snipebend/standin/executions.py
+++ b/src/snipebend/standin/executions.py
@@ -28,7 +28,7 @@
     """Counts executions as they start, finish or are cancelled."""
 
     def __init__(self) -> None:
-        """Start with all counts at zero."""
+        """Create the counters, all at zero."""
         self._by_request: Counter[str] = Counter()
         self._by_key: Counter[str] = Counter()
         self._by_body: Counter[str] = Counter()
--- a/src/snipebend/standin/reporter.py
+++ b/src/snipebend/standin/reporter.py
@@ -49,7 +49,11 @@
         self._loads.add(self._measure())
 
     def record_cache_changes(self, changes: tuple[CacheChange, ...]) -> None:
-        """Record cache changes; each is published late or never."""
+        """Record cache changes, to be published as events with lag and loss.
+
+        An event is published ``report_lag_ms`` later; a random share
+        ``gap_rate`` of the events is never published.
+        """
         for change in changes:
             self._feed.add(change, self._clock.now())
 
--- a/src/snipebend/standin/step_clock.py
+++ b/src/snipebend/standin/step_clock.py
@@ -16,7 +16,10 @@
     """
 
     def __init__(self, now: Callable[[], float], step_s: float) -> None:
-        """Start at step 0; ``now`` returns seconds like the loop's time."""
+        """Create a clock at step 0.
+
+        ``now`` returns seconds like the loop's time.
+        """
         self.now = now
         self._step_s = step_s
         self._started_at = now()
--- a/src/snipebend/state/configuration_feed.py
+++ b/src/snipebend/state/configuration_feed.py
@@ -23,7 +23,7 @@
     """Builds and caches messages; watchers with the same base share them."""
 
     def __init__(self) -> None:
-        """Start with empty caches."""
+        """Create a feed with empty caches."""
         self._fleets: dict[int, Fleet] = {}
         self._messages: dict[tuple[int, int], Configuration] = {}
 
--- a/src/snipebend/state/crash_state.py
+++ b/src/snipebend/state/crash_state.py
@@ -70,7 +70,11 @@
         return self.suspects()
 
     def clear(self, req: SuspectCleared, now: float) -> SuspectList:
-        """Clear a suspect, unless it is quarantined or crashed meanwhile."""
+        """Clear a suspect.
+
+        A suspect that is quarantined, or whose number of crashes has changed
+        since the cleared request started, stays one.
+        """
         fingerprint = req.fingerprint
         if self._count(fingerprint) != req.deaths or not req.deaths:
             return self.suspects()
--- a/src/snipebend/state/expert_maps.py
+++ b/src/snipebend/state/expert_maps.py
@@ -73,6 +73,10 @@
 
 
 def _was_aborted(record: GroupRecord, map_version: int) -> bool:
+    """Return whether a version is settled, but not the one last decided.
+
+    Versions of earlier decisions, which a later one has replaced, are included.
+    """
     decision = record.decision
     decided = decision.stamp.map_version if decision else 0
     return map_version != decided and map_version <= record.settled
--- a/src/snipebend/state/machine.py
+++ b/src/snipebend/state/machine.py
@@ -52,7 +52,7 @@
     """Executes the commands of the log in order."""
 
     def __init__(self, state: MachineState | None = None) -> None:
-        """Start with an empty state, or with that of a snapshot."""
+        """Create a machine with an empty state, or with that of a snapshot."""
         self.state = state or MachineState()
 
     @classmethod
--- a/src/snipebend/transport/crash_reporter.py
+++ b/src/snipebend/transport/crash_reporter.py
@@ -1,4 +1,4 @@
-"""Reports which attempts were running when an agent's upstream died."""
+"""Reports which attempts were running when an agent's upstream crashed."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class CrashReporter(Service):
-    """Reports each upstream death once, with all attempts running there."""
+    """Reports each upstream crash once, with all attempts running there."""
 
     def __init__(self, name: str, upstream: str) -> None:
         """Initialize without attempts; ``upstream`` is the agent's name."""
@@ -44,9 +44,9 @@
         self._running.add(_identify(ticket, fingerprint))
 
     def record_crash(self, ticket: AttemptTicket, fingerprint: str) -> bool:
-        """Report the death if this attempt is the first to detect it.
+        """Report the crash if this attempt is the first to detect it.
 
-        Return whether no other attempt was running when the upstream died.
+        Return whether no other attempt was running when the upstream crashed.
         """
         attempt = _identify(ticket, fingerprint)
         if attempt not in self._reported:
--- a/src/snipebend/transport/routed_request.py
+++ b/src/snipebend/transport/routed_request.py
@@ -86,7 +86,7 @@
     ) -> UpstreamSelection:
         """Choose the upstream of the next attempt.
 
-        A request that has killed as many upstreams as the fleet file allows
+        A request that has crashed as many upstreams as the fleet file allows
         gets no further one, because its quarantine may not have been received
         yet.
         """
@@ -115,9 +115,9 @@
     async def acquire_lease(self) -> NoUpstream | None:
         """Ensure that a suspect runs nowhere else, or return a refusal.
 
-        A death in the last attempt must be counted before the next attempt,
+        A crash in the last attempt must be counted before the next attempt,
         so that its quarantine applies whichever entry observed the earlier
-        deaths.
+        crashes.
         """
         leases = self._routing_service.leases
         req = self._ticket.req
@@ -139,7 +139,7 @@
         return None
 
     async def _wait_for_count(self, lease: SuspectLease) -> float:
-        """Return the seconds to wait if the death is not yet counted, or 0."""
+        """Return the seconds to wait if the crash is not yet counted, or 0."""
         known = self._deaths_before
         if await self._routing_service.wait_for_death(lease.fingerprint, known):
             return 0
@@ -207,7 +207,7 @@
         self._record_failure(sent.upstream, outcome)
 
     def record_upstream_death(self, attempt: int, alone: bool) -> None:
-        """Record that an attempt is about to fail: its upstream died."""
+        """Record that an attempt is about to fail: its upstream crashed."""
         sent = self._sent.get(attempt)
         if sent is not None:
             fingerprint = self._ticket.req.fingerprint
@@ -220,7 +220,7 @@
                 self._lease.record_death()
 
     def record_failure(self, attempt: int, *, was_sent: bool) -> None:
-        """Report an attempt that was aborted."""
+        """Record a failed attempt; it did not run if it was not sent."""
         sent = self._sent.pop(attempt, None)
         if self._lease is not None and not was_sent:
             self._lease.record_not_run()
--- a/tests/experts/test_map_search.py
+++ b/tests/experts/test_map_search.py
@@ -1,8 +1,10 @@
 """Detects maps that exceed the limits of a change, or stay too skewed.
 
-Improved one after the other, the first layers use up all fetches of the ranks.
-A minimum gain or a number of steps that suits small groups stops the search too
-early in large ones.
+A change limits how many experts may be new to a rank, in each layer and over
+all layers; the rank has to fetch each of them. If layers are improved one after
+the other, the first ones use up all fetches of the ranks, and the others stay
+skewed. A minimum gain or a limit of steps that suits small groups stops the
+search too early in large ones, which leaves their maps skewed.
 """
 
 from __future__ import annotations
--- a/tests/transport/test_caller_checks.py
+++ b/tests/transport/test_caller_checks.py
@@ -1,7 +1,9 @@
-"""Invalid requests must be refused, with the right problem document.
+"""Invalid requests over a socket are refused with a problem document.
 
-Guards against an invalid request, sent over a socket, that is accepted, crashes
-the entry, or gets a problem with the wrong status, field or outcome.
+Guards against an entry that accepts such a request, crashes, or reports the
+wrong status, field or outcome. The requests have a body that is too large or
+not a JSON object, fields that are missing, of a wrong type or out of range, an
+unknown or forbidden model, invalid credentials, or a wrong method or path.
 """
 
 from __future__ import annotations
